--- a/crates/gradedyke-gateway/src/entry/admission.rs
+++ b/crates/gradedyke-gateway/src/entry/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a request's client account may have it run now.
+//! Checks requests against the allowance of their client account.
 
 use std::time::Duration;
 
@@ -15,22 +15,23 @@
 use crate::dialect::Meta;
 use crate::mechanism::Mechanism;
 
-/// Longest time that keepers which are there have to tell a sum: thirty times the 3 ms
-/// that an exchange which begins a turn takes on average.
-const ASK: Duration = Duration::from_millis(100);
-/// Longest wait for keepers that were lost a moment ago, as for those that begin a turn.
-const RESTART: Duration = Duration::from_millis(1_000);
-/// Wait before they are asked again, the first time and at most.
-const AGAIN: Duration = Duration::from_millis(40);
-const LONGEST: Duration = Duration::from_millis(400);
+/// Timeout of one usage query to the keepers.
+const USAGE_QUERY_TIMEOUT: Duration = Duration::from_millis(100);
+/// Longest wait for keepers that are restarting.
+const QUORUM_RECOVERY_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Backoff before the first retry of a usage query.
+const MIN_BACKOFF: Duration = Duration::from_millis(40);
+/// Longest backoff between retries of a usage query.
+const MAX_BACKOFF: Duration = Duration::from_millis(400);
 
 impl Entry {
-    /// Counts a request, if its account is limited.
+    /// Counts a request, if its account is limited. The first turn of a program also counts
+    /// the requests that the program is expected to need.
     ///
     /// # Errors
     ///
-    /// [`Refusal::Exceeded`] where it is known to be beyond the allowance.
-    pub(super) fn count(
+    /// [`Refusal::Exceeded`] if the request is known to exceed the allowance.
+    pub(super) fn count_request(
         &self,
         account: Option<&Account>,
         route: &Route,
@@ -40,8 +41,9 @@
         let Some(account) = account else {
             return Ok(None);
         };
-        let begins = Call::begins(route, meta) && self.enabled.has(Mechanism::WholePrograms);
-        let planned = begins.then(|| self.demand.requests(&route.name, now));
+        let is_program_start =
+            Call::is_program_start(route, meta) && self.enabled.has(Mechanism::WholePrograms);
+        let planned = is_program_start.then(|| self.demand.requests(&route.name, now));
         let counted = self.register.count(account, planned.unwrap_or(0), now);
         let Some(counted) = counted else {
             return Ok(None);
@@ -53,28 +55,29 @@
         Ok(Some(counted))
     }
 
-    /// Takes in the sum that answers a report on the request, and counts it. Returns whether
-    /// the request is within its allowance.
-    pub(super) fn learn(&self, call: &Call, mark: Mark, sum: Total) -> bool {
-        self.register.learn(mark, sum, Instant::now());
+    /// Records the account's `total` usage, as the keepers returned it for the report with
+    /// this `mark`. Returns whether the request is within its allowance.
+    pub(super) fn record_usage(&self, call: &Call, mark: Mark, total: Total) -> bool {
+        self.register.learn(mark, total, Instant::now());
         let counted = mark.counted;
-        let within = counted.within(sum);
+        let within = counted.within(total);
         if !within {
             tracing::info!(event = "beyond_allowance", request = %call.id,
                 account = call.account.as_ref().map_or("none", |a| a.name.as_str()),
-                begins = counted.begins(), requests = sum.requests, planned = sum.planned,
+                begins = counted.begins(), requests = total.requests, planned = total.planned,
                 limit = counted.limit);
         }
         within
     }
 
-    /// Waits until it is known whether a request that has no exchange with keepers of its
-    /// own is within its allowance.
+    /// Checks whether a request is within its allowance, asking the keepers if the local
+    /// estimate does not decide. Not used for turns, whose usage is reported when they begin.
     ///
     /// # Errors
     ///
-    /// [`Refusal::Exceeded`], or [`Refusal::NoKeepers`] where nobody can tell.
-    pub(super) async fn allow(&self, call: &Call) -> Result<(), Refusal> {
+    /// [`Refusal::Exceeded`], or [`Refusal::NoKeepers`] if the keepers cannot be reached and the
+    /// local estimate leaves no room.
+    pub(super) async fn check_allowance(&self, call: &Call) -> Result<(), Refusal> {
         let now = Instant::now();
         if call.meta.program.is_some() {
             self.demand.call(now);
@@ -87,14 +90,14 @@
             Verdict::Beyond => return Err(Refusal::Exceeded),
             Verdict::Unknown => {}
         }
-        let end = call.until.min(now + RESTART);
-        let mut backoff = Backoff::endless(AGAIN, LONGEST);
+        let deadline = call.deadline.min(now + QUORUM_RECOVERY_TIMEOUT);
+        let mut backoff = Backoff::endless(MIN_BACKOFF, MAX_BACKOFF);
         loop {
             metrics::counter!("gradedyke_usage_asked_total").increment(1);
             let (report, mark) = self.register.report(counted, Instant::now());
-            let until = end.min(Instant::now() + ASK);
-            if let Ok(Some(sum)) = self.quorum.used(&report, until).await {
-                let within = self.learn(call, mark, sum);
+            let query_deadline = deadline.min(Instant::now() + USAGE_QUERY_TIMEOUT);
+            if let Ok(Some(total)) = self.quorum.used(&report, query_deadline).await {
+                let within = self.record_usage(call, mark, total);
                 return within.then_some(()).ok_or(Refusal::Exceeded);
             }
             let now = Instant::now();
@@ -102,7 +105,7 @@
                 tracing::info!(event = "let_through_unasked", request = %call.id);
                 return Ok(());
             }
-            if now + AGAIN >= end {
+            if now + MIN_BACKOFF >= deadline {
                 return Err(Refusal::NoKeepers);
             }
             tokio::time::sleep(backoff.step(rand::random())).await;
--- a/crates/gradedyke-gateway/src/entry/attempt.rs
+++ b/crates/gradedyke-gateway/src/entry/attempt.rs
@@ -1,8 +1,7 @@
-//! Sending a request to backend servers, one after the other, until one runs it.
+//! Sends a request to backend servers, one after the other, until one runs it.
 //!
-//! Another server is tried only while it is certain that none has run the
-//! request. Whether to try again after that is the caller of [`dispatch`]'s to
-//! decide.
+//! [`dispatch`] tries another server only while it is certain that none has run the
+//! request. If the request may have run, its caller decides whether to send it again.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -24,119 +23,118 @@
 use crate::link::{self, Link};
 use crate::mechanism::Mechanism;
 
-/// Least time left with which a request is sent: below it a server could not
-/// even take it in.
-pub const LEAST: Duration = Duration::from_millis(5);
+/// A request is not sent when less time than this is left until its deadline.
+pub const MIN_SEND_TIME: Duration = Duration::from_millis(5);
 
-/// The head of an answer that belongs to the request.
-pub struct Answered {
-    /// The server.
+/// A backend server's response: its head was read, its body was not.
+pub struct ServerResponse {
+    /// The server that was chosen for the request.
     pub choice: Choice,
-    /// The connection, to be rested after the body.
-    pub link: Link,
-    /// The head, and the body to be read.
+    /// The connection, which goes back to the pool after the body.
+    pub connection: Link,
+    /// The response, with the body still to be read.
     pub response: Response<Incoming>,
-    /// What the head says.
+    /// What the server says in the response headers.
     pub answer: Answer,
 }
 
 /// Why a request certainly did not run at a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Unrun {
-    /// No connection.
+enum NotRunReason {
+    /// No connection could be opened.
     Unreachable,
-    /// The server says so.
+    /// The server refused the request.
     Refused,
-    /// Another server has the address.
+    /// Another server now has the address.
     Misdirected,
-    /// No time was left to send it.
+    /// Too little time was left before the deadline to send it.
     NoTime,
 }
 
-/// How one sending ended.
+/// Result of sending the request to one server.
 enum Outcome {
-    Answered(Box<Answered>),
-    NotRun(Unrun),
-    /// It may have run.
+    Answered(Box<ServerResponse>),
+    NotRun(NotRunReason),
+    /// No response arrived; the request may have run.
     Unknown,
-    /// Its time is over; it may have run.
+    /// The deadline passed; the request may have run.
     TimedOut,
 }
 
-/// Servers that may be out of reach before the caller is told to come back,
-/// besides those the route allows to be sent to.
-const UNREACHED: u32 = 3;
+/// Number of unreachable servers after which the request is refused. They do not count
+/// against the attempts that the route allows.
+const MAX_UNREACHABLE_SERVERS: u32 = 3;
 
-/// The servers that a request has been at. Attempts side by side share one.
+/// The servers that a request was sent to. Shared by attempts that run in parallel.
 #[derive(Debug, Default)]
-pub struct Trail(Mutex<Steps>);
+pub struct Attempts(Mutex<State>);
 
 #[derive(Debug, Default)]
-struct Steps {
+struct State {
     tried: Vec<Key>,
-    /// Servers that got the request, or are just being sent it.
+    /// Servers that received the request or are being sent it.
     sent: u32,
-    unreached: u32,
+    unreachable: u32,
 }
 
-impl Steps {
-    fn open(&self, call: &Call) -> bool {
-        self.sent < call.route.attempts && self.unreached < UNREACHED
+impl State {
+    fn has_attempt_left(&self, call: &Call) -> bool {
+        self.sent < call.route.attempts && self.unreachable < MAX_UNREACHABLE_SERVERS
     }
 }
 
-impl Trail {
-    fn lock(&self) -> MutexGuard<'_, Steps> {
+impl Attempts {
+    fn lock(&self) -> MutexGuard<'_, State> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Whether another server may be tried.
-    pub fn open(&self, call: &Call) -> bool {
-        self.lock().open(call)
+    pub fn has_attempt_left(&self, call: &Call) -> bool {
+        self.lock().has_attempt_left(call)
     }
 
-    /// Counts the next sending, if there may be one.
-    fn claim(&self, call: &Call) -> bool {
-        let mut steps = self.lock();
-        let open = steps.open(call);
-        steps.sent += u32::from(open);
-        open
+    /// Counts one more attempt, if one is left. Returns whether it is.
+    fn reserve(&self, call: &Call) -> bool {
+        let mut state = self.lock();
+        let has_attempt_left = state.has_attempt_left(call);
+        state.sent += u32::from(has_attempt_left);
+        has_attempt_left
     }
 
-    /// Takes a claimed sending back: the server was not reached.
-    fn unreached(&self) {
-        let mut steps = self.lock();
-        steps.sent -= 1;
-        steps.unreached += 1;
+    /// Counts a reserved attempt as one at an unreachable server.
+    fn mark_unreachable(&self) {
+        let mut state = self.lock();
+        state.sent -= 1;
+        state.unreachable += 1;
     }
 }
 
-/// Sends the request to one server after the other until one takes it.
-/// `question` is what the fleet is asked each time; a stream goes on behind the event
-/// `after`.
+/// Sends the request to one server after the other until one responds. The fleet
+/// selects each server by `query`. If `last_event_id` is given, the server resumes the
+/// stream after that event.
 ///
 /// # Errors
 ///
-/// [`Refusal::Broken`] or [`Refusal::TimedOut`] when it may have run; otherwise
-/// it has not.
+/// [`Refusal::Broken`] or [`Refusal::TimedOut`] if the request may have run. After any other
+/// refusal it has not run.
 pub async fn dispatch(
     entry: &Entry,
     call: &Call,
-    trail: &Trail,
-    question: &Question<'_>,
+    attempts: &Attempts,
+    query: &Question<'_>,
     body: &Bytes,
-    after: Option<&[u8]>,
-) -> Result<Answered, Refusal> {
-    while trail.claim(call) {
-        let choice = choose(entry, call, trail, question).ok_or(Refusal::NoServer)?;
-        if hopeless(call, &choice) {
+    last_event_id: Option<&[u8]>,
+) -> Result<ServerResponse, Refusal> {
+    while attempts.reserve(call) {
+        let choice = choose_server(entry, call, attempts, query).ok_or(Refusal::NoServer)?;
+        if will_miss_deadline(call, &choice) {
             return Err(Refusal::Full);
         }
-        match send(entry, call, trail, choice, body.clone(), after).await {
-            Outcome::Answered(answered) => return Ok(*answered),
-            Outcome::NotRun(Unrun::NoTime) => return Err(Refusal::TooLate),
-            Outcome::NotRun(Unrun::Unreachable) => trail.unreached(),
-            Outcome::NotRun(Unrun::Refused | Unrun::Misdirected) => {}
+        match send(entry, call, attempts, choice, body.clone(), last_event_id).await {
+            Outcome::Answered(response) => return Ok(*response),
+            Outcome::NotRun(NotRunReason::NoTime) => return Err(Refusal::TooLate),
+            Outcome::NotRun(NotRunReason::Unreachable) => attempts.mark_unreachable(),
+            Outcome::NotRun(NotRunReason::Refused | NotRunReason::Misdirected) => {}
             Outcome::Unknown => return Err(Refusal::Broken),
             Outcome::TimedOut => return Err(Refusal::TimedOut),
         }
@@ -144,136 +142,134 @@
     Err(Refusal::Full)
 }
 
-/// How many times its time left a request may be expected to wait for a place before
-/// it is refused at once: what is expected is an estimate, and the caller that is told
-/// so comes back when there is a place.
-const HOPELESS: f64 = 2.0;
+/// A request is refused at once if its expected wait for a slot is longer than its time left
+/// times this factor, which allows for errors of the estimate.
+const MAX_WAIT_RATIO: f64 = 2.0;
 
-/// Whether a request would certainly wait for a place until its time is over, even at
-/// the server that was chosen for it.
-fn hopeless(call: &Call, choice: &Choice) -> bool {
-    let left = call.left(Instant::now()).as_secs_f64() * 1e3;
-    choice.view.wait_ms() > HOPELESS * left
+/// Whether the request would still wait for a slot at the chosen server when its deadline
+/// passes.
+fn will_miss_deadline(call: &Call, choice: &Choice) -> bool {
+    let left_ms = call.time_left(Instant::now()).as_secs_f64() * 1e3;
+    choice.view.wait_ms() > MAX_WAIT_RATIO * left_ms
 }
 
-/// Sends the request to a chosen server and waits for the head of the answer.
+/// Sends the request to the chosen server and waits for the head of the response.
 async fn send(
     entry: &Entry,
     call: &Call,
-    trail: &Trail,
+    attempts: &Attempts,
     choice: Choice,
     body: Bytes,
-    after: Option<&[u8]>,
+    last_event_id: Option<&[u8]>,
 ) -> Outcome {
     let now = Instant::now();
-    let left = call.left(now);
-    if left < LEAST {
-        return Outcome::NotRun(Unrun::NoTime);
+    let left = call.time_left(now);
+    if left < MIN_SEND_TIME {
+        return Outcome::NotRun(NotRunReason::NoTime);
     }
     let outbound = Outbound {
         server: &choice.id,
         left,
-        urgency: urgency(entry, call),
+        urgency: engine_priority(entry, call),
         account: call.account.as_deref(),
-        after,
+        after: last_event_id,
     };
     let mut request = Request::new(Full::new(body));
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.uri.clone();
     *request.headers_mut() = entry.dialect.outbound(&call.headers, &outbound);
     let repeatable = call.route.repeatable();
-    let sending = choice.pool.send(request, repeatable, now);
-    let sending = choice.gone.run_until_cancelled(sending);
-    let sent = watched(entry, call, trail, &choice, sending).await;
-    let (response, link) = match sent {
-        Waited::Came(Some(Ok(sent))) => sent,
-        Waited::Came(Some(Err(error))) => return failed(entry, call, &choice, &error),
-        Waited::Came(None) => {
-            // The process that had it has ended, and no answer comes any more.
+    let exchange = choice.pool.send(request, repeatable, now);
+    let exchange = choice.gone.run_until_cancelled(exchange);
+    let result = wait_for_head(entry, call, attempts, &choice, exchange).await;
+    let (response, connection) = match result {
+        HeadWait::Done(Some(Ok(received))) => received,
+        HeadWait::Done(Some(Err(error))) => return record_failure(entry, call, &choice, &error),
+        HeadWait::Done(None) => {
+            // The server process has ended, so no response will arrive.
             tracing::info!(event = "server_ended", request = %call.id, server = %choice.id);
             return Outcome::Unknown;
         }
-        Waited::GivenUp => return Outcome::Unknown,
-        Waited::TimedOut => {
+        HeadWait::Abandoned => return Outcome::Unknown,
+        HeadWait::TimedOut => {
             entry
                 .fleet
                 .failed(choice.key, Fault::Silent, Instant::now());
             return Outcome::TimedOut;
         }
     };
-    judge(entry, call, choice, link, response, now)
+    classify_response(entry, call, choice, connection, response, now)
 }
 
-/// The rank that an engine is told.
-fn urgency(entry: &Entry, call: &Call) -> Option<u8> {
-    let ranked = call.engine().is_some() && entry.enabled.has(Mechanism::Urgency);
+/// Returns the priority that is sent to an engine; 0 comes first. `None` if the service runs no
+/// models or the mechanism is switched off.
+fn engine_priority(entry: &Entry, call: &Call) -> Option<u8> {
+    let has_priority = call.engine().is_some() && entry.enabled.has(Mechanism::Urgency);
     let account = call.account.as_ref().and_then(|a| a.rank);
-    ranked.then(|| call.config.rank(account, &call.route))
+    has_priority.then(|| call.config.rank(account, &call.route))
 }
 
-/// What came of waiting for the head of an answer.
-enum Waited<T> {
-    Came(T),
-    /// It is far later than expected, and another server may be tried.
-    GivenUp,
+/// Result of waiting for the head of a response.
+enum HeadWait<T> {
+    Done(T),
+    /// The response is far later than expected, and another server may be tried.
+    Abandoned,
     TimedOut,
 }
 
-/// Waits for the head of an answer until the call's time is over. A server that takes
-/// far longer than expected is taken for one that may not answer at all, long before
-/// that shows. A stream that may go on elsewhere is given up then.
-async fn watched<T>(
+/// Waits for the head of the response until the call's deadline. A server that takes far
+/// longer than expected is reported to the fleet as slow. The attempt is then abandoned if
+/// the stream can be resumed at another server.
+async fn wait_for_head<T>(
     entry: &Entry,
     call: &Call,
-    trail: &Trail,
+    attempts: &Attempts,
     choice: &Choice,
-    sending: impl Future<Output = T>,
-) -> Waited<T> {
-    tokio::pin!(sending);
+    exchange: impl Future<Output = T>,
+) -> HeadWait<T> {
+    tokio::pin!(exchange);
     let now = Instant::now();
-    let late = match call.engine() {
-        Some(_) => now + patience(call, choice.view.first_ms()),
-        None => call.late(now),
+    let slow_at = match call.engine() {
+        Some(_) => now + event_timeout(call, choice.view.first_ms()),
+        None => call.slow_at(now),
     };
-    if late < call.until {
-        if let Ok(sent) = tokio::time::timeout_at(late, &mut sending).await {
-            return Waited::Came(sent);
+    if slow_at < call.deadline {
+        if let Ok(output) = tokio::time::timeout_at(slow_at, &mut exchange).await {
+            return HeadWait::Done(output);
         }
         entry.fleet.failed(choice.key, Fault::Slow, Instant::now());
-        if call.route.resumable && trail.open(call) {
+        if call.route.resumable && attempts.has_attempt_left(call) {
             tracing::info!(event = "given_up", request = %call.id, server = %choice.id,
                 expected_ms = choice.view.first_ms(),
                 waited_ms = now.elapsed().as_millis());
-            return Waited::GivenUp;
+            return HeadWait::Abandoned;
         }
     }
-    match tokio::time::timeout_at(call.until, sending).await {
-        Ok(sent) => Waited::Came(sent),
-        Err(_) => Waited::TimedOut,
+    match tokio::time::timeout_at(call.deadline, exchange).await {
+        Ok(output) => HeadWait::Done(output),
+        Err(_) => HeadWait::TimedOut,
     }
 }
 
-/// How many times what was expected an engine may take. In bursts one first event in a
-/// hundred takes 4.3 times as long, nearly all of them within 1.5 times the objective,
-/// the least that is waited: of 5,792 turns of a day with two bursts and no other
-/// trouble one was given up.
-const PATIENCE: f64 = 4.0;
+/// An engine is considered stalled after the expected time times this factor.
+const EVENT_TIMEOUT_RATIO: f64 = 4.0;
 
-/// How long an engine's next event is waited for before it is taken for one that may
-/// not send any, if it was expected in `expected_ms`. Engines are not left for less
-/// than the route's objective, because their programs' prompts are read again then.
-pub fn patience(call: &Call, expected_ms: f64) -> Duration {
-    let learned = Duration::from_secs_f64(expected_ms * PATIENCE / 1e3);
-    learned.max(call.patience())
+/// Returns how long to wait for the next event of an engine that was expected in
+/// `expected_ms` milliseconds. It is never less than [`Call::slow_threshold`]: another server
+/// would have to process the whole prompt again.
+pub fn event_timeout(call: &Call, expected_ms: f64) -> Duration {
+    let timeout = Duration::from_secs_f64(expected_ms * EVENT_TIMEOUT_RATIO / 1e3);
+    timeout.max(call.slow_threshold())
 }
 
-fn failed(entry: &Entry, call: &Call, choice: &Choice, error: &link::Error) -> Outcome {
+/// Reports a failed exchange to the fleet.
+fn record_failure(entry: &Entry, call: &Call, choice: &Choice, error: &link::Error) -> Outcome {
     let now = Instant::now();
     tracing::info!(event = "attempt_failed", request = %call.id, server = %choice.id, %error);
     match error {
         link::Error::NotSent(..) => {
             entry.fleet.failed(choice.key, Fault::Unreachable, now);
-            Outcome::NotRun(Unrun::Unreachable)
+            Outcome::NotRun(NotRunReason::Unreachable)
         }
         link::Error::Broken(..) => {
             entry.fleet.failed(choice.key, Fault::Lost, now);
@@ -282,64 +278,71 @@
     }
 }
 
-fn judge(
+/// Checks that the response belongs to the request and that the server ran it, and reports
+/// the result to the fleet.
+fn classify_response(
     entry: &Entry,
     call: &Call,
     choice: Choice,
-    link: Link,
+    connection: Link,
     response: Response<Incoming>,
     sent: Instant,
 ) -> Outcome {
     let answer = entry.dialect.answer(response.status(), response.headers());
     if answer.misdirected {
         entry.fleet.misdirected(choice.key);
-        return Outcome::NotRun(Unrun::Misdirected);
+        return Outcome::NotRun(NotRunReason::Misdirected);
     }
-    // A surplus answer to an earlier request stands where ours is due. Ours
-    // would come after it, but a connection that is out of step is not trusted.
+    // A response to another request means that requests and responses on this connection no
+    // longer match, so the connection is closed.
     if answer.request.as_ref() != Some(&call.id) {
         tracing::info!(event = "answer_of_another", request = %call.id, server = %choice.id);
         return Outcome::Unknown;
     }
     if answer.not_run {
         entry.fleet.failed(choice.key, Fault::Shed, Instant::now());
-        choice.pool.rest(link, answer.idle, Instant::now());
-        return Outcome::NotRun(Unrun::Refused);
+        choice.pool.rest(connection, answer.idle, Instant::now());
+        return Outcome::NotRun(NotRunReason::Refused);
     }
     let now = Instant::now();
     if response.status().is_server_error() {
         entry.fleet.failed(choice.key, Fault::Failed, now);
     } else {
-        let whole = call.engine().is_none().then(|| now - sent);
-        entry.fleet.answered(choice.key, whole, now);
+        let response_time = call.engine().is_none().then(|| now - sent);
+        entry.fleet.answered(choice.key, response_time, now);
     }
-    Outcome::Answered(Box::new(Answered {
+    Outcome::Answered(Box::new(ServerResponse {
         choice,
-        link,
+        connection,
         response,
         answer,
     }))
 }
 
-/// Chooses a server for the request, with a line that says what decided.
-fn choose(entry: &Entry, call: &Call, trail: &Trail, question: &Question<'_>) -> Option<Choice> {
+/// Chooses a server for the request and logs the inputs of the decision.
+fn choose_server(
+    entry: &Entry,
+    call: &Call,
+    attempts: &Attempts,
+    query: &Question<'_>,
+) -> Option<Choice> {
     let now = Instant::now();
-    let mut steps = trail.lock();
-    let asked = Question {
-        tried: &steps.tried,
+    let mut state = attempts.lock();
+    let attempt_query = Question {
+        tried: &state.tried,
         now,
-        ..question.clone()
+        ..query.clone()
     };
-    let choice = entry.fleet.choose(&asked);
-    steps.tried.extend(choice.as_ref().map(|c| c.key));
+    let choice = entry.fleet.choose(&attempt_query);
+    state.tried.extend(choice.as_ref().map(|c| c.key));
     let age = entry.mirror.age(now);
     let program = call.meta.program.as_ref();
     tracing::info!(event = "placed", request = %call.id,
-        program = program.map_or("none", Id::as_str), attempt = steps.tried.len(),
+        program = program.map_or("none", Id::as_str), attempt = state.tried.len(),
         waited_ms = now.saturating_duration_since(call.arrived).as_millis(),
         server = choice.as_ref().map_or("none", |c| c.id.as_str()),
-        holder = question.holder.map_or("none", Id::as_str),
-        prompt = question.prompt_tokens,
+        holder = query.holder.map_or("none", Id::as_str),
+        prompt = query.prompt_tokens,
         unread = choice.as_ref().map(|c| c.view.unread_tokens),
         in_flight = choice.as_ref().map(|c| c.view.in_flight),
         expected_ms = choice.as_ref().map(|c| c.view.first_ms()),
@@ -349,6 +352,6 @@
         slowness = choice.as_ref().map(|c| c.view.slowness),
         route = call.route.name, config = call.config.version,
         directory_age_ms = age.map(|a| a.as_millis()),
-        left_ms = call.left(now).as_millis());
+        left_ms = call.time_left(now).as_millis());
     choice
 }
--- a/crates/gradedyke-gateway/src/entry/call.rs
+++ b/crates/gradedyke-gateway/src/entry/call.rs
@@ -1,4 +1,4 @@
-//! One request of a caller.
+//! A caller's request after routing.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,90 +13,91 @@
 use crate::config::{Config, Route};
 use crate::dialect::Meta;
 
-/// How many times its objective a request waits for the head of an answer before
-/// its server is taken for one that may not answer at all. Objectives in use are 4
-/// to 5 times the usual time of a request.
-const LATE: f64 = 1.5;
+/// A response is considered slow after the route's objective times this factor.
+const SLOW_RATIO: f64 = 1.5;
 
-/// A request that was read whole and has a route.
+/// A request whose body was read and whose route is known.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Its name.
+    /// Identifier that the caller gave this request.
     pub id: Id,
-    /// The configuration it was routed by.
+    /// The configuration that was active when the request was routed.
     pub config: Arc<Config>,
-    /// Its route.
+    /// The matched route.
     pub route: Arc<Route>,
-    /// The service that runs it.
+    /// Name of the service whose backend servers run the request.
     pub service: String,
-    /// Whose it is; nobody's on routes that need no key.
+    /// The client account whose key was sent; `None` if the request was accepted without a
+    /// key.
     pub account: Option<Arc<Account>>,
-    /// How it was counted, if its account is limited.
+    /// How the request was counted for its account; `None` if the account has no limit.
     pub counted: Option<Counted>,
-    /// The regions in which it may run; `None` for all.
+    /// Regions in which the request may run; `None` for all.
     pub regions: Option<Vec<String>>,
-    /// What the caller says of it.
+    /// Request properties from the caller's headers.
     pub meta: Meta,
-    /// Its method.
+    /// HTTP method.
     pub method: Method,
-    /// Its path and query.
+    /// Path and query.
     pub uri: Uri,
-    /// Its headers.
+    /// Request headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Request body.
     pub body: Bytes,
-    /// When its head arrived.
+    /// When the request head arrived.
     pub arrived: Instant,
-    /// When it must be answered.
-    pub until: Instant,
+    /// When the response must be complete.
+    pub deadline: Instant,
 }
 
 impl Call {
-    /// The name under which is kept what the caller calls `id`.
-    pub fn scope(&self, id: &Id) -> Id {
+    /// Returns the identifier under which the caller's `id` is stored. It includes the client
+    /// account, so that accounts cannot reach each other's data.
+    pub fn scope_id(&self, id: &Id) -> Id {
         match &self.account {
             Some(account) => account.scope(id),
             None => id.clone(),
         }
     }
 
-    /// Whether it begins a program: the first turn of a conversation that is kept.
-    pub fn begins(route: &Route, meta: &Meta) -> bool {
+    /// Whether the request is the first turn of a stored conversation, which begins a program.
+    pub fn is_program_start(route: &Route, meta: &Meta) -> bool {
         route.retention.is_some() && meta.parent.is_none()
     }
 
-    /// Time left.
-    pub fn left(&self, now: Instant) -> Duration {
-        self.until.saturating_duration_since(now)
+    /// Returns the time left until the deadline.
+    pub fn time_left(&self, now: Instant) -> Duration {
+        self.deadline.saturating_duration_since(now)
     }
 
-    /// When an answer to what is sent at `now` is far later than usual.
-    pub fn late(&self, now: Instant) -> Instant {
-        now + self.patience()
+    /// Returns when the response to a request sent at `now` is considered slow.
+    pub fn slow_at(&self, now: Instant) -> Instant {
+        now + self.slow_threshold()
     }
 
-    /// How long the head of an answer is waited for before it is far later than usual.
-    pub fn patience(&self) -> Duration {
-        self.route.objective.mul_f64(LATE)
+    /// Returns the time after which a response whose head has not arrived is considered slow.
+    pub fn slow_threshold(&self) -> Duration {
+        self.route.objective.mul_f64(SLOW_RATIO)
     }
 
-    /// Requests a second that one of the service's servers bears while it warms up.
+    /// Returns how many requests per second a server of the service can take while it warms
+    /// up; `None` if there is no such limit.
     pub fn warm_up_rate(&self) -> Option<f64> {
         self.config.services.get(&self.service)?.warm_up_rate
     }
 
-    /// The regions in which a request of this route and account may run: those that both
-    /// allow.
-    pub fn regions(route: &Route, account: Option<&Account>) -> Option<Vec<String>> {
+    /// Returns the regions that both the route and the account allow; `None` for all.
+    pub fn allowed_regions(route: &Route, account: Option<&Account>) -> Option<Vec<String>> {
         let account = account.and_then(|a| a.regions.as_ref());
         let Some((route, account)) = route.regions.as_ref().zip(account) else {
             return route.regions.as_ref().or(account).cloned();
         };
-        let both = route.iter().filter(|region| account.contains(region));
-        Some(both.cloned().collect())
+        let common = route.iter().filter(|region| account.contains(region));
+        Some(common.cloned().collect())
     }
 
-    /// Whether the service runs models.
+    /// Returns the parameters of the service's engines, which are backend servers that run a
+    /// model; `None` if it runs no models.
     pub fn engine(&self) -> Option<crate::config::Engine> {
         self.config.services.get(&self.service)?.engine
     }
--- a/crates/gradedyke-gateway/src/entry/door.rs
+++ b/crates/gradedyke-gateway/src/entry/door.rs
@@ -1,5 +1,4 @@
-//! The listeners of an entry: callers' requests, and the platform's question whether
-//! callers may come.
+//! HTTP handlers of an entry: callers' requests, and the readiness check of the platform.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -17,48 +16,48 @@
 use crate::dialect::Meta;
 
 /// Counts a request as in progress until it is dropped.
-struct Active(Arc<Entry>);
+struct ActiveRequest(Arc<Entry>);
 
-impl Drop for Active {
+impl Drop for ActiveRequest {
     fn drop(&mut self) {
         self.0.active.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// A request that gets an answer of the gateway's own.
-pub(super) struct Refused {
+/// A request that the gateway answers with an error.
+pub(super) struct RefusedRequest {
     pub(super) refusal: Refusal,
     pub(super) meta: Meta,
-    /// In how long what it lacks is expected to be there: a place at its service, or
-    /// keepers that keep up.
-    pub(super) drain: Duration,
+    /// Expected time until a backend server has a free slot or the keepers are no longer
+    /// overloaded.
+    pub(super) expected_wait: Duration,
 }
 
-impl Refused {
-    fn answer(
+impl RefusedRequest {
+    fn response(
         &self,
         waited: Duration,
         config: Option<u64>,
         age: Option<Duration>,
     ) -> Response<Body> {
-        let name = |id: Option<&Id>| id.map_or_else(String::new, |id| id.as_str().to_owned());
-        let after = self.refusal.retry_after(self.drain, rand::random());
+        let id_text = |id: Option<&Id>| id.map_or_else(String::new, |id| id.as_str().to_owned());
+        let retry_after = self.refusal.retry_after(self.expected_wait, rand::random());
         tracing::info!(
             event = "refused",
-            request = name(self.meta.request.as_ref()),
-            program = name(self.meta.program.as_ref()),
+            request = id_text(self.meta.request.as_ref()),
+            program = id_text(self.meta.program.as_ref()),
             why = self.refusal.name(),
             waited_ms = waited.as_millis(),
-            drain_ms = self.drain.as_millis(),
-            retry_after_ms = after.map(|a| a.as_millis()),
+            drain_ms = self.expected_wait.as_millis(),
+            retry_after_ms = retry_after.map(|a| a.as_millis()),
             config,
             config_age_ms = age.map(|a| a.as_millis())
         );
-        self.refusal.answer(after)
+        self.refusal.response(retry_after)
     }
 }
 
-/// Answers callers' requests.
+/// Handles callers' requests.
 pub struct Door(pub Arc<Entry>);
 
 #[async_trait]
@@ -67,32 +66,33 @@
         let entry = &self.0;
         let arrived = Instant::now();
         entry.active.fetch_add(1, Ordering::Relaxed);
-        let active = Active(entry.clone());
-        let served = entry.serve(request, arrived).await;
+        let active = ActiveRequest(entry.clone());
+        let result = entry.serve(request, arrived).await;
         let seconds = arrived.elapsed().as_secs_f64();
-        let outcome = match &served {
+        let outcome = match &result {
             Ok(_) => "answered",
             Err(refused) => refused.refusal.name(),
         };
         metrics::counter!("gradedyke_requests_total", "outcome" => outcome).increment(1);
         metrics::histogram!("gradedyke_head_seconds").record(seconds);
-        let mut response = served.unwrap_or_else(|refused| {
+        let mut response = result.unwrap_or_else(|refused| {
             let config = entry.config.load().as_ref().map(|c| c.version);
-            refused.answer(arrived.elapsed(), config, entry.age(arrived))
+            refused.response(arrived.elapsed(), config, entry.config_age(arrived))
         });
-        // Callers that stay on this connection are better served elsewhere.
-        let elsewhere = outcome != "answered" && !entry.ready();
-        if entry.drain.is_cancelled() || elsewhere {
+        // While this entry is not ready, the connection is closed so that the caller connects to
+        // another entry.
+        let should_reconnect = outcome != "answered" && !entry.ready();
+        if entry.drain.is_cancelled() || should_reconnect {
             let close = HeaderValue::from_static("close");
             response.headers_mut().insert(header::CONNECTION, close);
         }
         let (head, body) = response.into_parts();
-        Response::from_parts(head, hold(body, active))
+        Response::from_parts(head, count_until_end(body, active))
     }
 }
 
-/// A body that counts its request as in progress until it has ended.
-fn hold(body: Body, active: Active) -> Body {
+/// Wraps a body so that its request counts as in progress until the body is dropped.
+fn count_until_end(body: Body, active: ActiveRequest) -> Body {
     use http_body_util::BodyExt;
     body.map_frame(move |frame| {
         let _ = &active;
@@ -101,14 +101,14 @@
     .boxed_unsync()
 }
 
-/// Answers the platform's question whether callers may come.
+/// Answers the platform's readiness check.
 pub struct Readiness(pub Arc<Entry>);
 
 #[async_trait]
 impl Handler for Readiness {
     async fn handle(&self, request: Request<Incoming>) -> Response<Body> {
-        let asked = request.uri().path() == self.0.dialect.ready_path();
-        let status = match (asked, self.0.ready()) {
+        let is_ready_path = request.uri().path() == self.0.dialect.ready_path();
+        let status = match (is_ready_path, self.0.ready()) {
             (false, _) => http::StatusCode::NOT_FOUND,
             (true, true) => http::StatusCode::OK,
             (true, false) => http::StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/gradedyke-gateway/src/entry/mod.rs
+++ b/crates/gradedyke-gateway/src/entry/mod.rs
@@ -1,23 +1,25 @@
-//! Requests from their head to their last byte.
+//! Handles callers' requests, from the request head to the end of the response.
 //!
 //! - [`call`]: a request that was read and routed.
-//! - `admission`: whether its account may have it run; [`attempt`]: one sending to one
-//!   server.
-//! - [`plain`]: answers that are read whole; [`turn`]: streams and turns. `source` has
-//!   servers run them, `relay` passes their events on, `ledger` tells what they used.
-//! - `door`: the listeners, with logs and counters of each request; [`refusal`]: answers of
-//!   the gateway's own.
+//! - `admission`: checks a request against the allowance of its client account.
+//! - [`attempt`]: sends a request to backend servers.
+//! - [`plain`]: requests whose response is buffered.
+//! - [`turn`]: requests whose response is streamed, and turns of conversations. `upstream`
+//!   opens the stream at a backend server, `relay` forwards its events, `budget` reports
+//!   the tokens used.
+//! - `door`: HTTP handlers, with logs and metrics for each request.
+//! - [`refusal`]: error responses that the gateway sends itself.
 
 mod admission;
 pub mod attempt;
+mod budget;
 pub mod call;
 mod door;
-mod ledger;
 pub mod plain;
 pub mod refusal;
 mod relay;
-mod source;
 pub mod turn;
+mod upstream;
 
 use std::sync::atomic::AtomicUsize;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -41,142 +43,143 @@
 use crate::mechanism::Enabled;
 use crate::throttle::Throttle;
 use call::Call;
-use door::Refused;
+use door::RefusedRequest;
 use refusal::Refusal;
 
 pub use door::{Door, Readiness};
 
-/// Time allowed to a caller that names none and whose route names none.
-const DEADLINE: Duration = Duration::from_secs(30);
+/// Timeout of a request whose caller sets none; the timeout of its route may be shorter.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Longest wait for the first configuration: when all processes were lost, what
-/// keepers take to start. A refusal would only use up one of the few tries that
-/// a caller has.
-const START: Duration = Duration::from_millis(1_000);
+/// Longest wait of a request for the first configuration. It covers the start of the
+/// keepers when all processes were restarted; a refusal would use up one of the caller's
+/// retries.
+const INITIAL_CONFIG_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Share of the time in which a withdrawn key must be without effect for which it may be
-/// used unconfirmed. The rest is for clocks that run at other speeds.
-const UNCONFIRMED: f64 = 0.9;
+/// Greatest age of the key data, as a share of the time after which a revoked key must no
+/// longer work. The rest is a margin for clock drift.
+const MAX_KEY_AGE_RATIO: f64 = 0.9;
 
-/// For how long a key may be used unconfirmed where a withdrawn one must be without
-/// effect after `revocation`.
+/// Returns the greatest age at which key data may still be used, if a revoked key must stop
+/// working within `revocation`.
 pub fn confirmation(revocation: Duration) -> Duration {
-    revocation.mul_f64(UNCONFIRMED)
+    revocation.mul_f64(MAX_KEY_AGE_RATIO)
 }
 
-/// The entry role of one process.
+/// State of a process in the entry role: it accepts callers' requests and forwards them to
+/// backend servers.
 pub struct Entry {
-    /// How the outside spells things.
+    /// Encodes and decodes headers, keys and values of callers, backend servers and platform.
     pub dialect: Arc<dyn Dialect>,
-    /// The copy of the platform's service.
+    /// Local copy of the data in the platform's key-value service.
     pub mirror: Arc<Mirror>,
-    /// The configuration in force.
+    /// The active configuration; empty until the first one was read.
     pub config: ArcSwapOption<Config>,
-    /// The backend servers.
+    /// The backend servers, with their load and health.
     pub fleet: Arc<Fleet>,
-    /// The keepers.
+    /// Client of the keepers, which store turns and budgets on a majority of disks.
     pub quorum: Arc<Quorum>,
-    /// What client accounts had let through here.
+    /// Requests of each client account that this entry admitted.
     pub register: Register,
-    /// How many requests programs need.
+    /// Estimates how many requests a program needs.
     pub demand: Demand,
-    /// How the keepers keep up.
+    /// Limits how many programs begin while the keepers are overloaded.
     pub throttle: Throttle,
-    /// The mechanisms that are on.
+    /// The optional mechanisms that are switched on in the settings.
     pub enabled: Enabled,
-    /// Cancelled when the process begins to stop.
+    /// Cancelled when the process begins its graceful shutdown.
     pub drain: CancellationToken,
-    /// The revision of the configuration that was read last.
+    /// Revision of the configuration that was last read from the mirror.
     pub configured: Mutex<u64>,
-    /// Time in which a change must be in force. What is known here for longer without being
-    /// confirmed gives no final answer: that a key, a route or so large a body is not allowed.
+    /// Time within which a configuration change must take effect. When the local data is
+    /// older, a request that it forbids (unknown key or route, body too large) gets a
+    /// retryable error instead of a final one.
     pub in_force: Duration,
-    /// For how long a key may be used without the platform's service confirming that
-    /// it still holds; `None` where keys need not be confirmed.
+    /// Greatest age of the local data at which a key in it is accepted; `None` if there is
+    /// no limit.
     pub confirmation: Option<Duration>,
-    /// Up to where the fleet has taken the mirror in.
+    /// Position in the mirror's change log up to which changes were applied to the fleet.
     pub applied: Mutex<u64>,
-    /// Requests in progress.
+    /// Number of requests in progress.
     pub active: AtomicUsize,
 }
 
 impl Entry {
-    /// Whether callers may come here.
+    /// Whether this entry should receive requests: it has a configuration and backend servers,
+    /// reaches the keepers and is not shutting down.
     pub fn ready(&self) -> bool {
         let started = self.config.load().is_some() && self.fleet.listed() > 0;
-        let drains = self.drain.is_cancelled();
-        let confirmed = self.confirmed(self.age(Instant::now()));
-        started && !drains && self.quorum.reachable() && confirmed
+        let draining = self.drain.is_cancelled();
+        let can_use_keys = self.can_use_keys(self.config_age(Instant::now()));
+        started && !draining && self.quorum.reachable() && can_use_keys
     }
 
-    /// Whether keys may be used by what is known here with this `age`. A key may be
-    /// withdrawn while this entry is cut off; the age tells, counted from when the question
-    /// was sent that the platform's service answered, so that no delay on the way makes
-    /// what is known look younger.
-    fn confirmed(&self, age: Option<Duration>) -> bool {
-        let Some(bound) = self.confirmation else {
+    /// Whether keys may be accepted when the local data has this `age`. A key may be revoked
+    /// while this entry is disconnected from the platform's key-value service.
+    fn can_use_keys(&self, age: Option<Duration>) -> bool {
+        let Some(max_age) = self.confirmation else {
             return true;
         };
         let config = self.config.load();
-        let keys = config.as_ref().is_some_and(|c| c.accounts.is_some());
-        !keys || age.is_some_and(|age| age <= bound)
+        let requires_keys = config.as_ref().is_some_and(|c| c.accounts.is_some());
+        !requires_keys || age.is_some_and(|age| age <= max_age)
     }
 
-    /// How old what is known here may be for a request that arrived at `arrived`.
-    fn age(&self, arrived: Instant) -> Option<Duration> {
-        let vouched = self.mirror.vouched()?;
-        Some(arrived.saturating_duration_since(vouched))
+    /// Returns the greatest possible age of the local data at `now`; `None` before the
+    /// platform first confirmed it. The age counts from when the platform was asked, not from when it answered, so
+    /// that network delay cannot make the data look newer than it is.
+    fn config_age(&self, now: Instant) -> Option<Duration> {
+        let confirmed = self.mirror.vouched()?;
+        Some(now.saturating_duration_since(confirmed))
     }
 
-    /// Shows which configuration is in force here, and how old what is known is.
+    /// Updates the gauges of configuration version and age.
     pub(crate) fn gauge(&self, now: Instant) {
         if let Some(config) = &*self.config.load() {
             metrics::gauge!("gradedyke_config_version").set(config.version as f64);
         }
-        if let Some(age) = self.age(now) {
+        if let Some(age) = self.config_age(now) {
             metrics::gauge!("gradedyke_config_age_seconds").set(age.as_secs_f64());
         }
     }
 
-    /// The configuration that the mirror holds now: what it knows of keys is to be as
-    /// young as the mirror itself.
-    fn latest(&self) -> Option<Arc<Config>> {
-        self.configure();
+    /// Applies the configuration in the mirror, if it is newer, and returns the active one.
+    fn load_latest_config(&self) -> Option<Arc<Config>> {
+        self.apply_config();
         self.config.load_full()
     }
 
-    /// Brings configuration and fleet in line with the mirror.
+    /// Applies all changes in the mirror to configuration and fleet.
     pub fn refresh(&self) {
-        self.configure();
-        let mut applied = self.applied.lock().unwrap_or_else(PoisonError::into_inner);
-        let (items, next) = self.mirror.since(*applied);
+        self.apply_config();
+        let mut cursor = self.applied.lock().unwrap_or_else(PoisonError::into_inner);
+        let (items, next) = self.mirror.since(*cursor);
         self.fleet.apply_all(&items, &*self.dialect);
-        *applied = next;
+        *cursor = next;
     }
 
-    /// Puts the configuration of the mirror in force, if it is a later one. It is in
-    /// force at the return, whoever read it.
-    fn configure(&self) {
-        let mut configured = self
+    /// Activates the configuration in the mirror, if it is newer than the active one. Holds
+    /// the lock throughout, so that it is active on return even if another task read it.
+    fn apply_config(&self) {
+        let mut read_revision = self
             .configured
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
         let Some((value, revision)) = self.mirror.get(self.dialect.config_key()) else {
             return;
         };
-        // Other keys change far more often, and a large configuration takes a
-        // while to read.
-        if *configured >= revision {
+        // Skips parsing when only other keys have changed.
+        if *read_revision >= revision {
             return;
         }
-        *configured = revision;
+        *read_revision = revision;
         match self.dialect.config(&value) {
-            Ok(config) => self.adopt(config, revision),
+            Ok(config) => self.activate_config(config, revision),
             Err(error) => tracing::warn!(event = "config_not_read", revision, %error),
         }
     }
 
-    fn adopt(&self, config: Config, revision: u64) {
+    fn activate_config(&self, config: Config, revision: u64) {
         let before = self.config.load().as_ref().map(|c| c.version);
         if before >= Some(config.version) {
             return;
@@ -197,76 +200,75 @@
         self: &Arc<Self>,
         request: Request<Incoming>,
         arrived: Instant,
-    ) -> Result<Response<Body>, Refused> {
+    ) -> Result<Response<Body>, RefusedRequest> {
         let meta = self.dialect.meta(request.headers());
-        let call = match self.read(request, meta.clone(), arrived).await {
+        let call = match self.read_call(request, meta.clone(), arrived).await {
             Ok(call) => call,
             Err(refusal) => {
-                return Err(Refused {
+                return Err(RefusedRequest {
                     refusal,
                     meta,
-                    drain: Duration::ZERO,
+                    expected_wait: Duration::ZERO,
                 });
             }
         };
         let call = Arc::new(call);
-        let refused = call.clone();
-        let served = match call.route.kind {
+        let refused_call = call.clone();
+        let result = match call.route.kind {
             Kind::Stream => turn::serve(self, call).await,
-            Kind::Idempotent | Kind::Once => self.plain(call).await,
+            Kind::Idempotent | Kind::Once => self.serve_buffered(call).await,
         };
-        if let (Err(refusal), Some(counted)) = (&served, &refused.counted)
-            && refusal.unrun()
+        if let (Err(refusal), Some(counted)) = (&result, &refused_call.counted)
+            && refusal.is_unexecuted()
         {
             self.register.undo(counted);
         }
-        served.map_err(|refusal| Refused {
+        result.map_err(|refusal| RefusedRequest {
             refusal,
             meta,
-            drain: match refusal {
+            expected_wait: match refusal {
                 Refusal::Overload | Refusal::NoKeepers => self.throttle.wait(Instant::now()),
-                _ => self.drained(&refused),
+                _ => self.estimate_slot_wait(&refused_call),
             },
         })
     }
 
-    async fn plain(self: &Arc<Self>, call: Arc<Call>) -> Result<Response<Body>, Refusal> {
-        self.allow(&call).await?;
-        let served = plain::serve(self, call.clone());
-        // An answer that comes in the last moment is still wanted.
-        let served = tokio::time::timeout_at(call.until, served).await;
-        served.unwrap_or(Err(Refusal::TimedOut))
+    async fn serve_buffered(self: &Arc<Self>, call: Arc<Call>) -> Result<Response<Body>, Refusal> {
+        self.check_allowance(&call).await?;
+        let response = plain::serve(self, call.clone());
+        let result = tokio::time::timeout_at(call.deadline, response).await;
+        result.unwrap_or(Err(Refusal::TimedOut))
     }
 
-    /// In how long a server of the call's service is expected to have a place.
-    fn drained(&self, call: &Call) -> Duration {
+    /// Estimates the time until a server of the call's service has a free slot.
+    fn estimate_slot_wait(&self, call: &Call) -> Duration {
         let engine = call.engine().is_some();
         self.fleet.drain(&call.service, engine, Instant::now())
     }
 
-    /// The configuration in force. A process that has just started waits a
-    /// moment for its first one, and for the servers that come with it: they are
-    /// there within that time as a rule, and the caller would only ask again.
+    /// Returns the active configuration. After a start, waits until the first configuration
+    /// and the first backend servers are known, for at most a second; then returns the
+    /// configuration without servers, or `None` if there is none.
     pub async fn started(&self, now: Instant) -> Option<Arc<Config>> {
         let mut changed = self.mirror.watch();
-        let end = now + START;
+        let deadline = now + INITIAL_CONFIG_TIMEOUT;
         loop {
             let config = self.config.load_full();
             if config.is_some() && self.fleet.known() {
                 return config;
             }
-            let news = tokio::time::timeout_at(end, changed.changed()).await;
-            if !matches!(news, Ok(Ok(()))) {
+            let change = tokio::time::timeout_at(deadline, changed.changed()).await;
+            if !matches!(change, Ok(Ok(()))) {
                 return config;
             }
-            // The task that does this on each change may not have run yet.
+            // The task that refreshes on each change may not have run yet.
             self.refresh();
         }
     }
 
-    /// The account whose key a request carries, by a configuration of this `age` or
-    /// younger.
-    fn holder(
+    /// Returns the account that the request's key belongs to, or `None` where no key is
+    /// needed. `age` is the age of the local data.
+    fn authenticate(
         &self,
         config: &Config,
         route: &Route,
@@ -277,48 +279,51 @@
             return Ok(None);
         };
         match meta.key.and_then(|key| accounts.holder(key)) {
-            Some(account) if self.confirmed(age) => Ok(Some(account.clone())),
+            Some(account) if self.can_use_keys(age) => Ok(Some(account.clone())),
             Some(_) => Err(Refusal::Unconfirmed),
             None if route.public => Ok(None),
-            None => Err(self.denial(Refusal::Unauthorized, age)),
+            None => Err(self.deny(Refusal::Unauthorized, age)),
         }
     }
 
-    /// Routes a request and reads its body.
-    async fn read(
+    /// Routes and authenticates a request, reads its body and counts it for its account.
+    async fn read_call(
         &self,
         request: Request<Incoming>,
         meta: Meta,
         arrived: Instant,
     ) -> Result<Call, Refusal> {
         let config = self.started(arrived).await.ok_or(Refusal::NotStarted)?;
-        // Before the configuration is taken, which may be younger than this then.
-        let age = self.age(arrived);
-        let config = self.latest().unwrap_or(config);
+        // Read before the configuration, so that the age is never understated.
+        let age = self.config_age(arrived);
+        let config = self.load_latest_config().unwrap_or(config);
         let (head, incoming) = request.into_parts();
         let host = head.headers.get(header::HOST);
         let host = host.and_then(|h| h.to_str().ok()).unwrap_or_default();
         let route = config.route(host, head.uri.path());
         let route: Arc<Route> = route
-            .ok_or_else(|| self.denial(Refusal::NoRoute, age))?
+            .ok_or_else(|| self.deny(Refusal::NoRoute, age))?
             .clone();
-        let account = self.holder(&config, &route, &meta, age)?;
+        let account = self.authenticate(&config, &route, &meta, age)?;
         let id = meta.request.clone().ok_or(Refusal::Malformed)?;
-        let allowed = meta.deadline.unwrap_or(DEADLINE).min(route.timeout);
-        let until = arrived + allowed;
-        let time = allowed.min(config.limits.idle);
-        let body = body::collect(incoming, config.limits.body_bytes, time).await;
+        let timeout = meta.deadline.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
+        let deadline = arrived + timeout;
+        let body_timeout = timeout.min(config.limits.idle);
+        let body = body::collect(incoming, config.limits.body_bytes, body_timeout).await;
         let body = body.map_err(|problem| {
             tracing::info!(event = "body_not_read", request = %id, problem = %problem.message);
             match problem.kind {
-                gradedyke_base::problem::Kind::TooLarge => self.denial(Refusal::TooLarge, age),
+                gradedyke_base::problem::Kind::TooLarge => self.deny(Refusal::TooLarge, age),
                 _ => Refusal::Malformed,
             }
         })?;
-        let named = meta.session.as_ref().or(meta.program.as_ref());
-        let service = route.target(named).ok_or(Refusal::NoServer)?.to_owned();
-        let counted = self.count(account.as_deref(), &route, &meta, arrived)?;
-        let regions = Call::regions(&route, account.as_deref());
+        let affinity_id = meta.session.as_ref().or(meta.program.as_ref());
+        let service = route
+            .target(affinity_id)
+            .ok_or(Refusal::NoServer)?
+            .to_owned();
+        let counted = self.count_request(account.as_deref(), &route, &meta, arrived)?;
+        let regions = Call::allowed_regions(&route, account.as_deref());
         Ok(Call {
             id,
             config,
@@ -333,13 +338,13 @@
             headers: head.headers,
             body,
             arrived,
-            until,
+            deadline,
         })
     }
 
-    /// The answer to what the configuration does not allow, when what is known here has this
-    /// `age`. It is final only where that is young: it may have been allowed since.
-    fn denial(&self, refusal: Refusal, age: Option<Duration>) -> Refusal {
+    /// Returns `refusal` for a request that the configuration forbids, or the retryable
+    /// [`Refusal::Unconfirmed`] if the local data with this `age` may be outdated.
+    fn deny(&self, refusal: Refusal, age: Option<Duration>) -> Refusal {
         if age.is_some_and(|age| age <= self.in_force) {
             return refusal;
         }
--- a/crates/gradedyke-gateway/src/entry/plain.rs
+++ b/crates/gradedyke-gateway/src/entry/plain.rs
@@ -1,10 +1,8 @@
-//! Requests whose answer is read whole before it is passed on.
+//! Requests whose response is read completely before it is passed on.
 //!
-//! Reading it first costs a millisecond for the sizes in use and means that a
-//! caller never gets a part of an answer, and that one which breaks off can be
-//! fetched again where repeating does no harm. Where an answer is far later than
-//! usual, that is done without waiting for the first one to break off: a server
-//! that hangs cannot be told from one that is slow.
+//! The caller never receives a partial response, and an idempotent request can be sent
+//! again if the response breaks off. If the response is slow, an idempotent request is
+//! also sent to a second server (hedging), because the first one may hang.
 
 use std::sync::Arc;
 
@@ -15,7 +13,7 @@
 use tokio::time::Instant;
 
 use super::Entry;
-use super::attempt::{self, Answered, Trail};
+use super::attempt::{self, Attempts, ServerResponse};
 use super::call::Call;
 use super::refusal::Refusal;
 use crate::config::Kind;
@@ -23,52 +21,64 @@
 use crate::health::Fault;
 use crate::mechanism::Mechanism;
 
-/// Largest answer that is read, in bytes.
-const ANSWER_BYTES: usize = 16 << 20;
+/// Largest response body, in bytes.
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
-type Served = Result<Response<Body>, Refusal>;
+type ServeResult = Result<Response<Body>, Refusal>;
 
-/// Serves the request.
+/// Sends the request to backend servers and returns the response of one of them.
 ///
 /// # Errors
 ///
 /// The [`Refusal`] to answer with.
-pub async fn serve(entry: &Arc<Entry>, call: Arc<Call>) -> Served {
-    let trail = Arc::new(Trail::default());
-    let late = call.late(Instant::now());
-    let again = call.route.kind == Kind::Idempotent && entry.enabled.has(Mechanism::SentBeside);
-    let mut first = Box::pin(run(entry.clone(), call.clone(), trail.clone()));
-    if !again || late >= call.until {
+pub async fn serve(entry: &Arc<Entry>, call: Arc<Call>) -> ServeResult {
+    let attempts = Arc::new(Attempts::default());
+    let slow_at = call.slow_at(Instant::now());
+    let can_hedge = call.route.kind == Kind::Idempotent && entry.enabled.has(Mechanism::SentBeside);
+    let mut first = Box::pin(send_until_answered(
+        entry.clone(),
+        call.clone(),
+        attempts.clone(),
+    ));
+    if !can_hedge || slow_at >= call.deadline {
         return first.await;
     }
-    if let Ok(served) = tokio::time::timeout_at(late, &mut first).await {
-        return served;
+    if let Ok(result) = tokio::time::timeout_at(slow_at, &mut first).await {
+        return result;
     }
-    if !trail.open(&call) {
+    if !attempts.has_attempt_left(&call) {
         return first.await;
     }
     tracing::info!(event = "sent_beside", request = %call.id,
         waited_ms = call.arrived.elapsed().as_millis());
-    let mut second = Box::pin(run(entry.clone(), call, trail));
+    let mut second = Box::pin(send_until_answered(entry.clone(), call, attempts));
     tokio::select! {
-        served = &mut first => either(served, second).await,
-        served = &mut second => either(served, first).await,
+        result = &mut first => first_success(result, second).await,
+        result = &mut second => first_success(result, first).await,
     }
 }
 
-/// The answer that came first, or the other one if that is none. One that is no
-/// longer needed is read to its end: its server works on it already.
-async fn either(served: Served, other: impl Future<Output = Served> + Send + 'static) -> Served {
-    if served.is_err() {
-        return other.await.or(served);
+/// Returns `result` if it is a response, and otherwise that of `other`. An attempt that is no
+/// longer needed continues in the background, since its server is already working on it.
+async fn first_success(
+    result: ServeResult,
+    other: impl Future<Output = ServeResult> + Send + 'static,
+) -> ServeResult {
+    if result.is_err() {
+        return other.await.or(result);
     }
     tokio::spawn(other);
-    served
+    result
 }
 
-/// Sends the request to servers until one has answered it whole.
-async fn run(entry: Arc<Entry>, call: Arc<Call>, trail: Arc<Trail>) -> Served {
-    let question = Question {
+/// Sends the request to servers until one has sent a complete response. A request that is not
+/// idempotent is not sent again once it may have run.
+async fn send_until_answered(
+    entry: Arc<Entry>,
+    call: Arc<Call>,
+    attempts: Arc<Attempts>,
+) -> ServeResult {
+    let query = Question {
         service: &call.service,
         request: &call.id,
         tried: &[],
@@ -84,10 +94,10 @@
         now: call.arrived,
     };
     let mut may_have_run = false;
-    while trail.open(&call) {
-        match attempt::dispatch(&entry, &call, &trail, &question, &call.body, None).await {
-            Ok(answered) => {
-                if let Some(response) = read(&entry, &call, answered).await {
+    while attempts.has_attempt_left(&call) {
+        match attempt::dispatch(&entry, &call, &attempts, &query, &call.body, None).await {
+            Ok(received) => {
+                if let Some(response) = read_response(&entry, &call, received).await {
                     return Ok(response);
                 }
             }
@@ -106,17 +116,22 @@
     Err(Refusal::Broken)
 }
 
-/// Reads the answer's body; `None` when it breaks off.
-async fn read(entry: &Entry, call: &Call, answered: Answered) -> Option<Response<Body>> {
-    let Answered {
+/// Reads the response body and builds the response to the caller; `None` if the body is
+/// incomplete at the deadline or cannot be read.
+async fn read_response(
+    entry: &Entry,
+    call: &Call,
+    received: ServerResponse,
+) -> Option<Response<Body>> {
+    let ServerResponse {
         choice,
-        link,
+        connection,
         response,
         answer,
-    } = answered;
+    } = received;
     let (head, incoming) = response.into_parts();
-    let whole = Limited::new(incoming, ANSWER_BYTES).collect();
-    let bytes: Bytes = match tokio::time::timeout_at(call.until, whole).await {
+    let read_body = Limited::new(incoming, MAX_RESPONSE_BYTES).collect();
+    let bytes: Bytes = match tokio::time::timeout_at(call.deadline, read_body).await {
         Ok(Ok(collected)) => collected.to_bytes(),
         Ok(Err(error)) => {
             tracing::info!(event = "answer_broke_off", request = %call.id,
@@ -127,7 +142,7 @@
         Err(_) => return None,
     };
     if !answer.last {
-        choice.pool.rest(link, answer.idle, Instant::now());
+        choice.pool.rest(connection, answer.idle, Instant::now());
     }
     tracing::info!(event = "answered", request = %call.id, server = %choice.id,
         status = head.status.as_u16(), bytes = bytes.len(),
--- a/crates/gradedyke-gateway/src/entry/refusal.rs
+++ b/crates/gradedyke-gateway/src/entry/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers of the gateway's own.
+//! Error responses that the gateway sends itself.
 
 use std::time::Duration;
 
@@ -7,61 +7,59 @@
 use gradedyke_http::body;
 use http::{HeaderValue, Response, StatusCode, header};
 
-/// Why a request gets an answer of the gateway's own.
+/// Why the gateway answered a request with an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
     /// No configuration is known yet.
     NotStarted,
-    /// No route fits.
+    /// No route matches host and path.
     NoRoute,
-    /// The key is missing, or no account holds it.
+    /// The key is missing or belongs to no client account.
     Unauthorized,
-    /// Whether the key or the configuration still holds has not been confirmed lately; it has
-    /// not run.
+    /// The local copy of keys and configuration may be outdated. The request has not run.
     Unconfirmed,
-    /// It is beyond the allowance of its account.
+    /// The request exceeds the allowance of its client account.
     Exceeded,
     /// The request is not well formed.
     Malformed,
     /// The body is larger than allowed.
     TooLarge,
-    /// No server may take it now; it has not run.
+    /// No backend server is available for the request. It has not run.
     NoServer,
-    /// The servers that were asked did not run it.
+    /// The backend servers that were tried refused the request or could not be reached, or
+    /// no slot is expected before its deadline. It has not run.
     Full,
-    /// The turns cannot be read or kept now; it has not run.
+    /// The keepers cannot be reached, are starting or are overloaded. The request has not run.
     NoKeepers,
-    /// The keepers have more to do than they can, and it would begin a program.
+    /// The keepers are overloaded, and the request may begin a program.
     Overload,
-    /// The turn that it continues does not exist.
+    /// The turn that the request continues does not exist.
     NoTurn,
-    /// The program's budget is spent.
+    /// The token budget of the program is used up.
     Spent,
-    /// Its time was over before it was sent.
+    /// The deadline passed before the request could be sent.
     TooLate,
-    /// It was sent, and what became of it is not known.
+    /// The request was sent, but no complete response arrived. It may have run.
     Broken,
-    /// It was sent, and its time is over.
+    /// The request was sent, and its deadline passed. It may have run.
     TimedOut,
 }
 
-/// Wait asked of a caller whose request has not run, where the cause may go
-/// away with a single server or replica: a connect's time.
+/// Shortest retry delay that callers are given, apart from the jitter.
 pub(crate) const SOON: Duration = Duration::from_millis(250);
-/// Longest wait asked for servers that are full: callers have tries for a few
-/// seconds, and what is expected that far ahead is a guess.
-const LONGEST: Duration = Duration::from_secs(2);
-/// The same of an account whose allowance is used: a fifth of it comes free in this time
-/// where windows are 5 s long.
-const ROOM: Duration = Duration::from_secs(1);
-/// How far waits differ, as shares of what they would be: callers that were refused
-/// together must not come back together.
-const SPREAD: std::ops::Range<f64> = 0.75..1.25;
-/// The same where the whole process has just started.
-const STARTING: Duration = Duration::from_millis(400);
+/// Longest retry delay that callers are given, apart from the jitter. Estimates of when a
+/// slot is free are unreliable beyond it.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(2);
+/// Retry delay for a client account that has used its allowance.
+const ALLOWANCE_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Range of the random factor applied to retry delays, so that callers that were refused
+/// together do not retry together.
+const RETRY_AFTER_JITTER: std::ops::Range<f64> = 0.75..1.25;
+/// Retry delay while the process has no configuration yet.
+const STARTUP_RETRY_AFTER: Duration = Duration::from_millis(400);
 
 impl Refusal {
-    /// Its name in logs and metrics.
+    /// Name in logs, metrics and response bodies.
     pub fn name(self) -> &'static str {
         match self {
             Refusal::NotStarted => "not_started",
@@ -83,8 +81,8 @@
         }
     }
 
-    /// Whether the request certainly has not run and never will.
-    pub fn unrun(self) -> bool {
+    /// Whether it is certain that the request has not run and will not run.
+    pub fn is_unexecuted(self) -> bool {
         !matches!(self, Refusal::Broken | Refusal::TimedOut)
     }
 
@@ -108,10 +106,9 @@
         }
     }
 
-    /// How long a caller should wait before it comes back, if that may help. Where
-    /// servers are full they are expected to have a place in `drain`, and where keepers
-    /// have too much to do they are expected to keep up by then. `draw`, 0 to 1, spreads
-    /// callers.
+    /// Returns the delay after which the caller should retry; `None` if a retry does not
+    /// help. `expected_wait` is the estimated time until a backend server has a free slot or
+    /// the keepers are no longer overloaded. `random`, from 0 to 1, selects the jitter.
     ///
     /// ```
     /// use gradedyke_gateway::entry::refusal::Refusal;
@@ -122,16 +119,19 @@
     /// assert_eq!(Refusal::Full.retry_after(second, 0.0), Some(second.mul_f64(0.75)));
     /// assert_eq!(Refusal::Spent.retry_after(second, 0.5), None);
     /// ```
-    pub fn retry_after(self, drain: Duration, draw: f64) -> Option<Duration> {
+    pub fn retry_after(self, expected_wait: Duration, random: f64) -> Option<Duration> {
         let wait = match self {
-            Refusal::NotStarted => STARTING,
-            Refusal::Exceeded => ROOM,
-            Refusal::Full | Refusal::NoKeepers | Refusal::Overload => drain.clamp(SOON, LONGEST),
+            Refusal::NotStarted => STARTUP_RETRY_AFTER,
+            Refusal::Exceeded => ALLOWANCE_RETRY_AFTER,
+            Refusal::Full | Refusal::NoKeepers | Refusal::Overload => {
+                expected_wait.clamp(SOON, MAX_RETRY_AFTER)
+            }
             Refusal::NoServer | Refusal::Unconfirmed => SOON,
             _ => return None,
         };
-        let spread = SPREAD.start + (SPREAD.end - SPREAD.start) * draw;
-        Some(wait.mul_f64(spread))
+        let factor =
+            RETRY_AFTER_JITTER.start + (RETRY_AFTER_JITTER.end - RETRY_AFTER_JITTER.start) * random;
+        Some(wait.mul_f64(factor))
     }
 
     fn message(self) -> &'static str {
@@ -161,27 +161,27 @@
         }
     }
 
-    /// The answer, with when to come back.
+    /// Builds the response, with a `retry-after` header in seconds if a delay is given.
     ///
     /// ```
     /// use gradedyke_gateway::entry::refusal::Refusal;
     /// use std::time::Duration;
     ///
-    /// let answer = Refusal::NoServer.answer(Some(Duration::from_millis(250)));
-    /// assert_eq!(answer.status(), 503);
-    /// assert_eq!(answer.headers()["retry-after"], "0.250");
+    /// let response = Refusal::NoServer.response(Some(Duration::from_millis(250)));
+    /// assert_eq!(response.status(), 503);
+    /// assert_eq!(response.headers()["retry-after"], "0.250");
     /// ```
-    pub fn answer(self, after: Option<Duration>) -> Response<Body> {
+    pub fn response(self, retry_after: Option<Duration>) -> Response<Body> {
         let text = format!("{}: {}\n", self.name(), self.message());
-        let mut answer = Response::new(body::full(Bytes::from(text)));
-        *answer.status_mut() = self.status();
-        let headers = answer.headers_mut();
-        let plain = HeaderValue::from_static("text/plain");
-        headers.insert(header::CONTENT_TYPE, plain);
-        let after = after.map(|d| format!("{:.3}", d.as_secs_f64()));
-        if let Some(Ok(after)) = after.map(|a| HeaderValue::from_str(&a)) {
-            headers.insert(header::RETRY_AFTER, after);
+        let mut response = Response::new(body::full(Bytes::from(text)));
+        *response.status_mut() = self.status();
+        let headers = response.headers_mut();
+        let content_type = HeaderValue::from_static("text/plain");
+        headers.insert(header::CONTENT_TYPE, content_type);
+        let retry_after = retry_after.map(|d| format!("{:.3}", d.as_secs_f64()));
+        if let Some(Ok(retry_after)) = retry_after.map(|a| HeaderValue::from_str(&a)) {
+            headers.insert(header::RETRY_AFTER, retry_after);
         }
-        answer
+        response
     }
 }
--- a/crates/gradedyke-gateway/src/entry/relay.rs
+++ b/crates/gradedyke-gateway/src/entry/relay.rs
@@ -1,6 +1,5 @@
-//! A stream on its way from a server to the caller: passed on event by event, kept as
-//! a turn when it is whole, and taken up at another server when it breaks off and may
-//! be resumed.
+//! Forwards a stream of events from a backend server to the caller. A complete stream is
+//! stored as a turn; one that breaks off is resumed at another server if the route allows it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,10 +14,10 @@
 use tokio::time::Instant;
 
 use super::Entry;
-use super::attempt::{self, Answered};
+use super::attempt::{self, ServerResponse};
+use super::budget::{Reservation, retention_ms};
 use super::call::Call;
-use super::ledger::{Ledger, keep_ms};
-use super::source::Source;
+use super::upstream::Upstream;
 use crate::dialect::Answer;
 use crate::estimate::Stream;
 use crate::event::Splitter;
@@ -26,81 +25,81 @@
 use crate::health::Fault;
 use crate::link::Link;
 
-/// Events after which the pace of an answer is told: enough for two gaps, and a third
-/// of an answer of usual length, so that a slow engine is known long before its
-/// answers end.
-const PACED: u32 = 3;
-/// Events that may wait for a caller that reads slowly.
-const EVENTS: usize = 64;
-/// Longest time to keep a turn whose answer is whole.
-const KEEP: Duration = Duration::from_millis(2_000);
+/// Number of events after which the average time between events is reported to the fleet, so
+/// that a slow server is detected before its response ends.
+const PACE_SAMPLE_EVENTS: u32 = 3;
+/// Number of events buffered for a caller that reads slowly.
+const EVENT_BUFFER_LEN: usize = 64;
+/// Timeout for storing a turn after its last event.
+const STORE_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// Passes a stream on in a task of its own. Returns its head, and the body that the
-/// task fills.
+/// Spawns a task that forwards the stream. Returns the response whose body the task fills.
 pub(super) fn start(
     entry: &Arc<Entry>,
     call: Arc<Call>,
-    ledger: Ledger,
-    source: Source,
-    answered: Answered,
+    reservation: Reservation,
+    upstream: Upstream,
+    received: ServerResponse,
 ) -> Response<Body> {
-    let headers = entry.dialect.inbound(answered.response.headers());
-    let status = answered.response.status();
-    let (sender, reply) = body::channel(EVENTS);
+    let headers = entry.dialect.inbound(received.response.headers());
+    let status = received.response.status();
+    let (sender, body) = body::channel(EVENT_BUFFER_LEN);
     let event_tokens = call.engine().map_or(1, |e| e.event_tokens);
     let relay = Relay {
         entry: entry.clone(),
         call,
-        ledger,
+        reservation,
         sender,
-        source,
-        last: None,
-        choice: answered.choice,
+        upstream,
+        last_event_id: None,
+        choice: received.choice,
         output: BytesMut::new(),
         tokens: 0,
         event_tokens,
-        events: None,
-        count: 0,
+        event_times: None,
+        event_count: 0,
     };
-    let incoming = answered.response.into_body();
-    tokio::spawn(relay.run(status, incoming, answered.link, answered.answer));
-    let mut response = Response::new(reply);
+    let incoming = received.response.into_body();
+    tokio::spawn(relay.run(status, incoming, received.connection, received.answer));
+    let mut response = Response::new(body);
     *response.status_mut() = status;
     *response.headers_mut() = headers;
     response
 }
 
-/// A stream on its way from a server to the caller.
+/// State of a stream that is being forwarded.
 struct Relay {
     entry: Arc<Entry>,
     call: Arc<Call>,
-    ledger: Ledger,
+    reservation: Reservation,
     sender: Sender,
-    source: Source,
-    /// The name of the last event that was passed on.
-    last: Option<Bytes>,
+    upstream: Upstream,
+    /// Identifier of the last event that was forwarded.
+    last_event_id: Option<Bytes>,
     choice: Choice,
+    /// Data of all events, to be stored with the turn.
     output: BytesMut,
-    /// Tokens that were passed on, at most.
+    /// Upper bound on the number of tokens forwarded.
     tokens: u32,
+    /// Largest number of tokens in one event.
     event_tokens: u32,
-    /// When the first event of its server and the last one so far came.
-    events: Option<(Instant, Instant)>,
-    /// How many came of that server.
-    count: u32,
+    /// Arrival of the first and the latest event from the current server.
+    event_times: Option<(Instant, Instant)>,
+    /// Number of events from the current server.
+    event_count: u32,
 }
 
 /// How a stream ended.
 enum End {
-    Whole,
-    /// The server broke off, or sent what is no stream.
+    Complete,
+    /// The connection to the server broke, or the server sent an invalid stream.
     Broken(String),
     /// The server has sent nothing for far longer than expected.
-    Silent,
-    CallerLeft,
+    Stalled,
+    CallerGone,
     TimedOut,
-    /// The turn could not be kept.
-    NotKept,
+    /// The turn could not be stored.
+    NotStored,
 }
 
 impl Relay {
@@ -108,62 +107,62 @@
         mut self,
         status: StatusCode,
         mut incoming: Incoming,
-        mut link: Link,
+        mut connection: Link,
         mut answer: Answer,
     ) {
         let end = loop {
-            let end = self.pump(status, &mut incoming).await;
-            if !self.blame(&end) {
+            let end = self.forward_events(status, &mut incoming).await;
+            if !self.report_server_fault(&end) {
                 break end;
             }
             let Some(next) = self.resume(status).await else {
                 break end;
             };
-            // The connection to the server that broke off is closed with this.
-            (incoming, link, answer) = next;
+            // Dropping the old connection closes it.
+            (incoming, connection, answer) = next;
         };
         let (name, cause) = match &end {
-            End::Whole => ("whole", ""),
+            End::Complete => ("whole", ""),
             End::Broken(cause) => ("broken", cause.as_str()),
-            End::Silent => ("silent", ""),
-            End::CallerLeft => ("caller_left", ""),
+            End::Stalled => ("silent", ""),
+            End::CallerGone => ("caller_left", ""),
             End::TimedOut => ("timed_out", ""),
-            End::NotKept => ("not_kept", ""),
+            End::NotStored => ("not_kept", ""),
         };
         let now = Instant::now();
         tracing::info!(event = "stream_ended", request = %self.call.id, end = name, cause,
             server = %self.choice.id, status = status.as_u16(), tokens = self.tokens,
-            first_ms = self.first().map(|t| t.as_millis()),
-            events_ms = self.spread().map(|t| t.as_millis()),
+            first_ms = self.time_to_first_event().map(|t| t.as_millis()),
+            events_ms = self.streaming_time().map(|t| t.as_millis()),
             ms = (now - self.call.arrived).as_millis());
         metrics::counter!("gradedyke_streams_total", "end" => name).increment(1);
         match end {
-            End::Whole => {
-                self.observe();
+            End::Complete => {
+                self.report_timings();
                 if !status.is_success() {
-                    // A server's own failure is no turn and gave no tokens.
-                    self.ledger.settle(&self.entry, 0);
+                    // An error response generated no tokens.
+                    self.reservation.settle(&self.entry, 0);
                 }
                 if !answer.last {
-                    self.choice.pool.rest(link, answer.idle, now);
+                    self.choice.pool.rest(connection, answer.idle, now);
                 }
                 return;
             }
-            End::Broken(_) | End::Silent | End::CallerLeft | End::TimedOut | End::NotKept => {}
+            End::Broken(_) | End::Stalled | End::CallerGone | End::TimedOut | End::NotStored => {}
         }
-        self.ledger.settle(&self.entry, self.tokens);
-        // An error instead of an end cuts the connection, so that the caller
-        // does not take the part for the whole.
-        let cut: Failure = format!("the stream ended early: {name}").into();
-        let _ = self.sender.send(Err(cut)).await;
+        self.reservation.settle(&self.entry, self.tokens);
+        // The error aborts the connection, so that the caller can tell that the response is
+        // incomplete.
+        let failure: Failure = format!("the stream ended early: {name}").into();
+        let _ = self.sender.send(Err(failure)).await;
     }
 
-    /// Tells the fleet of an end that is the server's fault. Returns whether it is.
-    fn blame(&self, end: &End) -> bool {
+    /// Reports to the fleet that the stream ended by the server's fault. Returns whether it did.
+    fn report_server_fault(&self, end: &End) -> bool {
         let (fault, cause) = match end {
             End::Broken(cause) => (Fault::Lost, cause.as_str()),
-            End::Silent => (Fault::Slow, ""),
-            End::Whole | End::CallerLeft | End::TimedOut | End::NotKept => return false,
+            End::Stalled => (Fault::Slow, ""),
+            End::Complete | End::CallerGone | End::TimedOut | End::NotStored => return false,
         };
         let now = Instant::now();
         self.entry.fleet.failed(self.choice.key, fault, now);
@@ -172,19 +171,19 @@
         true
     }
 
-    /// Has another server go on with a stream that broke off, if it may be resumed.
+    /// Resumes the stream at another server, if the route allows it and one accepts.
     async fn resume(&mut self, status: StatusCode) -> Option<(Incoming, Link, Answer)> {
-        if !status.is_success() || !self.source.again(&self.call) {
+        if !status.is_success() || !self.upstream.can_resume(&self.call) {
             return None;
         }
-        let after = self.last.as_deref();
-        let opened = tokio::select! {
-            opened = self.source.open(&self.entry, &self.call, after) => opened,
-            // Nobody waits for it any more.
+        let last_event_id = self.last_event_id.as_deref();
+        let result = tokio::select! {
+            result = self.upstream.open(&self.entry, &self.call, last_event_id) => result,
+            // The caller has disconnected.
             () = self.sender.closed() => return None,
         };
-        let answered = match opened {
-            Ok(answered) if answered.response.status() == status => answered,
+        let received = match result {
+            Ok(received) if received.response.status() == status => received,
             Ok(_) => return None,
             Err(refusal) => {
                 tracing::info!(event = "not_resumed", request = %self.call.id,
@@ -193,48 +192,48 @@
             }
         };
         tracing::info!(event = "resumed", request = %self.call.id,
-            before = %self.choice.id, server = %answered.choice.id,
+            before = %self.choice.id, server = %received.choice.id,
             tokens = self.tokens);
         metrics::counter!("gradedyke_streams_resumed_total").increment(1);
-        self.choice = answered.choice;
-        (self.events, self.count) = (None, 0);
-        let incoming = answered.response.into_body();
-        Some((incoming, answered.link, answered.answer))
+        self.choice = received.choice;
+        (self.event_times, self.event_count) = (None, 0);
+        let incoming = received.response.into_body();
+        Some((incoming, received.connection, received.answer))
     }
 
-    /// Until when the next event is waited for, and whether nothing till then means
-    /// that the server is left. Without another server there is no use in that.
-    fn patience(&self) -> (Instant, bool) {
+    /// Returns the deadline for the next event, and whether to resume at another server when
+    /// it passes. If that is not possible, the deadline is that of the call.
+    fn next_event_deadline(&self) -> (Instant, bool) {
         let now = Instant::now();
         let view = &self.choice.view;
-        let expected = match self.events {
+        let expected = match self.event_times {
             Some(_) => view.times.gap_ms(view.running()),
             None => view.first_ms(),
         };
-        let late = now + attempt::patience(&self.call, expected);
-        let leave = late < self.call.until && self.source.again(&self.call);
-        if leave {
-            (late, true)
+        let stalled_at = now + attempt::event_timeout(&self.call, expected);
+        let switch_server = stalled_at < self.call.deadline && self.upstream.can_resume(&self.call);
+        if switch_server {
+            (stalled_at, true)
         } else {
-            (self.call.until, false)
+            (self.call.deadline, false)
         }
     }
 
-    async fn pump(&mut self, status: StatusCode, incoming: &mut Incoming) -> End {
+    async fn forward_events(&mut self, status: StatusCode, incoming: &mut Incoming) -> End {
         let mut events = Splitter::default();
         loop {
-            let (until, leave) = self.patience();
+            let (deadline, switch_server) = self.next_event_deadline();
             let frame = tokio::select! {
-                // What has arrived counts, whatever became of the server since.
+                // Events that have arrived are forwarded even if the server is gone by now.
                 biased;
-                frame = tokio::time::timeout_at(until, incoming.frame()) => frame,
-                () = self.sender.closed() => return End::CallerLeft,
+                frame = tokio::time::timeout_at(deadline, incoming.frame()) => frame,
+                () = self.sender.closed() => return End::CallerGone,
                 () = self.choice.gone.cancelled() => {
-                    return End::Broken("its server started again".to_owned());
+                    return End::Broken("the server process was restarted or has ended".to_owned());
                 }
             };
             let data = match frame {
-                Err(_) if leave => return End::Silent,
+                Err(_) if switch_server => return End::Stalled,
                 Err(_) => return End::TimedOut,
                 Ok(Some(Err(error))) => return End::Broken(error.to_string()),
                 Ok(Some(Ok(frame))) => frame.into_data().unwrap_or_default(),
@@ -244,50 +243,52 @@
                 return End::Broken(error.to_string());
             }
             while let Some(event) = events.next_event() {
-                self.note(&event, Instant::now());
-                let name = self.entry.dialect.event_id(&event);
-                self.last = name.map(Bytes::copy_from_slice).or(self.last.take());
-                if !self.pass(event).await {
-                    return End::CallerLeft;
+                self.record_event(&event, Instant::now());
+                let event_id = self.entry.dialect.event_id(&event);
+                self.last_event_id = event_id
+                    .map(Bytes::copy_from_slice)
+                    .or(self.last_event_id.take());
+                if !self.send_event(event).await {
+                    return End::CallerGone;
                 }
             }
         }
         let rest = Bytes::copy_from_slice(events.rest());
         if !status.is_success() {
-            // An error's body need not be made of events.
-            return self.finish(rest).await;
+            // The body of an error response need not consist of events.
+            return self.send_rest(rest).await;
         }
         if !rest.is_empty() {
-            return End::Broken("it ended within an event".to_owned());
+            return End::Broken("the stream ended within an event".to_owned());
         }
-        // The end is what tells the caller that the turn is whole.
-        if !self.keep().await {
-            return End::NotKept;
+        // The end of the stream tells the caller that the turn is stored.
+        if !self.store_turn().await {
+            return End::NotStored;
         }
-        End::Whole
+        End::Complete
     }
 
-    /// Passes the last bytes on.
-    async fn finish(&self, rest: Bytes) -> End {
-        if rest.is_empty() || self.pass(rest).await {
-            return End::Whole;
+    /// Sends the remaining bytes of an error response.
+    async fn send_rest(&self, rest: Bytes) -> End {
+        if rest.is_empty() || self.send_event(rest).await {
+            return End::Complete;
         }
-        End::CallerLeft
+        End::CallerGone
     }
 
-    /// Time from the choice of the server to the first event.
-    fn first(&self) -> Option<Duration> {
-        self.events.map(|(first, _)| first - self.choice.since)
+    /// Returns the time from the choice of the server to its first event.
+    fn time_to_first_event(&self) -> Option<Duration> {
+        self.event_times.map(|(first, _)| first - self.choice.since)
     }
 
-    /// Time from the first event to the last.
-    fn spread(&self) -> Option<Duration> {
-        self.events.map(|(first, last)| last - first)
+    /// Returns the time from the first event of the server to its latest.
+    fn streaming_time(&self) -> Option<Duration> {
+        self.event_times.map(|(first, last)| last - first)
     }
 
-    /// Tells the fleet how long the answer took.
-    fn observe(&self) {
-        let (Some(first), Some(rest)) = (self.first(), self.spread()) else {
+    /// Reports the timings of the complete response to the fleet.
+    fn report_timings(&self) {
+        let (Some(first), Some(rest)) = (self.time_to_first_event(), self.streaming_time()) else {
             return;
         };
         let view = &self.choice.view;
@@ -297,21 +298,21 @@
             unread: view.unread_tokens,
             first_ms: first.as_secs_f64() * 1e3,
             rest_ms: rest.as_secs_f64() * 1e3,
-            events: self.count.saturating_sub(1),
+            events: self.event_count.saturating_sub(1),
         };
-        let (parts, made) = (&self.call.meta.parts, u64::from(self.tokens));
+        let (parts, generated) = (&self.call.meta.parts, u64::from(self.tokens));
         let fleet = &self.entry.fleet;
-        fleet.streamed(self.choice.key, parts, made, &stream);
+        fleet.streamed(self.choice.key, parts, generated, &stream);
     }
 
-    /// Takes an event into the turn.
-    fn note(&mut self, event: &Bytes, now: Instant) {
-        let first = self.events.map_or(now, |(first, _)| first);
-        self.events = Some((first, now));
-        self.count += 1;
-        if self.count == PACED {
+    /// Adds an event to the turn and to the timing statistics.
+    fn record_event(&mut self, event: &Bytes, now: Instant) {
+        let first = self.event_times.map_or(now, |(first, _)| first);
+        self.event_times = Some((first, now));
+        self.event_count += 1;
+        if self.event_count == PACE_SAMPLE_EVENTS {
             let (key, beside) = (self.choice.key, self.choice.view.in_flight);
-            let gap = (now - first) / (PACED - 1);
+            let gap = (now - first) / (PACE_SAMPLE_EVENTS - 1);
             self.entry.fleet.paced(key, beside, gap, now);
         }
         if let Some(data) = self.entry.dialect.event_data(event) {
@@ -322,40 +323,50 @@
         tracing::debug!(event = "event", request = %self.call.id, text = ?event);
     }
 
-    async fn pass(&self, event: Bytes) -> bool {
+    async fn send_event(&self, event: Bytes) -> bool {
         self.sender.send(Ok(event)).await.is_ok()
     }
 
-    /// Keeps the turn on a majority of disks.
-    async fn keep(&mut self) -> bool {
+    /// Stores the turn on a majority of disks, if the route stores turns. Returns whether that
+    /// succeeded.
+    async fn store_turn(&mut self) -> bool {
         let Some(_) = self.call.route.retention else {
-            self.ledger.settle(&self.entry, self.tokens);
+            self.reservation.settle(&self.entry, self.tokens);
             return true;
         };
         let record = Record::Turn(Turn {
-            request: self.call.scope(&self.call.id),
-            parent: self.call.meta.parent.as_ref().map(|p| self.call.scope(p)),
+            request: self.call.scope_id(&self.call.id),
+            parent: self
+                .call
+                .meta
+                .parent
+                .as_ref()
+                .map(|p| self.call.scope_id(p)),
             input: self.call.body.clone(),
             output: self.output.split().freeze(),
             server: self.choice.process.clone(),
-            program: self.ledger.program(),
+            program: self.reservation.program(),
             tokens: self.tokens,
-            keep_ms: keep_ms(&self.call),
+            keep_ms: retention_ms(&self.call),
         });
         let started = Instant::now();
-        let until = self.call.until.min(started + KEEP);
+        let deadline = self.call.deadline.min(started + STORE_TIMEOUT);
         let register = &self.entry.register;
-        let told = self.call.counted.map(|c| register.report(&c, started));
-        let (usage, mark) = told.unzip();
-        let kept = self.entry.quorum.keep(&record, usage.as_ref(), until).await;
-        if let (Some(mark), Ok(Some(sum))) = (mark, &kept) {
-            register.learn(mark, *sum, Instant::now());
+        let usage_report = self.call.counted.map(|c| register.report(&c, started));
+        let (usage, mark) = usage_report.unzip();
+        let result = self
+            .entry
+            .quorum
+            .keep(&record, usage.as_ref(), deadline)
+            .await;
+        if let (Some(mark), Ok(Some(total))) = (mark, &result) {
+            register.learn(mark, *total, Instant::now());
         }
         metrics::histogram!("gradedyke_keep_seconds").record(started.elapsed().as_secs_f64());
-        if let Err(error) = &kept {
+        if let Err(error) = &result {
             tracing::warn!(event = "turn_not_kept", request = %self.call.id, %error,
                 waited_ms = started.elapsed().as_millis());
         }
-        kept.is_ok()
+        result.is_ok()
     }
 }
--- a/crates/gradedyke-gateway/src/entry/turn.rs
+++ b/crates/gradedyke-gateway/src/entry/turn.rs
@@ -1,9 +1,10 @@
-//! Requests whose answer is a stream of events, and turns of conversations.
+//! Requests whose response is a stream of events, and turns of conversations.
 //!
-//! A turn takes one exchange with the keepers before it is sent, which reserves
-//! its budget and brings what was said before, and one after its last event is
-//! here and before the stream is ended towards the caller. So whatever a caller
-//! has had whole is on a majority of disks. Events are passed on as they come.
+//! Before a turn is sent to a backend server, one exchange with the keepers reserves its
+//! budget and reads the conversation so far. After the last event, a second exchange stores
+//! the turn on a majority of disks, and only then the stream to the caller ends. A caller
+//! that has received a complete response can therefore rely on the turn being stored. Events
+//! are forwarded as they arrive.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,106 +18,109 @@
 use tokio::time::Instant;
 
 use super::Entry;
+use super::budget::{Reservation, retention_ms};
 use super::call::Call;
-use super::ledger::{Ledger, keep_ms};
 use super::refusal::Refusal;
 use super::relay;
-use super::source::Source;
+use super::upstream::Upstream;
 use crate::mechanism::Mechanism;
 use crate::throttle;
 
-/// Longest time that keepers which are there have for the exchange before a turn
-/// is sent: ten exchanges with a sync each; a caller does better elsewhere then.
-const BEGIN: Duration = Duration::from_millis(300);
-/// Longest wait for keepers that were lost a moment ago, all of them: what they
-/// take to start and to read their disks. A refusal would only use up one of the
-/// few tries that a caller has.
-const RESTART: Duration = Duration::from_millis(1_000);
+/// Timeout of one exchange with the keepers that begins a turn.
+const BEGIN_TIMEOUT: Duration = Duration::from_millis(300);
+/// Longest wait for keepers that are restarting. A refusal would use up one of the caller's
+/// retries.
+const QUORUM_RECOVERY_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Serves the request.
+/// Begins the turn, sends it to a backend server and starts forwarding the response.
 ///
 /// # Errors
 ///
-/// The [`Refusal`] to answer with, before anything of an answer.
+/// The [`Refusal`] to answer with. Nothing has been sent to the caller then.
 pub async fn serve(entry: &Arc<Entry>, call: Arc<Call>) -> Result<Response<Body>, Refusal> {
-    let (chain, ledger) = begin(entry, &call).await?;
+    let (chain, reservation) = begin_turn(entry, &call).await?;
     let body = match &chain {
-        Some(chain) => join(&chain.body, &call.body),
+        Some(chain) => concat(&chain.body, &call.body),
         None => call.body.clone(),
     };
-    let source = Source::new(chain, body);
-    let answered = match source.open(entry, &call, None).await {
-        Ok(answered) => answered,
+    let upstream = Upstream::new(chain, body);
+    let response = match upstream.open(entry, &call, None).await {
+        Ok(response) => response,
         Err(refusal) => {
-            // Nothing of the answer has reached the caller.
-            ledger.settle(entry, 0);
+            // No tokens have reached the caller.
+            reservation.settle(entry, 0);
             return Err(refusal);
         }
     };
-    Ok(relay::start(entry, call, ledger, source, answered))
+    Ok(relay::start(entry, call, reservation, upstream, response))
 }
 
-fn join(before: &Bytes, new: &Bytes) -> Bytes {
-    let mut body = BytesMut::with_capacity(before.len() + new.len());
-    body.extend_from_slice(before);
-    body.extend_from_slice(new);
+fn concat(first: &Bytes, second: &Bytes) -> Bytes {
+    let mut body = BytesMut::with_capacity(first.len() + second.len());
+    body.extend_from_slice(first);
+    body.extend_from_slice(second);
     body.freeze()
 }
 
-/// Reserves the budget and reads the conversation.
-async fn begin(entry: &Arc<Entry>, call: &Call) -> Result<(Option<Chain>, Ledger), Refusal> {
+/// Reserves the budget and reads the conversation so far, in one exchange with the keepers.
+async fn begin_turn(
+    entry: &Arc<Entry>,
+    call: &Call,
+) -> Result<(Option<Chain>, Reservation), Refusal> {
     let started = Instant::now();
-    if !admitted(entry, call, started) {
+    if !is_admitted(entry, call, started) {
         return Err(Refusal::Overload);
     }
-    let reserve = reserve(call);
-    let ledger = Ledger::new(reserve.as_ref().map(|(r, _)| r.clone()));
+    let reserve = budget_request(call);
+    let reservation = Reservation::new(reserve.as_ref().map(|(r, _)| r.clone()));
     let parent = call.route.retention.and(call.meta.parent.as_ref());
-    let parent = parent.map(|p| call.scope(p));
-    let told = call.counted.map(|c| entry.register.report(&c, started));
-    let (usage, mark) = told.unzip();
-    let ask = Ask {
+    let parent = parent.map(|p| call.scope_id(p));
+    let usage_report = call.counted.map(|c| entry.register.report(&c, started));
+    let (usage, mark) = usage_report.unzip();
+    let request = Ask {
         reserve,
         parent,
-        first: Call::begins(&call.route, &call.meta),
+        first: Call::is_program_start(&call.route, &call.meta),
         load: entry.fleet.report(started),
         usage,
-        time: BEGIN,
-        until: call.until.min(started + RESTART),
+        time: BEGIN_TIMEOUT,
+        until: call.deadline.min(started + QUORUM_RECOVERY_TIMEOUT),
     };
-    let begun = entry.quorum.begin(&ask).await;
+    let result = entry.quorum.begin(&request).await;
     if let Some((pressure, at)) = entry.quorum.pressure() {
         entry.throttle.told(pressure, at);
     }
     metrics::histogram!("gradedyke_begin_seconds").record(started.elapsed().as_secs_f64());
-    match begun {
+    match result {
         Ok(begun) => {
             entry.throttle.let_in(begun.took, Instant::now());
             if let Some(load) = begun.load {
                 entry.fleet.learn(&load, Instant::now());
             }
-            if let (Some(mark), Some(sum)) = (mark, begun.usage)
-                && !entry.learn(call, mark, sum)
+            if let (Some(mark), Some(total)) = (mark, begun.usage)
+                && !entry.record_usage(call, mark, total)
             {
-                ledger.settle(entry, 0);
+                reservation.settle(entry, 0);
                 return Err(Refusal::Exceeded);
             }
-            let begins = Call::begins(&call.route, &call.meta);
-            entry.demand.turn(&call.route.name, begins, Instant::now());
-            Ok((begun.chain, ledger))
+            let is_program_start = Call::is_program_start(&call.route, &call.meta);
+            entry
+                .demand
+                .turn(&call.route.name, is_program_start, Instant::now());
+            Ok((begun.chain, reservation))
         }
         Err(error) => {
             tracing::info!(event = "turn_refused", request = %call.id,
                 parent = call.meta.parent.as_ref().map_or("none", |p| p.as_str()),
                 view = entry.quorum.view().version,
                 waited_ms = started.elapsed().as_millis(), %error);
-            // Keepers that are gone, or that start, are no sign of too much to do.
-            let overload = match error {
+            // Keepers that are unreachable or starting are not overloaded.
+            let is_overload = match error {
                 quorum::Refusal::Busy => true,
                 quorum::Refusal::NoQuorum { .. } => entry.quorum.reachable(),
                 _ => false,
             };
-            if overload {
+            if is_overload {
                 entry.throttle.refused(Instant::now());
             }
             Err(match error {
@@ -131,30 +135,31 @@
     }
 }
 
-/// Whether the turn may go on while keepers have more to do than they can. One that
-/// continues a program may; where no turns are kept, nothing tells which one begins a
-/// program, so all turns of one are treated alike.
-fn admitted(entry: &Entry, call: &Call, now: Instant) -> bool {
-    let keeps = call.route.retention.is_some();
-    if !entry.enabled.has(Mechanism::Throttle) || keeps && call.meta.parent.is_some() {
+/// Whether the throttle admits the turn. A turn that continues a stored conversation is always
+/// admitted. On routes that store no turns, the first turn of a program cannot be recognized,
+/// so the program identifier decides for all its turns alike.
+fn is_admitted(entry: &Entry, call: &Call, now: Instant) -> bool {
+    let stores_turns = call.route.retention.is_some();
+    if !entry.enabled.has(Mechanism::Throttle) || stores_turns && call.meta.parent.is_some() {
         return true;
     }
     let draw = match &call.meta.program {
-        Some(program) if !keeps => throttle::draw(program),
+        Some(program) if !stores_turns => throttle::draw(program),
         _ => rand::random(),
     };
     entry.throttle.admits(draw, now)
 }
 
-/// What an attempt reserves, with the whole budget.
-fn reserve(call: &Call) -> Option<(Reserved, u64)> {
+/// Returns the tokens to reserve for the request and the total budget of its program; `None`
+/// without a budget.
+fn budget_request(call: &Call) -> Option<(Reserved, u64)> {
     let budget = call.meta.budget?;
-    let program = call.scope(call.meta.program.as_ref()?);
+    let program = call.scope_id(call.meta.program.as_ref()?);
     let reserved = Reserved {
         program,
-        request: call.scope(&call.id),
+        request: call.scope_id(&call.id),
         tokens: call.meta.usage.map_or(0, |u| u.answer),
-        keep_ms: keep_ms(call),
+        keep_ms: retention_ms(call),
     };
     Some((reserved, budget))
 }
--- /dev/null
+++ b/crates/gradedyke-gateway/src/entry/upstream.rs
@@ -0,0 +1,87 @@
+//! Opens a stream at a backend server, and resumes it at another.
+
+use bytes::Bytes;
+use gradedyke_turns::conversation::Chain;
+use tokio::time::Instant;
+
+use super::Entry;
+use super::attempt::{self, Attempts, MIN_SEND_TIME, ServerResponse};
+use super::call::Call;
+use super::refusal::Refusal;
+use crate::fleet::Question;
+
+/// The request for a stream, with the servers it was sent to.
+pub(super) struct Upstream {
+    chain: Option<Chain>,
+    body: Bytes,
+    attempts: Attempts,
+}
+
+impl Upstream {
+    /// Creates the request with this complete `body`. `chain` is the stored conversation that
+    /// it continues.
+    pub(super) fn new(chain: Option<Chain>, body: Bytes) -> Self {
+        Self {
+            chain,
+            body,
+            attempts: Attempts::default(),
+        }
+    }
+
+    /// Sends the request to a server, which resumes the stream after the event
+    /// `last_event_id` if that is given. A resumable request is sent to another server if the
+    /// connection breaks, or the server is too slow, before the response head arrives.
+    pub(super) async fn open(
+        &self,
+        entry: &Entry,
+        call: &Call,
+        last_event_id: Option<&[u8]>,
+    ) -> Result<ServerResponse, Refusal> {
+        let query = server_query(call, self.chain.as_ref());
+        loop {
+            let (attempts, body) = (&self.attempts, &self.body);
+            let result =
+                attempt::dispatch(entry, call, attempts, &query, body, last_event_id).await;
+            match result {
+                Err(Refusal::Broken) if self.can_resume(call) => {}
+                result => return result,
+            }
+        }
+    }
+
+    /// Whether another server may resume the stream.
+    pub(super) fn can_resume(&self, call: &Call) -> bool {
+        call.route.resumable
+            && self.attempts.has_attempt_left(call)
+            && call.time_left(Instant::now()) > MIN_SEND_TIME
+    }
+}
+
+/// Estimates how many prompt tokens belong to the stored conversation, by its share of the
+/// bytes. The server that ran its last turn has them in its cache.
+fn cached_tokens(call: &Call, chain: &Chain) -> u64 {
+    let prompt = call.meta.usage.map_or(0, |u| u.prompt);
+    let (stored_bytes, new_bytes) = (chain.body.len() as u64, call.body.len() as u64);
+    (prompt * stored_bytes)
+        .checked_div(stored_bytes + new_bytes)
+        .unwrap_or(0)
+}
+
+/// Builds the query by which the fleet chooses a server for the request.
+fn server_query<'a>(call: &'a Call, chain: Option<&'a Chain>) -> Question<'a> {
+    Question {
+        service: &call.service,
+        request: &call.id,
+        tried: &[],
+        holder: chain.map(|c| &c.server),
+        prompt_tokens: call.meta.usage.map_or(0, |u| u.prompt),
+        held_tokens: chain.map_or(0, |c| cached_tokens(call, c)),
+        parts: &call.meta.parts,
+        engine: true,
+        room: call.engine().map_or(0, |e| e.cache_tokens),
+        repeatable: call.route.repeatable(),
+        warm_up_rate: call.warm_up_rate(),
+        regions: call.regions.as_deref(),
+        now: call.arrived,
+    }
+}
--- a/crates/gradedyke-gateway/tests/overload.rs
+++ b/crates/gradedyke-gateway/tests/overload.rs
@@ -1,9 +1,8 @@
-//! Programs before keepers that have more to do than they can, in virtual time: the
-//! deciding code of entries with a queue in place of the keepers.
+//! Simulates overloaded keepers in virtual time, with the entries' throttle and the keepers'
+//! admission rule as in production and a queue in place of the keepers.
 //!
-//! Two loads: a burst of three times what the keepers can do, before and after which they
-//! have a quarter to spare, and one of 1.6 times that lasts. What callers get is counted by
-//! program: one whose turns are not all let in has got nothing.
+//! There are two loads: a short burst far above the capacity, and an overload that lasts. A
+//! program counts as completed only if all its turns were admitted.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -16,313 +15,341 @@
 use rand::{RngExt, SeedableRng};
 use tokio::time::Instant;
 
-/// Exchanges that the keepers do in a second.
-const CAPACITY: f64 = 400.0;
-/// Time after which an entry gives an exchange up, in milliseconds.
-const PATIENCE_MS: f64 = 300.0;
-/// Time that a turn takes at its engine and its program's tools.
+/// Exchanges per second that the keepers can handle.
+const CAPACITY_PER_S: f64 = 400.0;
+/// Time after which an entry abandons an exchange, in milliseconds.
+const EXCHANGE_TIMEOUT_MS: f64 = 300.0;
+/// Time that a turn takes at the backend servers, in milliseconds.
 const TURN_MS: f64 = 300.0;
-/// What it costs keepers to refuse a turn, as a share of an exchange.
-const REFUSAL: f64 = 0.1;
-/// Entries of a small and of a large deployment.
-const ENTRIES: [usize; 2] = [50, 260];
-/// Turns of the two kinds of programs, and how many in ten are of the second.
-const TURNS: [u32; 2] = [4, 11];
-const LONG: u32 = 2;
-/// Exchanges of a turn: to begin it, and to keep it.
-const EXCHANGES: f64 = 2.0;
-/// Tries that a caller has for a turn: one is sent again once after a refusal, and from
-/// its start up to twice.
-const TRIES: u32 = 6;
-/// Load outside the burst and in it, as shares of what the keepers can do.
-const CALM: f64 = 0.75;
-const BURST: f64 = 3.0;
-/// Load that lasts, the same.
-const LASTING: f64 = 1.6;
-const LENGTH_MS: f64 = 40_000.0;
-const BURST_MS: std::ops::Range<f64> = 8_000.0..14_000.0;
-/// From when on all is to be as before the burst: 10 s after its end.
-const CALM_AGAIN_MS: f64 = 24_000.0;
+/// Work of the keepers to refuse a turn, as a share of an exchange.
+const REFUSAL_COST: f64 = 0.1;
+/// Number of entries in a small and in a large deployment.
+const ENTRY_COUNTS: [usize; 2] = [50, 260];
+/// Number of turns of a short and of a long program.
+const PROGRAM_TURNS: [u32; 2] = [4, 11];
+/// Number of long programs in every ten.
+const LONG_PROGRAMS_PER_TEN: u32 = 2;
+/// Exchanges with the keepers per turn: one to begin it and one to store it.
+const EXCHANGES_PER_TURN: f64 = 2.0;
+/// Attempts of a caller per turn, with all retries.
+const MAX_ATTEMPTS: u32 = 6;
+/// Load outside the burst, relative to the capacity of the keepers.
+const NORMAL_LOAD: f64 = 0.75;
+/// Load during the burst, relative to the capacity.
+const BURST_LOAD: f64 = 3.0;
+/// Load of the lasting overload, relative to the capacity.
+const SUSTAINED_LOAD: f64 = 1.6;
+/// Time during which programs arrive, in milliseconds.
+const ARRIVAL_DURATION_MS: f64 = 40_000.0;
+/// Start and end of the burst, in milliseconds.
+const BURST_INTERVAL_MS: std::ops::Range<f64> = 8_000.0..14_000.0;
+/// Time from which on programs must no longer be affected by the burst, in milliseconds.
+const RECOVERY_DEADLINE_MS: f64 = 24_000.0;
 
 #[derive(Clone, Copy, Debug)]
 struct Program {
     entry: usize,
     turns: u32,
-    /// Turns that were kept.
-    done: u32,
-    /// Tries of the present turn.
-    tries: u32,
+    /// Turns that were stored.
+    completed_turns: u32,
+    /// Failed attempts of the current turn.
+    attempts: u32,
     began_ms: f64,
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    Arrive,
-    Turn(usize),
-    /// A turn's answer is there.
-    Answered(usize),
+    StartProgram,
+    /// Starts the next turn of the program with this index.
+    StartTurn(usize),
+    /// The response to the turn of the program with this index is complete.
+    CompleteTurn(usize),
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Seen {
-    asked: u32,
-    whole: u32,
+struct ProgramCounts {
+    started: u32,
+    completed: u32,
 }
 
-impl Seen {
-    fn share(self) -> f64 {
-        f64::from(self.whole) / f64::from(self.asked.max(1))
+impl ProgramCounts {
+    fn completion_ratio(self) -> f64 {
+        f64::from(self.completed) / f64::from(self.started.max(1))
     }
 }
 
-/// What came of programs, by kind, and of those that began when all was calm again.
+/// Program counts by length (short, long), and of programs that began after the recovery
+/// deadline.
 #[derive(Clone, Copy, Debug, Default)]
 struct Outcome {
-    kinds: [Seen; 2],
-    after: Seen,
+    by_length: [ProgramCounts; 2],
+    after_recovery: ProgramCounts,
 }
 
 impl Outcome {
-    fn all(&self) -> f64 {
-        let [short, long] = self.kinds;
-        Seen {
-            asked: short.asked + long.asked,
-            whole: short.whole + long.whole,
+    fn overall_completion_ratio(&self) -> f64 {
+        let [short, long] = self.by_length;
+        ProgramCounts {
+            started: short.started + long.started,
+            completed: short.completed + long.completed,
         }
-        .share()
+        .completion_ratio()
     }
 }
 
-/// Whether keepers whose queue takes `stands_ms` begin nothing more.
+/// Whether keepers whose queue takes `queue_ms` refuse the turn; `first` for the first turn of
+/// a program.
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-fn full(first: bool, stands_ms: f64) -> bool {
-    let active = (stands_ms / 1e3 * CAPACITY) as usize;
-    let age = Duration::from_secs_f64(stands_ms / 1e3);
+fn is_full(first: bool, queue_ms: f64) -> bool {
+    let active = (queue_ms / 1e3 * CAPACITY_PER_S) as usize;
+    let age = Duration::from_secs_f64(queue_ms / 1e3);
     backlog::full(active, age, first)
 }
 
-struct Play {
+struct Simulation {
     rng: StdRng,
     start: Instant,
-    events: BinaryHeap<Reverse<(u64, u64)>>,
-    named: Vec<Event>,
+    /// Time in microseconds and index in `scheduled` of each pending event.
+    queue: BinaryHeap<Reverse<(u64, u64)>>,
+    scheduled: Vec<Event>,
     programs: Vec<Program>,
     throttles: Vec<Throttle>,
-    /// Until when the keepers are busy with what they were asked.
-    busy_ms: f64,
+    /// Time at which the keepers have finished all work in their queue.
+    busy_until_ms: f64,
     gauge: Gauge,
-    /// Whether keepers begin nothing while the oldest stands for too long, and entries let
-    /// fewer programs begin: both were built together.
-    bounded: bool,
+    /// Whether overload protection is on: keepers refuse turns while their queue is too long,
+    /// and entries let fewer programs begin.
+    protected: bool,
     load: fn(f64) -> f64,
     outcome: Outcome,
 }
 
-impl Play {
-    fn new(load: fn(f64) -> f64, entries: usize, bounded: bool, seed: u64) -> Self {
+impl Simulation {
+    fn new(load: fn(f64) -> f64, entries: usize, protected: bool, seed: u64) -> Self {
         Self {
             rng: StdRng::seed_from_u64(seed),
             start: Instant::now(),
-            events: BinaryHeap::new(),
-            named: Vec::new(),
+            queue: BinaryHeap::new(),
+            scheduled: Vec::new(),
             programs: Vec::new(),
             throttles: (0..entries).map(|_| Throttle::default()).collect(),
-            busy_ms: 0.0,
+            busy_until_ms: 0.0,
             gauge: Gauge::default(),
-            bounded,
+            protected,
             load,
             outcome: Outcome::default(),
         }
     }
 
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-    fn at(&mut self, ms: f64, event: Event) {
-        self.named.push(event);
-        let number = self.named.len() as u64 - 1;
-        self.events.push(Reverse(((ms * 1e3) as u64, number)));
+    fn schedule(&mut self, ms: f64, event: Event) {
+        self.scheduled.push(event);
+        let index = self.scheduled.len() as u64 - 1;
+        self.queue.push(Reverse(((ms * 1e3) as u64, index)));
     }
 
     #[allow(clippy::cast_precision_loss)]
     fn run(mut self) -> Outcome {
-        self.at(0.0, Event::Arrive);
-        while let Some(Reverse((us, number))) = self.events.pop() {
+        self.schedule(0.0, Event::StartProgram);
+        while let Some(Reverse((us, index))) = self.queue.pop() {
             let ms = us as f64 / 1e3;
-            match self.named[usize::try_from(number).unwrap()] {
-                Event::Arrive => self.arrive(ms),
-                Event::Turn(program) => self.turn(program, ms),
-                Event::Answered(program) => self.answered(program, ms),
+            match self.scheduled[usize::try_from(index).unwrap()] {
+                Event::StartProgram => self.start_program(ms),
+                Event::StartTurn(program) => self.start_turn(program, ms),
+                Event::CompleteTurn(program) => self.complete_turn(program, ms),
             }
         }
         self.outcome
     }
 
-    fn arrive(&mut self, ms: f64) {
-        if ms >= LENGTH_MS {
+    fn start_program(&mut self, ms: f64) {
+        if ms >= ARRIVAL_DURATION_MS {
             return;
         }
         let load = (self.load)(ms);
-        let mean = (f64::from(TURNS[0] * (10 - LONG)) + f64::from(TURNS[1] * LONG)) / 10.0;
-        let per_ms = load * CAPACITY / (mean * EXCHANGES) / 1e3;
-        let gap = -self.rng.random_range(f64::EPSILON..1.0).ln() / per_ms;
-        self.at(ms + gap, Event::Arrive);
-        let kind = usize::from(self.rng.random_range(0..10) < LONG);
+        let mean_turns = (f64::from(PROGRAM_TURNS[0] * (10 - LONG_PROGRAMS_PER_TEN))
+            + f64::from(PROGRAM_TURNS[1] * LONG_PROGRAMS_PER_TEN))
+            / 10.0;
+        let programs_per_ms = load * CAPACITY_PER_S / (mean_turns * EXCHANGES_PER_TURN) / 1e3;
+        let interval_ms = -self.rng.random_range(f64::EPSILON..1.0).ln() / programs_per_ms;
+        self.schedule(ms + interval_ms, Event::StartProgram);
+        let kind = usize::from(self.rng.random_range(0..10) < LONG_PROGRAMS_PER_TEN);
         let entry = self.rng.random_range(0..self.throttles.len());
-        self.outcome.kinds[kind].asked += 1;
-        if ms >= CALM_AGAIN_MS {
-            self.outcome.after.asked += 1;
+        self.outcome.by_length[kind].started += 1;
+        if ms >= RECOVERY_DEADLINE_MS {
+            self.outcome.after_recovery.started += 1;
         }
         self.programs.push(Program {
             entry,
-            turns: TURNS[kind],
-            done: 0,
-            tries: 0,
+            turns: PROGRAM_TURNS[kind],
+            completed_turns: 0,
+            attempts: 0,
             began_ms: ms,
         });
-        self.turn(self.programs.len() - 1, ms);
+        self.start_turn(self.programs.len() - 1, ms);
     }
 
-    fn now(&self, ms: f64) -> Instant {
+    fn instant(&self, ms: f64) -> Instant {
         self.start + Duration::from_secs_f64(ms / 1e3)
     }
 
-    /// Has the keepers do what costs as much as a share of an exchange. Returns how long
-    /// it takes.
-    fn work(&mut self, share: f64, ms: f64) -> f64 {
-        self.busy_ms = self.busy_ms.max(ms) + share * 1e3 / CAPACITY;
-        self.busy_ms - ms
+    /// Adds work that costs this share of an exchange to the keepers' queue. Returns the time
+    /// until it is done, in milliseconds.
+    fn add_work(&mut self, cost: f64, ms: f64) -> f64 {
+        self.busy_until_ms = self.busy_until_ms.max(ms) + cost * 1e3 / CAPACITY_PER_S;
+        self.busy_until_ms - ms
     }
 
-    /// Asks the keepers to begin a turn. Returns how long that takes, or how long it takes
-    /// until it is refused.
-    fn begin(&mut self, first: bool, ms: f64) -> Result<f64, f64> {
-        let stands_ms = (self.busy_ms - ms).max(0.0);
-        let now = self.now(ms);
-        let refused = self.bounded && full(first, stands_ms);
+    /// Sends the keepers a request to begin a turn. Returns the time until it has begun, or as
+    /// an error until it is refused or abandoned, in milliseconds.
+    fn begin_turn(&mut self, first: bool, ms: f64) -> Result<f64, f64> {
+        let queue_ms = (self.busy_until_ms - ms).max(0.0);
+        let now = self.instant(ms);
+        let refused = self.protected && is_full(first, queue_ms);
         self.gauge.count(refused, now);
         if refused {
-            return Err(stands_ms + self.work(REFUSAL, ms));
+            return Err(queue_ms + self.add_work(REFUSAL_COST, ms));
         }
-        let took = self.work(1.0, ms);
-        // It is begun all the same.
-        if took > PATIENCE_MS {
-            return Err(PATIENCE_MS);
+        let took_ms = self.add_work(1.0, ms);
+        // The keepers still do the work, but nobody waits for the result.
+        if took_ms > EXCHANGE_TIMEOUT_MS {
+            return Err(EXCHANGE_TIMEOUT_MS);
         }
-        Ok(took)
+        Ok(took_ms)
     }
 
-    fn turn(&mut self, number: usize, ms: f64) {
-        let program = self.programs[number];
-        let now = self.now(ms);
+    fn start_turn(&mut self, index: usize, ms: f64) {
+        let program = self.programs[index];
+        let now = self.instant(ms);
         let draw = self.rng.random_range(0.0..1.0);
-        let first = program.done == 0;
+        let first = program.completed_turns == 0;
         let throttle = &self.throttles[program.entry];
-        if self.bounded && first && !throttle.admits(draw, now) {
-            return self.refused(number, ms);
+        if self.protected && first && !throttle.admits(draw, now) {
+            return self.retry_turn(index, ms);
         }
-        let begun = self.begin(first, ms);
-        let told = self.gauge.pressure(now);
+        let result = self.begin_turn(first, ms);
+        let pressure = self.gauge.pressure(now);
         let throttle = &self.throttles[program.entry];
-        let (Ok(took_ms) | Err(took_ms)) = begun;
-        let later = self.now(ms + took_ms);
-        throttle.told(told, later);
-        match begun {
+        let (Ok(took_ms) | Err(took_ms)) = result;
+        let later = self.instant(ms + took_ms);
+        throttle.told(pressure, later);
+        match result {
             Ok(_) => {
                 throttle.let_in(Duration::from_secs_f64(took_ms / 1e3), later);
-                self.at(ms + took_ms + TURN_MS, Event::Answered(number));
+                self.schedule(ms + took_ms + TURN_MS, Event::CompleteTurn(index));
             }
             Err(_) => {
                 throttle.refused(later);
-                self.refused(number, ms + took_ms);
+                self.retry_turn(index, ms + took_ms);
             }
         }
     }
 
-    /// The turn is kept by an exchange of its own, which has more time.
-    fn answered(&mut self, number: usize, ms: f64) {
-        let kept = ms + self.work(1.0, ms);
-        let program = &mut self.programs[number];
-        program.done += 1;
-        program.tries = 0;
-        if program.done < program.turns {
-            return self.at(kept, Event::Turn(number));
+    /// Stores the turn by another exchange, which has no timeout here, and starts the next one.
+    fn complete_turn(&mut self, index: usize, ms: f64) {
+        let stored_ms = ms + self.add_work(1.0, ms);
+        let program = &mut self.programs[index];
+        program.completed_turns += 1;
+        program.attempts = 0;
+        if program.completed_turns < program.turns {
+            return self.schedule(stored_ms, Event::StartTurn(index));
         }
         let program = *program;
-        let kind = usize::from(program.turns == TURNS[1]);
-        self.outcome.kinds[kind].whole += 1;
-        if program.began_ms >= CALM_AGAIN_MS {
-            self.outcome.after.whole += 1;
+        let kind = usize::from(program.turns == PROGRAM_TURNS[1]);
+        self.outcome.by_length[kind].completed += 1;
+        if program.began_ms >= RECOVERY_DEADLINE_MS {
+            self.outcome.after_recovery.completed += 1;
         }
     }
 
-    fn refused(&mut self, number: usize, ms: f64) {
-        let now = self.now(ms);
-        let program = &mut self.programs[number];
-        program.tries += 1;
-        if program.tries >= TRIES {
+    /// Schedules the next attempt of a refused turn, unless none is left.
+    fn retry_turn(&mut self, index: usize, ms: f64) {
+        let now = self.instant(ms);
+        let program = &mut self.programs[index];
+        program.attempts += 1;
+        if program.attempts >= MAX_ATTEMPTS {
             return;
         }
-        let wait = if self.bounded {
+        let wait = if self.protected {
             self.throttles[program.entry].wait(now)
         } else {
             Duration::from_millis(250)
         };
-        let spread = self.rng.random_range(0.75..1.25);
-        let wait_ms = wait.as_secs_f64() * 1e3 * spread;
-        self.at(ms + wait_ms, Event::Turn(number));
+        let jitter = self.rng.random_range(0.75..1.25);
+        let wait_ms = wait.as_secs_f64() * 1e3 * jitter;
+        self.schedule(ms + wait_ms, Event::StartTurn(index));
     }
 }
 
 const SEEDS: std::ops::Range<u64> = 1..6;
 
-/// Load in the burst and around it, as a share of what the keepers can do.
-fn burst(ms: f64) -> f64 {
-    if BURST_MS.contains(&ms) { BURST } else { CALM }
+/// Load at time `ms` with a burst, relative to the capacity.
+fn burst_load(ms: f64) -> f64 {
+    if BURST_INTERVAL_MS.contains(&ms) {
+        BURST_LOAD
+    } else {
+        NORMAL_LOAD
+    }
 }
 
-/// Load that does not end.
-fn lasting(_: f64) -> f64 {
-    LASTING
+/// Constant load above the capacity.
+fn sustained_load(_: f64) -> f64 {
+    SUSTAINED_LOAD
 }
 
-/// What comes of a load with and without what overload is met with, for each size and seed.
-fn plays(load: fn(f64) -> f64) -> impl Iterator<Item = (String, Outcome, Outcome)> {
-    let sizes = ENTRIES.into_iter();
-    let plays = sizes.flat_map(|entries| SEEDS.map(move |seed| (entries, seed)));
-    plays.map(move |(entries, seed)| {
-        let play = |bounded| Play::new(load, entries, bounded, seed).run();
-        let (with, without) = (play(true), play(false));
-        let name = format!("{entries} entries, seed {seed}: {with:?}, without {without:?}");
-        println!("{name}");
-        (name, with, without)
+/// Simulates a load with and without overload protection, for each deployment size and seed.
+/// Returns a description, the outcome with and the outcome without protection.
+fn simulate_all(load: fn(f64) -> f64) -> impl Iterator<Item = (String, Outcome, Outcome)> {
+    let sizes = ENTRY_COUNTS.into_iter();
+    let runs = sizes.flat_map(|entries| SEEDS.map(move |seed| (entries, seed)));
+    runs.map(move |(entries, seed)| {
+        let simulate = |protected| Simulation::new(load, entries, protected, seed).run();
+        let (with, without) = (simulate(true), simulate(false));
+        let description = format!("{entries} entries, seed {seed}: {with:?}, without {without:?}");
+        println!("{description}");
+        (description, with, without)
     })
 }
 
 #[test]
-fn a_burst_is_over_when_it_has_ended() {
-    for (name, with, _) in plays(burst) {
-        assert!(with.after.share() >= 0.99, "{name}");
+fn programs_complete_again_after_a_burst() {
+    for (description, with, _) in simulate_all(burst_load) {
+        assert!(
+            with.after_recovery.completion_ratio() >= 0.99,
+            "{description}"
+        );
     }
 }
 
 #[test]
-fn long_programs_are_served_nearly_as_often_as_all() {
-    for (name, with, _) in plays(burst).chain(plays(lasting)) {
-        let [_, long] = with.kinds;
-        assert!(long.share() >= 0.8 * with.all(), "{name}");
+fn long_programs_complete_nearly_as_often_as_all() {
+    for (description, with, _) in simulate_all(burst_load).chain(simulate_all(sustained_load)) {
+        let [_, long] = with.by_length;
+        assert!(
+            long.completion_ratio() >= 0.8 * with.overall_completion_ratio(),
+            "{description}"
+        );
     }
 }
 
-/// What it is for: without it the keepers do in vain what callers ask again.
+/// Without protection the keepers work on requests that nobody waits for any more.
 #[test]
-fn more_programs_end_whole_when_fewer_begin() {
-    for (name, with, without) in plays(burst).chain(plays(lasting)) {
-        assert!(with.all() > without.all() + 0.1, "{name}");
+fn overload_protection_completes_more_programs() {
+    for (description, with, without) in simulate_all(burst_load).chain(simulate_all(sustained_load))
+    {
+        assert!(
+            with.overall_completion_ratio() > without.overall_completion_ratio() + 0.1,
+            "{description}"
+        );
     }
 }
 
 #[test]
-fn a_lasting_overload_leaves_most_of_what_keepers_can_do() {
-    for (name, with, _) in plays(lasting) {
-        assert!(with.all() >= 0.8 / LASTING, "{name}");
+fn sustained_overload_leaves_most_of_the_capacity_usable() {
+    for (description, with, _) in simulate_all(sustained_load) {
+        assert!(
+            with.overall_completion_ratio() >= 0.8 / SUSTAINED_LOAD,
+            "{description}"
+        );
     }
 }
