--- a/crates/gradedyke-gateway/src/account.rs
+++ b/crates/gradedyke-gateway/src/account.rs
@@ -1,9 +1,8 @@
-//! Client accounts: whose key a request carries, and what belongs to whom.
+//! Client accounts and their API keys.
 //!
-//! Callers of different accounts distrust each other and choose the names of their
-//! turns and programs by themselves, so two may choose the same. What is kept under a
-//! caller's name is therefore kept under [`Account::scope`], and a name of another
-//! account finds nothing.
+//! Callers choose the names of their turns and programs themselves, and two accounts may
+//! choose the same name. Data is therefore stored under [`Account::scope`], so that no
+//! account can read data of another.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -11,12 +10,12 @@
 
 use gradedyke_turns::record::Id;
 
-/// A caller's key, as its hash: what was sent is nowhere kept, shown or passed on.
+/// The hash of an API key. The key itself is never stored, logged or passed on.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Key([u8; 32]);
 
 impl Key {
-    /// The key that was sent as `text`.
+    /// Hashes the key that a caller sent as `text`.
     ///
     /// ```
     /// use gradedyke_gateway::account::Key;
@@ -35,30 +34,30 @@
     }
 }
 
-/// What an account may have run, over all entries together.
+/// Rate limit of an account, over all entries together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Allowance {
-    /// Requests a second.
+    /// Requests per second.
     pub per_second: f64,
-    /// Requests above that.
+    /// Requests allowed in a window beyond that rate.
     pub burst: f64,
 }
 
 /// A client account.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Account {
-    /// Its name.
+    /// The account's name, unique in the configuration.
     pub name: Id,
-    /// Its rank, which goes before that of a route; 0 is first.
+    /// Priority, which takes precedence over that of a route; 0 is the highest.
     pub rank: Option<u8>,
-    /// Its allowance, if it is limited.
+    /// The rate limit; `None` if the account has none.
     pub allowance: Option<Allowance>,
     /// The regions in which its requests may run; `None` for all.
     pub regions: Option<Vec<String>>,
 }
 
 impl Account {
-    /// The name under which is kept what callers of this account call `id`.
+    /// The name under which data is stored that callers of this account name `id`.
     ///
     /// ```
     /// use gradedyke_gateway::account::Account;
@@ -78,14 +77,14 @@
     }
 }
 
-/// The accounts by their keys.
+/// Client accounts, indexed by key.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Directory {
     by_key: HashMap<Key, Arc<Account>>,
 }
 
 impl Directory {
-    /// The accounts with the keys of each.
+    /// Builds a directory of accounts, each with its keys.
     pub fn new(accounts: impl IntoIterator<Item = (Account, Vec<Key>)>) -> Self {
         let mut by_key = HashMap::new();
         for (account, keys) in accounts {
@@ -95,17 +94,17 @@
         Self { by_key }
     }
 
-    /// The account that holds a key.
+    /// The account that a key belongs to.
     pub fn holder(&self, key: Key) -> Option<&Arc<Account>> {
         self.by_key.get(&key)
     }
 
-    /// How many keys there are.
+    /// Number of keys.
     pub fn len(&self) -> usize {
         self.by_key.len()
     }
 
-    /// Whether there is no key.
+    /// Whether there are no keys.
     pub fn is_empty(&self) -> bool {
         self.by_key.is_empty()
     }
--- a/crates/gradedyke-gateway/src/allowance.rs
+++ b/crates/gradedyke-gateway/src/allowance.rs
@@ -1,21 +1,16 @@
-//! Whether a request is within the allowance of its client account.
+//! Rate limits of client accounts, enforced over all entries together.
 //!
-//! The load that this answers: accounts that ask for several times what they may have,
-//! through all entries at once, beside others that are near their allowance by chance.
-//! Nothing beyond the allowance is to run in any window, and nothing within it is to be
-//! refused.
+//! Each entry counts the requests that it admits and reports them to the keepers, which
+//! answer with the sum over all entries ([`gradedyke_turns::usage`]). A turn exchanges
+//! messages with the keepers before it starts anyway, so it is admitted by a sum that
+//! already includes it. A tool call has no such exchange: it is admitted by the last
+//! known sum if that is recent and well below the limit, and otherwise the entry asks
+//! the keepers first. This bounds how far requests that the sum does not include yet can
+//! exceed the limit.
 //!
-//! Each entry counts what it lets through and hears the sum over all entries from the
-//! keepers ([`gradedyke_turns::usage`]). A turn hears it with the exchange that begins
-//! it, so it is let through by a sum that counts it. A call of a tool has no such
-//! exchange. It is let through by what is known where that is young and leaves room
-//! (`NEAR`), and asks for the sum where it is not, so that what is counted late cannot
-//! add up to more than the room that is left.
-//!
-//! What an account asks beyond its allowance would be refused at any step of its
-//! programs, and a program with one refused step is lost whole. So programs are refused
-//! at their first turn, when those begun in the window are expected to need the whole
-//! allowance already.
+//! A program that has one request refused fails as a whole. A new program is therefore
+//! refused at its first turn if the programs started in the window are already expected
+//! to use up the allowance.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -26,23 +21,21 @@
 
 use crate::account::{Account, Allowance};
 
-/// Age of a sum up to which a call is let through by it. The end of a turn brings one,
-/// and calls follow within a tenth of a second. In this time an account that asks for 7.5
-/// times what it should, of which half are calls, adds 13 in 100 of its allowance unseen.
-const FRESH: Duration = Duration::from_millis(250);
-/// Share of the allowance up to which a call is let through without asking: what is
-/// counted late, by [`FRESH`], has room above it.
-const NEAR: f64 = 0.8;
-/// Entries that may let calls of one account through at the same moment, each unseen by
-/// the others: each does so for this part of the room that is left, and asks then. Two
-/// entries that were sent 30 calls of an account with an allowance of 10 within a few
-/// milliseconds let 16 through without this, and 10 with it.
-const BESIDE: u32 = 16;
-/// How often the use of an account is told though it has not risen: a keeper that was
-/// started anew knows it again after this.
-const RETELL: Duration = Duration::from_secs(1);
+/// Maximum age of a sum by which a call is admitted without asking the keepers. The end of
+/// a turn brings a new sum, and tool calls usually follow soon after.
+const MAX_SUM_AGE: Duration = Duration::from_millis(250);
+/// Share of the limit up to which a call is admitted without asking the keepers. The rest
+/// is headroom for requests that a sum of age [`MAX_SUM_AGE`] does not include.
+const LOCAL_ADMISSION_RATIO: f64 = 0.8;
+/// Number of entries assumed to admit calls of one account at the same time, unaware of
+/// each other. Each may use this fraction of the remaining requests before it has to ask
+/// the keepers.
+const CONCURRENT_ENTRIES: u32 = 16;
+/// Interval at which unchanged usage is reported again, so that a restarted keeper learns
+/// it.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Requests that an account may have let through in a window.
+/// Maximum number of requests of an account that are admitted in a window.
 ///
 /// ```
 /// use std::time::Duration;
@@ -58,126 +51,131 @@
     limit.clamp(0.0, f64::from(u32::MAX)) as u32
 }
 
-/// A request that was counted.
+/// A request that was counted against the allowance of its account.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Counted {
-    /// Its account.
+    /// The request's account.
     pub account: usage::Account,
-    /// What the account may have in a window.
+    /// Maximum number of requests of the account in a window.
     pub limit: u32,
-    /// What it adds to the use of the account.
+    /// What the request adds to the usage of the account.
     pub amount: Total,
-    part: u64,
+    /// Number of the window's bucket in which it was counted.
+    bucket: u64,
 }
 
 impl Counted {
-    /// Whether it begins a program.
+    /// Whether the request starts a program.
     pub fn begins(&self) -> bool {
         self.amount.planned > 0
     }
 
-    /// Whether it is within the allowance by a sum that counts it. A program that needs
-    /// more than the allowance by itself may begin where no other has: its requests are
-    /// spread over longer than a window.
+    /// Whether the request is within the allowance, given a sum that includes it. A
+    /// program that needs more than the limit on its own may start if no other program
+    /// has: its requests are spread over more than one window.
     pub fn within(&self, sum: Total) -> bool {
-        let most = self.limit.max(self.amount.planned);
-        let planned = !self.begins() || sum.planned <= most;
-        planned && sum.requests <= self.limit
+        let max_planned = self.limit.max(self.amount.planned);
+        let planned_fits = !self.begins() || sum.planned <= max_planned;
+        planned_fits && sum.requests <= self.limit
     }
 
-    /// Whether it leaves so much room that what is not known yet has some too.
-    fn roomy(&self, estimate: &Estimate) -> bool {
+    /// Whether enough of the limit remains for requests that the estimate does not include.
+    fn has_headroom(&self, estimate: &Estimate) -> bool {
         let requests = estimate.sum.requests;
-        let room = self.limit.saturating_sub(requests);
-        let unseen = estimate.unseen <= (room / BESIDE).max(1);
-        unseen && f64::from(requests) <= f64::from(self.limit) * NEAR
+        let remaining = self.limit.saturating_sub(requests);
+        let within_share = estimate.admitted_since <= (remaining / CONCURRENT_ENTRIES).max(1);
+        within_share && f64::from(requests) <= f64::from(self.limit) * LOCAL_ADMISSION_RATIO
     }
 }
 
-/// What is known of a request.
+/// Result of [`Register::verdict`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It is within the allowance.
+    /// The request is within the allowance.
     Within,
-    /// It is beyond the allowance.
+    /// The request exceeds the allowance.
     Beyond,
-    /// Keepers have to be asked.
+    /// The keepers have to be asked for the current sum.
     Unknown,
 }
 
-/// A sum, and when it was told.
+/// A sum over all entries, as received from the keepers.
 #[derive(Clone, Copy, Debug)]
-struct Known {
-    at: Instant,
+struct KnownSum {
+    received_at: Instant,
     sum: Total,
-    /// What this entry had let through, ever, when it asked.
-    own: Total,
+    /// [`AccountUsage::admitted`] at the time of the report.
+    admitted: Total,
 }
 
-/// The sum over all entries, as far as one of them knows it.
+/// An estimate of the sum over all entries: the last known sum, plus what this entry has
+/// admitted since.
 #[derive(Clone, Copy, Debug)]
 struct Estimate {
     sum: Total,
-    /// Requests that this entry let through since it was told the sum.
-    unseen: u32,
-    /// How long ago that was.
+    /// Requests that this entry admitted since it reported its usage for the known sum.
+    admitted_since: u32,
+    /// Time since the sum was received.
     age: Duration,
 }
 
-/// An account's use, as one entry knows it.
+/// An account's usage, as one entry knows it.
 #[derive(Debug, Default)]
-struct Use {
+struct AccountUsage {
     tally: Tally,
-    /// What this entry let through, ever.
-    own: Total,
-    known: Option<Known>,
-    told: Option<Instant>,
-    raised: bool,
+    /// Everything that this entry has admitted since it started; the counts wrap around.
+    admitted: Total,
+    known: Option<KnownSum>,
+    reported_at: Option<Instant>,
+    /// Whether the usage has changed since the last report.
+    changed: bool,
 }
 
-impl Use {
-    /// The sum at `now`; `None` before any was told.
+impl AccountUsage {
+    /// The estimated sum at `now`; `None` before the first sum was received.
     fn estimate(&self, now: Instant) -> Option<Estimate> {
         let known = self.known?;
-        let unseen = rise(known.own.requests, self.own.requests);
+        let admitted_since = increase(known.admitted.requests, self.admitted.requests);
         let sum = Total {
-            requests: known.sum.requests + unseen,
-            planned: known.sum.planned + rise(known.own.planned, self.own.planned),
+            requests: known.sum.requests + admitted_since,
+            planned: known.sum.planned + increase(known.admitted.planned, self.admitted.planned),
         };
         Some(Estimate {
             sum,
-            unseen,
-            age: now.saturating_duration_since(known.at),
+            admitted_since,
+            age: now.saturating_duration_since(known.received_at),
         })
     }
 }
 
-/// How far a count that wraps around has risen; nothing where it fell, because more was
-/// taken back than came.
-fn rise(before: u32, after: u32) -> u32 {
+/// The increase of a count that wraps around; 0 if it decreased because requests were
+/// taken back.
+fn increase(before: u32, after: u32) -> u32 {
     i32::try_from(after.wrapping_sub(before)).map_or(0, i32::unsigned_abs)
 }
 
-/// What a report was made for, to take in its answer: see [`Register::learn`].
+/// The state at the time of a report, needed to interpret the answer in
+/// [`Register::learn`].
 #[derive(Clone, Copy, Debug)]
 pub struct Mark {
-    /// The request.
+    /// The request for which the report was made.
     pub counted: Counted,
-    /// What this entry had let through for its account, ever.
-    own: Total,
+    /// [`AccountUsage::admitted`] of the request's account at the time of the report.
+    admitted: Total,
 }
 
-/// What one entry lets through.
+/// Counts the requests that one entry admits, by account.
 #[derive(Debug)]
 pub struct Register {
     entry: u64,
     window: Duration,
     start: Instant,
-    accounts: Mutex<HashMap<usage::Account, Use>>,
+    accounts: Mutex<HashMap<usage::Account, AccountUsage>>,
 }
 
 impl Register {
-    /// An empty register of an entry whose accounts are limited in each `window`.
+    /// Returns an empty register for the entry with the given number. Limits apply to
+    /// every `window`.
     pub fn new(entry: u64, window: Duration, now: Instant) -> Self {
         Self {
             entry,
@@ -187,23 +185,26 @@
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, HashMap<usage::Account, Use>> {
+    fn lock(&self) -> MutexGuard<'_, HashMap<usage::Account, AccountUsage>> {
         self.accounts.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn part(&self) -> Duration {
+    fn bucket_len(&self) -> Duration {
         self.window / PARTS
     }
 
-    /// The number of the part in which `now` is.
-    fn number(&self, now: Instant) -> u64 {
-        let since = now.saturating_duration_since(self.start).as_millis();
-        let part = since.checked_div(self.part().as_millis());
-        part.and_then(|p| u64::try_from(p).ok()).unwrap_or_default()
+    /// The number of the bucket that contains `now`.
+    fn bucket_number(&self, now: Instant) -> u64 {
+        let elapsed_ms = now.saturating_duration_since(self.start).as_millis();
+        let bucket = elapsed_ms.checked_div(self.bucket_len().as_millis());
+        bucket
+            .and_then(|p| u64::try_from(p).ok())
+            .unwrap_or_default()
     }
 
-    /// Counts a request of an account, if that is limited. One that begins a program is
-    /// given the requests that it is expected to need as `planned`, others 0.
+    /// Counts a request of an account; returns `None` if the account has no limit.
+    /// `planned` is the number of requests that the program is expected to need if the
+    /// request starts one, and 0 otherwise.
     pub fn count(&self, account: &Account, planned: u32, now: Instant) -> Option<Counted> {
         let limit = limit(account.allowance.as_ref()?, self.window);
         let counted = Counted {
@@ -213,99 +214,104 @@
                 requests: 1,
                 planned,
             },
-            part: self.number(now),
+            bucket: self.bucket_number(now),
         };
         let mut accounts = self.lock();
-        let used = accounts.entry(counted.account).or_default();
-        used.tally.add(counted.part, counted.amount);
-        used.own.requests = used.own.requests.wrapping_add(1);
-        used.own.planned = used.own.planned.wrapping_add(planned);
-        used.raised = true;
+        let account_usage = accounts.entry(counted.account).or_default();
+        account_usage.tally.add(counted.bucket, counted.amount);
+        account_usage.admitted.requests = account_usage.admitted.requests.wrapping_add(1);
+        account_usage.admitted.planned = account_usage.admitted.planned.wrapping_add(planned);
+        account_usage.changed = true;
         Some(counted)
     }
 
-    /// Takes a request back that has not run.
+    /// Removes a request that was counted but has not run.
     pub fn undo(&self, counted: &Counted) {
         let mut accounts = self.lock();
-        let Some(used) = accounts.get_mut(&counted.account) else {
+        let Some(account_usage) = accounts.get_mut(&counted.account) else {
             return;
         };
-        let back = counted.amount;
-        used.tally.undo(counted.part, back);
-        used.own.requests = used.own.requests.wrapping_sub(back.requests);
-        used.own.planned = used.own.planned.wrapping_sub(back.planned);
-        used.raised = true;
+        let amount = counted.amount;
+        account_usage.tally.undo(counted.bucket, amount);
+        account_usage.admitted.requests = account_usage
+            .admitted
+            .requests
+            .wrapping_sub(amount.requests);
+        account_usage.admitted.planned =
+            account_usage.admitted.planned.wrapping_sub(amount.planned);
+        account_usage.changed = true;
     }
 
-    /// What is known of a request without asking.
+    /// Decides on a request without asking the keepers, where possible.
     pub fn verdict(&self, counted: &Counted, now: Instant) -> Verdict {
         let accounts = self.lock();
         let estimate = accounts.get(&counted.account).and_then(|u| u.estimate(now));
         match estimate {
-            Some(known) if known.age <= FRESH => match counted.within(known.sum) {
+            Some(known) if known.age <= MAX_SUM_AGE => match counted.within(known.sum) {
                 false => Verdict::Beyond,
-                true if counted.roomy(&known) => Verdict::Within,
+                true if counted.has_headroom(&known) => Verdict::Within,
                 true => Verdict::Unknown,
             },
             _ => Verdict::Unknown,
         }
     }
 
-    /// Whether a request is let through where nobody can be asked: by the last sum that
-    /// was told in this window, if that leaves room. Nothing begins meanwhile, because
-    /// that takes the same keepers, so what others let through unseen are the calls of
-    /// the programs that are under way.
+    /// Whether a request is admitted while no keeper can be reached: only if a sum was
+    /// received within the last window and leaves enough headroom. No program can start
+    /// without the keepers, so other entries admit only calls of running programs
+    /// meanwhile.
     pub fn unasked(&self, counted: &Counted, now: Instant) -> bool {
         let accounts = self.lock();
         let estimate = accounts.get(&counted.account).and_then(|u| u.estimate(now));
-        estimate.is_some_and(|known| known.age <= self.window && counted.roomy(&known))
+        estimate.is_some_and(|known| known.age <= self.window && counted.has_headroom(&known))
     }
 
-    /// What this entry tells keepers with a request: the use of its account, and of all
-    /// others whose use has risen or was not told for long.
+    /// Builds the usage report that is sent to the keepers with a request: the usage of
+    /// its account, and of all accounts whose usage has changed or is due to be reported
+    /// again.
     pub fn report(&self, counted: &Counted, now: Instant) -> (Report, Mark) {
-        let number = self.number(now);
+        let bucket = self.bucket_number(now);
         let mut accounts = self.lock();
         let mut rows = Vec::new();
-        for (account, used) in accounts.iter_mut() {
-            let old = used
-                .told
-                .is_none_or(|t| now.saturating_duration_since(t) >= RETELL);
-            if !used.raised && !old && *account != counted.account {
+        for (account, account_usage) in accounts.iter_mut() {
+            let overdue = account_usage
+                .reported_at
+                .is_none_or(|t| now.saturating_duration_since(t) >= REPORT_INTERVAL);
+            if !account_usage.changed && !overdue && *account != counted.account {
                 continue;
             }
-            let parts = used.tally.told(number);
-            if parts.is_empty() && !used.raised {
+            let parts = account_usage.tally.told(bucket);
+            if parts.is_empty() && !account_usage.changed {
                 continue;
             }
-            (used.raised, used.told) = (false, Some(now));
+            (account_usage.changed, account_usage.reported_at) = (false, Some(now));
             rows.push(Row {
                 account: *account,
                 parts,
             });
         }
-        let own = accounts.get(&counted.account).map(|u| u.own);
+        let admitted = accounts.get(&counted.account).map(|u| u.admitted);
         let mark = Mark {
             counted: *counted,
-            own: own.unwrap_or_default(),
+            admitted: admitted.unwrap_or_default(),
         };
         let report = Report {
             entry: self.entry,
-            part_ms: u32::try_from(self.part().as_millis()).unwrap_or(u32::MAX),
+            part_ms: u32::try_from(self.bucket_len().as_millis()).unwrap_or(u32::MAX),
             asked: counted.account,
             rows,
         };
         (report, mark)
     }
 
-    /// Takes in the sum that answers a report.
+    /// Records the sum that the keepers answered to a report.
     pub fn learn(&self, mark: Mark, sum: Total, now: Instant) {
         let mut accounts = self.lock();
-        let used = accounts.entry(mark.counted.account).or_default();
-        used.known = Some(Known {
-            at: now,
+        let account_usage = accounts.entry(mark.counted.account).or_default();
+        account_usage.known = Some(KnownSum {
+            received_at: now,
             sum,
-            own: mark.own,
+            admitted: mark.admitted,
         });
     }
 }
--- a/crates/gradedyke-gateway/src/config.rs
+++ b/crates/gradedyke-gateway/src/config.rs
@@ -1,4 +1,5 @@
-//! Routes and services as the operator sets them, whole and versioned.
+//! The operator's configuration of routes, services, limits and client accounts, replaced
+//! as a whole with each version.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -8,19 +9,19 @@
 
 use crate::account::Directory;
 
-/// What repeating a request may do.
+/// Whether requests of a route may run more than once, and how they are answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// It may run any number of times.
+    /// A request may run any number of times.
     Idempotent,
-    /// It may run at most once.
+    /// A request may run at most once.
     Once,
-    /// It may run at most once, and its answer is a stream of events.
+    /// A request may run at most once, and its response is a stream of events.
     Stream,
 }
 
 impl Kind {
-    /// Its name in logs and metrics.
+    /// The name used in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Kind::Idempotent => "idempotent",
@@ -30,104 +31,104 @@
     }
 }
 
-/// A service that gets a share of a route's requests.
+/// A service that receives a share of a route's requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Target {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// Its share, relative to the others'.
+    /// Weight relative to the route's other targets.
     pub weight: f64,
 }
 
-/// A route.
+/// A rule that maps requests by host and path prefix to services.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Its name.
+    /// The route's name, unique in the configuration.
     pub name: String,
-    /// The host it serves.
+    /// Host name of the requests.
     pub host: String,
-    /// What the path begins with.
+    /// Path prefix of the requests.
     pub prefix: String,
-    /// What repeating does.
+    /// Whether requests may run more than once, and how they are answered.
     pub kind: Kind,
-    /// Longest time a request is held.
+    /// Maximum duration of a request.
     pub timeout: Duration,
-    /// Time in which an answer is worth most.
+    /// Target latency of an answer.
     pub objective: Duration,
-    /// Rank; 0 is first.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// Where requests go.
+    /// Services that receive the requests.
     pub targets: Vec<Target>,
-    /// Most servers a request may be sent to.
+    /// Maximum number of servers that a request is sent to.
     pub attempts: u32,
-    /// How long turns are kept, if the system keeps them.
+    /// How long turns are stored; `None` if they are not stored.
     pub retention: Option<Duration>,
-    /// Whether a stream that broke off may go on at another server, behind the last
-    /// event that came.
+    /// Whether an interrupted stream may be resumed at another server, after the last
+    /// event received.
     pub resumable: bool,
-    /// Whether callers need no key.
+    /// Whether callers may send requests without a key.
     pub public: bool,
     /// The regions in which requests may run; `None` for all.
     pub regions: Option<Vec<String>>,
 }
 
-/// A model engine's figures.
+/// Capacity of a model engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Engine {
-    /// Requests it runs at a time.
+    /// Number of requests that run at the same time.
     pub slots: u32,
-    /// Tokens its memory holds.
+    /// Number of tokens that fit in its cache.
     pub cache_tokens: u64,
-    /// Tokens in one event of a stream, at most.
+    /// Maximum number of tokens in one event of a stream.
     pub event_tokens: u32,
 }
 
-/// A service.
+/// A group of backend servers that run the same requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Its name.
+    /// The service's name, unique in the configuration.
     pub name: String,
-    /// Connections that one server takes from all callers together.
+    /// Maximum number of connections of one server, over all entries.
     pub connections: u32,
-    /// Requests a second that one of its servers bears while it warms up, from all entries
-    /// together; `None` where there is no such bound.
+    /// Maximum requests per second to a server that is warming up, over all entries; `None`
+    /// for no limit.
     pub warm_up_rate: Option<f64>,
-    /// Figures of its engines, if it runs models.
+    /// Capacity of the service's engines, if it runs models.
     pub engine: Option<Engine>,
 }
 
-/// Limits on what callers send.
+/// Limits on requests and connections of callers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Largest head of a request, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub head_bytes: usize,
-    /// Largest body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// Longest time for a head to arrive.
+    /// Timeout for receiving a request head.
     pub head: Duration,
-    /// Longest rest of a connection.
+    /// Idle timeout of a connection.
     pub idle: Duration,
 }
 
 /// The whole configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
-    /// Rises with each change.
+    /// Version number, which increases with each change.
     pub version: u64,
-    /// Ranks that routes have: from 0 to below this.
-    ranks: u8,
-    /// The routes by host, the longest prefix first.
+    /// Number of route priorities: each is lower than this.
+    priority_count: u8,
+    /// The routes by host, those with the longest prefix first.
     routes: HashMap<String, Vec<Arc<Route>>>,
     /// The services by name.
     pub services: HashMap<String, Service>,
-    /// Limits on callers.
+    /// Limits on requests and connections of callers.
     pub limits: Limits,
-    /// The client accounts, if callers need keys.
+    /// The client accounts; `None` if callers need no keys.
     pub accounts: Option<Directory>,
 }
 
 impl Config {
-    /// A configuration of these parts.
+    /// Builds a configuration and indexes its routes by host and its services by name.
     pub fn new(
         version: u64,
         routes: Vec<Route>,
@@ -135,7 +136,7 @@
         limits: Limits,
         accounts: Option<Directory>,
     ) -> Self {
-        let ranks = routes.iter().map(|r| r.priority.saturating_add(1)).max();
+        let priority_count = routes.iter().map(|r| r.priority.saturating_add(1)).max();
         let mut by_host: HashMap<String, Vec<Arc<Route>>> = HashMap::new();
         for route in routes {
             let host = route.host.to_ascii_lowercase();
@@ -144,56 +145,59 @@
         for routes in by_host.values_mut() {
             routes.sort_by_key(|r| std::cmp::Reverse(r.prefix.len()));
         }
-        let named = |s: Service| (s.name.clone(), s);
+        let by_name = |s: Service| (s.name.clone(), s);
         Self {
             version,
-            ranks: ranks.unwrap_or(1),
+            priority_count: priority_count.unwrap_or(1),
             routes: by_host,
-            services: services.into_iter().map(named).collect(),
+            services: services.into_iter().map(by_name).collect(),
             limits,
             accounts,
         }
     }
 
-    /// The route of a request: of its host's routes the one with the longest
-    /// prefix that begins the path.
+    /// Finds the route of a request: the one with the longest matching path prefix among the
+    /// routes of its host.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let routes = self.routes.get(&name.to_ascii_lowercase())?;
         routes.iter().find(|r| path.starts_with(&r.prefix))
     }
 
-    /// The rank of a request at an engine; 0 is first. That of its account goes before
-    /// that of its route, so that an account's long conversations do not wait behind
-    /// short drafts of another one with the same rank.
+    /// The priority of a request at an engine; 0 is the highest. The priority of the account
+    /// takes precedence over that of the route, so that requests of one account on a
+    /// low-priority route do not wait behind those of a lower-priority account.
     pub fn rank(&self, account: Option<u8>, route: &Route) -> u8 {
-        rank(account, route.priority, self.ranks)
+        rank(account, route.priority, self.priority_count)
     }
 
-    /// How many routes there are.
+    /// Number of routes.
     pub fn len(&self) -> usize {
         self.routes.values().map(Vec::len).sum()
     }
 
-    /// Whether there is no route.
+    /// Whether there are no routes.
     pub fn is_empty(&self) -> bool {
         self.routes.is_empty()
     }
 }
 
-/// The rank of an account before that of a route, where routes have `ranks` of them.
+/// Combines the priorities of an account and a route, where route priorities are lower than
+/// `route_priorities`. The account's priority takes precedence.
 ///
 /// ```
 /// use gradedyke_gateway::config::rank;
 ///
-/// // Routes have the ranks 0 to 2.
+/// // Routes have the priorities 0 to 2.
 /// assert_eq!(rank(None, 1, 3), 1);
 /// assert_eq!(rank(Some(0), 2, 3), 2);
 /// assert_eq!(rank(Some(1), 0, 3), 3);
 /// ```
-pub fn rank(account: Option<u8>, route: u8, ranks: u8) -> u8 {
+pub fn rank(account: Option<u8>, route: u8, route_priorities: u8) -> u8 {
     let account = account.unwrap_or(0);
-    account.saturating_mul(ranks).saturating_add(route)
+    account
+        .saturating_mul(route_priorities)
+        .saturating_add(route)
 }
 
 impl Route {
@@ -202,30 +206,30 @@
         self.kind == Kind::Idempotent || self.resumable
     }
 
-    /// The service for a request: by the targets' weights, the same one for
-    /// requests with the same `name`.
+    /// Chooses the service for a request by the targets' weights. Requests with the same
+    /// `name` get the same service.
     pub fn target(&self, name: Option<&Id>) -> Option<&str> {
         let total: f64 = self.targets.iter().map(|t| t.weight).sum();
-        let mut at = total * share(name);
+        let mut remaining = total * hash_fraction(name);
         for target in &self.targets {
-            if at < target.weight {
+            if remaining < target.weight {
                 return Some(&target.service);
             }
-            at -= target.weight;
+            remaining -= target.weight;
         }
         self.targets.last().map(|t| t.service.as_str())
     }
 }
 
-/// A number from 0 to below 1 that follows from a name, or a random one.
-fn share(name: Option<&Id>) -> f64 {
+/// Hashes a name to a number in `0.0..1.0`; without a name the number is random.
+fn hash_fraction(name: Option<&Id>) -> f64 {
     use std::hash::{DefaultHasher, Hash, Hasher};
     let Some(name) = name else {
         return rand::random();
     };
     let mut hasher = DefaultHasher::new();
     name.as_str().hash(&mut hasher);
-    // The upper 32 bits as a fraction of all that 32 bits can hold.
+    // The upper 32 bits of the hash, divided by 2^32.
     let upper = u32::try_from(hasher.finish() >> 32).unwrap_or_default();
     f64::from(upper) / (f64::from(u32::MAX) + 1.0)
 }
--- a/crates/gradedyke-gateway/src/dialect.rs
+++ b/crates/gradedyke-gateway/src/dialect.rs
@@ -1,7 +1,8 @@
-//! The border towards callers, backend servers and the platform.
+//! Interface between the gateway and the formats of callers, backend servers and the
+//! platform.
 //!
-//! A [`Dialect`] decodes what comes in, once, into the types here, and encodes
-//! what goes out. It decides nothing.
+//! A [`Dialect`] decodes headers and stored values into the types of this module, and
+//! encodes outgoing headers. It contains no routing or retry logic.
 
 use std::time::Duration;
 
@@ -14,134 +15,136 @@
 use crate::fleet::Server;
 use crate::prefix::Part;
 
-/// What a caller says of its request besides method, path and body.
+/// Metadata of a caller's request, taken from its headers.
 #[derive(Clone, Debug, Default)]
 pub struct Meta {
-    /// The request's name; each attempt of the caller has one of its own.
+    /// The request's id, different for each attempt of the caller.
     pub request: Option<Id>,
-    /// How long the caller waits, from the arrival on.
+    /// How long the caller waits, counted from the request's arrival.
     pub deadline: Option<Duration>,
-    /// The program the request belongs to.
+    /// The program that the request belongs to.
     pub program: Option<Id>,
-    /// The line of turns within the program.
+    /// The conversation within the program.
     pub session: Option<Id>,
-    /// In how long the whole program should be over.
+    /// Time within which the whole program should finish.
     pub finish: Option<Duration>,
-    /// Tokens that all turns of the program may generate.
+    /// Maximum number of tokens that all turns of the program may generate together.
     pub budget: Option<u64>,
-    /// Size of the prompt and of the longest answer.
+    /// Size of the prompt and maximum size of the answer.
     pub usage: Option<Usage>,
-    /// The turn it continues.
+    /// The turn that this request continues.
     pub parent: Option<Id>,
-    /// The parts of its prompt, in order; those shared by many come first.
+    /// The parts of the prompt, in order; parts shared by many requests come first.
     pub parts: Vec<Part>,
-    /// The caller's key.
+    /// The caller's API key, hashed.
     pub key: Option<Key>,
 }
 
 /// Sizes of a model call, in tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Usage {
-    /// The whole prompt.
+    /// Size of the whole prompt.
     pub prompt: u64,
-    /// The answer, at most.
+    /// Maximum size of the answer.
     pub answer: u32,
 }
 
-/// What a request carries to a backend server besides the caller's own words.
+/// What the gateway adds to the headers of a request to a backend server.
 #[derive(Clone, Debug)]
 pub struct Outbound<'a> {
-    /// The server that is meant; any other must refuse.
+    /// The intended server; any other must refuse the request.
     pub server: &'a Id,
-    /// Time left, after which the server gives up.
+    /// Remaining time, after which the server cancels the request.
     pub left: Duration,
-    /// Rank at the server; 0 is first.
+    /// Priority at the server; 0 is the highest.
     pub urgency: Option<u8>,
-    /// The client account whose request it is.
+    /// The client account of the request.
     pub account: Option<&'a Account>,
-    /// The event behind which a stream goes on.
+    /// Id of the event after which a stream is resumed.
     pub after: Option<&'a [u8]>,
 }
 
-/// What the head of a backend server's answer says.
+/// Metadata of a backend server's response, taken from its headers.
 #[derive(Clone, Debug, Default)]
 pub struct Answer {
-    /// Which request it answers.
+    /// Id of the request that is answered.
     pub request: Option<Id>,
-    /// The server says that it did not run the request.
+    /// Whether the server states that it did not run the request.
     pub not_run: bool,
-    /// Another server has the address.
+    /// Whether another server than the intended one answered.
     pub misdirected: bool,
-    /// The server's mark on its answers.
+    /// Whether the response carries the header that marks responses of backend servers.
     pub stamped: bool,
-    /// The connection is not to be used again.
+    /// Whether the connection must not be used again.
     pub last: bool,
-    /// How long the connection may rest.
+    /// The server's idle timeout for the connection.
     pub idle: Option<Duration>,
 }
 
-/// What an item of the directory says of a backend server.
+/// Result of decoding a backend server's item in the directory.
 pub type Listed = Result<Server, Invalid>;
 
-/// A value of the platform that cannot be read.
+/// A value in the platform's key-value service that cannot be decoded.
 #[derive(Clone, Debug, thiserror::Error)]
-#[error("{what} cannot be read ({cause}); what was in force stays, see who wrote it")]
+#[error(
+    "cannot decode {what}: {cause}; the previous value stays in force, check who wrote this one"
+)]
 pub struct Invalid {
-    /// What it is.
+    /// The item that cannot be decoded.
     pub what: String,
-    /// Why not.
+    /// The reason.
     pub cause: String,
 }
 
-/// How the outside spells things.
+/// Decodes and encodes the formats of callers, backend servers and the platform.
 pub trait Dialect: Removal {
-    /// Reads the head of a caller's request.
+    /// Decodes the headers of a caller's request.
     fn meta(&self, headers: &HeaderMap) -> Meta;
 
-    /// The headers of a request to a backend server: the caller's, without
-    /// those that concern its connection or are the system's to set, and what
-    /// the system adds.
+    /// The headers of a request to a backend server: the caller's headers without hop-by-hop
+    /// headers and those reserved for the gateway, plus the headers for `outbound`.
     fn outbound(&self, headers: &HeaderMap, outbound: &Outbound<'_>) -> HeaderMap;
 
-    /// Reads the head of an answer.
+    /// Decodes the status and headers of a backend server's response.
     fn answer(&self, status: StatusCode, headers: &HeaderMap) -> Answer;
 
-    /// The headers of an answer to the caller: the server's, without those that
-    /// concern its connection.
+    /// The headers of the response to the caller: the server's headers without hop-by-hop
+    /// headers.
     fn inbound(&self, headers: &HeaderMap) -> HeaderMap;
 
-    /// What the data line of an event adds to the conversation.
+    /// The text that the data line of an event adds to the conversation.
     fn event_data<'a>(&self, event: &'a [u8]) -> Option<&'a [u8]>;
 
-    /// The name of an event, by which a stream can go on behind it.
+    /// The id of an event, from which a stream can be resumed.
     fn event_id<'a>(&self, event: &'a [u8]) -> Option<&'a [u8]>;
 
-    /// The path on which the platform asks whether callers may come.
+    /// The path of the platform's readiness checks.
     fn ready_path(&self) -> &str;
 
-    /// The key of the configuration.
+    /// The key under which the configuration is stored.
     fn config_key(&self) -> &str;
 
-    /// Reads the configuration.
+    /// Decodes the configuration.
     ///
     /// # Errors
     ///
-    /// [`Invalid`] when it is not one.
+    /// [`Invalid`] if the value is not a valid configuration.
     fn config(&self, value: &[u8]) -> Result<Config, Invalid>;
 
-    /// What the keys of backend servers begin with.
+    /// The prefix of the keys of backend servers.
     fn server_prefix(&self) -> &str;
 
-    /// Reads a backend server's item.
+    /// Decodes a backend server's item.
     ///
     /// # Errors
     ///
-    /// [`Invalid`] when it is not one.
+    /// [`Invalid`] if the item does not describe a backend server.
     fn server(&self, key: &str, value: &[u8]) -> Listed;
 
-    /// What the keys begin with that each ask to evacuate a data centre; its name follows.
+    /// The prefix of the keys that each request the evacuation of a data centre; the rest of
+    /// the key is the data centre's name.
     fn evacuation_prefix(&self) -> &str;
 
-    /// What all keys to be mirrored begin with.
+    /// The prefixes of all keys that processes mirror.
     fn prefixes(&self) -> Vec<&str>;
 }
--- a/crates/gradedyke-gateway/src/event.rs
+++ b/crates/gradedyke-gateway/src/event.rs
@@ -1,38 +1,38 @@
-//! Events within a stream (`text/event-stream`), cut apart but not changed.
+//! Splits a `text/event-stream` into events without changing their bytes.
 
 use bytes::{Bytes, BytesMut};
 
-/// Longest event that is waited for, in bytes.
-const EVENT_BYTES: usize = 1 << 20;
+/// Maximum size of an event, in bytes.
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Cuts a stream into events, each with the empty line that ends it.
+/// Splits a stream into events, each including the empty line that ends it.
 #[derive(Debug, Default)]
 pub struct Splitter {
     buffer: BytesMut,
-    /// Bytes at the start of the buffer that hold no end of an event.
+    /// Number of bytes at the start of the buffer already searched for the end of an event.
     searched: usize,
 }
 
-/// An event is longer than is waited for.
+/// The buffered data exceeds the maximum size of an event.
 #[derive(Debug, thiserror::Error)]
-#[error("an event has over {EVENT_BYTES} bytes; see what the backend server sends")]
+#[error("event exceeds {MAX_EVENT_BYTES} bytes; check the stream of the backend server")]
 pub struct TooLong;
 
 impl Splitter {
-    /// Takes bytes in.
+    /// Appends received bytes to the buffer.
     ///
     /// # Errors
     ///
-    /// [`TooLong`] when an event does not end.
+    /// [`TooLong`] if more bytes are buffered than an event may have.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), TooLong> {
         self.buffer.extend_from_slice(bytes);
-        if self.buffer.len() > EVENT_BYTES {
+        if self.buffer.len() > MAX_EVENT_BYTES {
             return Err(TooLong);
         }
         Ok(())
     }
 
-    /// The next whole event.
+    /// Removes and returns the next complete event.
     ///
     /// ```
     /// use gradedyke_gateway::event::Splitter;
@@ -44,7 +44,7 @@
     /// ```
     pub fn next_event(&mut self) -> Option<Bytes> {
         let from = self.searched.saturating_sub(3);
-        let end = end(&self.buffer[from..]).map(|at| from + at);
+        let end = find_event_end(&self.buffer[from..]).map(|at| from + at);
         let Some(end) = end else {
             self.searched = self.buffer.len();
             return None;
@@ -53,14 +53,14 @@
         Some(self.buffer.split_to(end).freeze())
     }
 
-    /// What came after the last whole event.
+    /// The bytes after the last complete event.
     pub fn rest(&self) -> &[u8] {
         &self.buffer
     }
 }
 
-/// Where the first empty line ends.
-fn end(bytes: &[u8]) -> Option<usize> {
+/// Finds the offset just after the first empty line.
+fn find_event_end(bytes: &[u8]) -> Option<usize> {
     for (at, byte) in bytes.iter().enumerate() {
         if *byte != b'\n' {
             continue;
@@ -74,12 +74,12 @@
     None
 }
 
-/// The lines of an event that begin with `field`, without it.
-pub fn field<'a>(event: &'a [u8], field: &str) -> Option<&'a [u8]> {
+/// The value of the first line of an event that has the field `name`.
+pub fn field<'a>(event: &'a [u8], name: &str) -> Option<&'a [u8]> {
     let mut lines = event.split(|b| *b == b'\n');
     lines.find_map(|line| {
         let line = line.strip_suffix(b"\r").unwrap_or(line);
-        let rest = line.strip_prefix(field.as_bytes())?.strip_prefix(b":")?;
-        Some(rest.strip_prefix(b" ").unwrap_or(rest))
+        let value = line.strip_prefix(name.as_bytes())?.strip_prefix(b":")?;
+        Some(value.strip_prefix(b" ").unwrap_or(value))
     })
 }
--- a/crates/gradedyke-gateway/src/lib.rs
+++ b/crates/gradedyke-gateway/src/lib.rs
@@ -1,32 +1,34 @@
-//! The HTTP gateway: takes callers' requests, finds where each may run, and
-//! relays the answers.
+//! HTTP gateway that routes callers' requests to backend servers and relays the responses.
 //!
-//! Two roles make a deployment. An *entry* stands before the callers: it routes
-//! by host and path, chooses a backend server, keeps within each route's limits
-//! and passes answers on byte for byte. It keeps nothing that must last. A
-//! *keeper* has a disk: it keeps turns and budgets ([`gradedyke_turns`]) and
-//! tells entries what the platform's key-value service holds.
+//! A process of a deployment has one of two roles. An *entry* accepts requests from callers:
+//! it routes by host and path, chooses a backend server, enforces limits and relays the
+//! response unchanged. It stores nothing durable. A *keeper* has a disk: it stores turns and
+//! token budgets ([`gradedyke_turns`]) and passes the data of the platform's key-value
+//! service on to entries.
 //!
-//! How callers, backend servers and the platform spell all this is behind the
-//! traits of [`dialect`]; nothing here knows a header or a key by name.
+//! A *program* is a sequence of requests of one agent; a *turn* is one request of its
+//! conversation with a model.
 //!
-//! - [`dialect`]: the border towards the outside, in this project's types.
-//! - [`config`]: routes and services as the operator sets them; [`account`]: client
-//!   accounts and their keys.
+//! The names of headers and keys are known only to the implementation of
+//! [`dialect::Dialect`], outside this crate.
+//!
+//! - [`dialect`]: interface to the formats of callers, backend servers and the platform.
+//! - [`config`]: the operator's routes and services; [`account`]: client accounts and their
+//!   keys.
 //! - [`settings`]: settings of one process.
-//! - [`fleet`]: the backend servers; [`health`]: what is learned of one of them;
-//!   [`prefix`]: what it holds of prompts; [`estimate`]: usual times;
-//!   [`placement`]: which of them runs a request.
-//! - [`allowance`]: whether a request is within its account's allowance; [`demand`]: how
-//!   many requests a program needs; [`throttle`]: whether one may begin while keepers have
-//!   more to do than they can.
-//! - [`mechanism`]: what of all this can be switched off, to measure its worth.
-//! - [`window`]: sums over the last seconds.
+//! - [`fleet`]: the known backend servers; [`health`]: health of a server; [`prefix`]: prompt
+//!   prefixes in a server's cache; [`estimate`]: estimated durations; [`placement`]: the
+//!   choice of a server for a request.
+//! - [`allowance`]: rate limits of client accounts; [`demand`]: expected number of requests
+//!   of a program; [`throttle`]: admission of new programs while keepers are overloaded.
+//! - [`mechanism`]: mechanisms that can be switched off, to measure their effect.
+//! - [`window`]: sums over a sliding time window.
 //! - [`link`]: connections to backend servers.
-//! - [`event`]: events within a stream.
-//! - [`entry`]: requests from their head to their last byte.
-//! - [`news`]: where a process learns from what the platform's service holds.
-//! - [`process`]: a process from start to stop.
+//! - [`event`]: splitting of event streams.
+//! - [`entry`]: handling of requests and responses.
+//! - [`news`]: updates of a process's copy of the platform's data.
+//! - [`meter`]: metrics recorder and metrics page.
+//! - [`process`]: start and shutdown of a process.
 
 pub mod account;
 pub mod allowance;
--- a/crates/gradedyke-gateway/src/link.rs
+++ b/crates/gradedyke-gateway/src/link.rs
@@ -1,8 +1,8 @@
-//! Connections to one backend server.
+//! Connection pool for one backend server.
 //!
-//! What matters about a failed request is whether the server may have run it.
-//! Only a connect that failed, or a connection that closed before it took the
-//! request, says for certain that it did not.
+//! For a failed request it matters whether the server may have run it. It certainly has
+//! not only if the connect failed, or if the connection closed before the request was
+//! handed to it.
 
 use std::io;
 use std::net::SocketAddr;
@@ -19,32 +19,29 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// Longest time for a connect: a hundred times the way to any server here; a
-/// lost opening packet is sent again after a second, and another server is
-/// better than waiting for that.
-const CONNECT: Duration = Duration::from_millis(300);
-/// Longest time for which sent bytes may stay unacknowledged. A server that was
-/// cut off or lost power says nothing, and requests to it would wait for their
-/// whole time. Three tries of the system to send a packet again fit in. Acknowledgements
-/// come from the server's system, so a slow server keeps its connection while that has
-/// room for the bytes; one that takes in nothing for so long with its buffer full is given
-/// up like one that is gone.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(700);
-/// Silence after which the server's system is asked whether it is still there, and
-/// the wait before it is asked again: the shortest that sockets allow.
-const PROBE: Duration = Duration::from_secs(1);
-/// Longest rest of a connection that is used for a request which must not run
-/// twice. Servers in use close theirs after 1.5 s and more, and a request that
-/// meets the closing may have run.
-const REST: Duration = Duration::from_millis(900);
-/// The same for a request that may be repeated. Longer than nearly all rests
-/// that servers allow, for their closing is seen.
-const REST_REPEATABLE: Duration = Duration::from_millis(4_000);
-/// How long before the end of the rest that a server allows a connection is no
-/// longer used: the way there, with a slow moment of either side.
-const REST_MARGIN: Duration = Duration::from_millis(300);
-/// Connections that rest at a time. More than a burst needs are closed.
-const RESTING: usize = 16;
+/// Connect timeout. TCP retransmits a lost SYN only after a second; by then it is better to
+/// have tried another server.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// How long sent data may stay unacknowledged (`TCP_USER_TIMEOUT`). It detects a server that
+/// lost power or its network, and leaves time for three retransmissions. The server's kernel
+/// acknowledges, so a slow server keeps its connection unless its receive buffer stays full
+/// for this long.
+const TCP_USER_TIMEOUT: Duration = Duration::from_millis(700);
+/// Idle time before the first TCP keepalive probe, and interval between probes: the minimum
+/// that the socket options allow.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// Maximum idle time of a connection that is used for a request which must not run twice.
+/// Shorter than the idle timeouts of servers: if the server closes the connection while the
+/// request is sent, the request may have run.
+const MAX_IDLE_ONCE: Duration = Duration::from_millis(900);
+/// Maximum idle time of a connection that is used for a repeatable request. It may exceed
+/// the server's idle timeout, since a request on a closed connection is simply repeated.
+const MAX_IDLE_REPEATABLE: Duration = Duration::from_millis(4_000);
+/// A connection is not used within this time before the server's idle timeout, to allow for
+/// network latency and short stalls of either side.
+const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(300);
+/// Maximum number of idle connections kept for one server.
+const MAX_IDLE_CONNECTIONS: usize = 16;
 
 /// A request body.
 pub type Body = Full<Bytes>;
@@ -52,57 +49,65 @@
 /// Why a request failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// Nothing was sent.
-    #[error("{0} cannot be reached ({1}); see whether it runs")]
+    /// The request was not sent.
+    #[error("cannot reach backend server {0}: {1}; check that it is running")]
     NotSent(SocketAddr, String),
-    /// It was sent, and may have run.
-    #[error("{0} broke off ({1}); the request may have run, see its log")]
+    /// The request was sent and may have run.
+    #[error(
+        "connection to backend server {0} failed: {1}; the request may have run, check the server's log"
+    )]
     Broken(SocketAddr, String),
 }
 
-struct Resting {
+struct IdleConnection {
     sender: SendRequest<Body>,
-    since: Instant,
-    /// How long the server lets it rest.
-    idle: Duration,
+    idle_since: Instant,
+    /// The server's idle timeout, less a margin.
+    max_idle: Duration,
 }
 
-impl Resting {
-    fn usable(&self, repeatable: bool, now: Instant) -> bool {
-        let rest = if repeatable { REST_REPEATABLE } else { REST };
-        now.saturating_duration_since(self.since) < rest.min(self.idle)
+impl IdleConnection {
+    fn is_usable(&self, repeatable: bool, now: Instant) -> bool {
+        let max_idle = if repeatable {
+            MAX_IDLE_REPEATABLE
+        } else {
+            MAX_IDLE_ONCE
+        };
+        now.saturating_duration_since(self.idle_since) < max_idle.min(self.max_idle)
     }
 }
 
-/// Has a connection send at once, and break when the other side is gone.
-fn tune(stream: &TcpStream) -> io::Result<()> {
+/// Disables Nagle's algorithm and sets the timeouts that detect a lost peer.
+fn set_socket_options(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED))?;
-    let keepalive = TcpKeepalive::new().with_time(PROBE).with_interval(PROBE);
+    socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT))?;
+    let keepalive = TcpKeepalive::new()
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL);
     socket.set_tcp_keepalive(&keepalive)
 }
 
-/// The connections to one server.
+/// Idle connections to one backend server, and the means to open new ones.
 pub struct Pool {
     address: SocketAddr,
-    resting: Mutex<Vec<Resting>>,
+    idle: Mutex<Vec<IdleConnection>>,
 }
 
-/// A connection in use. It is closed when this is dropped without
-/// [`Pool::rest`], which also cancels the request on it.
+/// A connection in use. Dropping it closes the connection and cancels the request on it;
+/// [`Pool::rest`] returns it to the pool instead.
 pub struct Link {
     sender: SendRequest<Body>,
-    /// Whether it has carried a request before.
+    /// Whether the connection has carried an earlier request.
     pub used: bool,
 }
 
 impl Pool {
-    /// Connections to the server at `address`; none is made yet.
+    /// Creates an empty pool for the server at `address`; connects nothing yet.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             address,
-            resting: Mutex::default(),
+            idle: Mutex::default(),
         }
     }
 
@@ -111,35 +116,35 @@
         self.address
     }
 
-    fn resting(&self, now: Instant) -> MutexGuard<'_, Vec<Resting>> {
-        let mut resting = self.resting.lock().unwrap_or_else(PoisonError::into_inner);
-        resting.retain(|r| r.usable(true, now) && !r.sender.is_closed());
-        resting
+    /// Locks the idle connections and drops the expired ones.
+    fn lock_idle(&self, now: Instant) -> MutexGuard<'_, Vec<IdleConnection>> {
+        let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
+        idle.retain(|c| c.is_usable(true, now) && !c.sender.is_closed());
+        idle
     }
 
-    /// Whether a connection rests that a request could use.
+    /// Whether there is an idle connection that a request could use.
     pub fn warm(&self, repeatable: bool, now: Instant) -> bool {
-        let resting = self.resting(now);
-        resting
-            .iter()
-            .any(|r| r.usable(repeatable, now) && r.sender.is_ready())
+        let idle = self.lock_idle(now);
+        idle.iter()
+            .any(|c| c.is_usable(repeatable, now) && c.sender.is_ready())
     }
 
-    fn take(&self, repeatable: bool, now: Instant) -> Option<Link> {
-        let mut resting = self.resting(now);
-        let usable = |r: &Resting| r.usable(repeatable, now) && r.sender.is_ready();
-        let place = resting.iter().rposition(usable)?;
-        let sender = resting.swap_remove(place).sender;
+    fn take_idle(&self, repeatable: bool, now: Instant) -> Option<Link> {
+        let mut idle = self.lock_idle(now);
+        let is_usable = |c: &IdleConnection| c.is_usable(repeatable, now) && c.sender.is_ready();
+        let index = idle.iter().rposition(is_usable)?;
+        let sender = idle.swap_remove(index).sender;
         Some(Link { sender, used: true })
     }
 
     async fn connect(&self) -> Result<Link, Error> {
         let not_sent = |cause: String| Error::NotSent(self.address, cause);
-        let connect = tokio::time::timeout(CONNECT, TcpStream::connect(self.address)).await;
+        let connect = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(self.address)).await;
         let stream = connect
-            .map_err(|_| not_sent("no answer to the connect".to_owned()))?
+            .map_err(|_| not_sent("connect timed out".to_owned()))?
             .map_err(|e| not_sent(e.to_string()))?;
-        tune(&stream).map_err(|e| not_sent(e.to_string()))?;
+        set_socket_options(&stream).map_err(|e| not_sent(e.to_string()))?;
         let (sender, connection) = http1::handshake(TokioIo::new(stream))
             .await
             .map_err(|e| not_sent(e.to_string()))?;
@@ -156,25 +161,25 @@
         })
     }
 
-    /// Sends a request on a resting connection or a new one, and waits for the
-    /// head of the answer. Whether it is `repeatable` decides how long a
-    /// connection may have rested.
+    /// Sends a request on an idle connection or a new one, and waits for the head of the
+    /// response. `repeatable` decides how long a connection may have been idle.
     ///
     /// # Errors
     ///
-    /// [`Error::NotSent`] when it certainly has not run.
+    /// [`Error::NotSent`] if the request certainly has not run, [`Error::Broken`] if it may
+    /// have.
     pub async fn send(
         &self,
         mut request: Request<Body>,
         repeatable: bool,
         now: Instant,
     ) -> Result<(Response<Incoming>, Link), Error> {
-        if let Some(mut link) = self.take(repeatable, now) {
+        if let Some(mut link) = self.take_idle(repeatable, now) {
             match link.sender.try_send_request(request).await {
                 Ok(response) => return Ok((response, link)),
                 Err(mut failed) => match failed.take_message() {
-                    // The connection closed before it took the request.
-                    Some(back) => request = back,
+                    // The connection closed before it accepted the request.
+                    Some(unsent) => request = unsent,
                     None => {
                         return Err(Error::Broken(self.address, failed.error().to_string()));
                     }
@@ -196,23 +201,25 @@
         }
     }
 
-    /// Keeps a connection for the next request, after an answer that was read
-    /// to its end. `idle` is how long the server lets it rest.
-    pub fn rest(&self, link: Link, idle: Option<Duration>, now: Instant) {
-        let idle = idle.map_or(REST_REPEATABLE, |i| i.saturating_sub(REST_MARGIN));
-        let mut resting = self.resting(now);
-        if resting.len() < RESTING && !link.sender.is_closed() {
-            resting.push(Resting {
+    /// Returns a connection to the pool after its response was read to the end. `idle_timeout`
+    /// is that of the server, if known.
+    pub fn rest(&self, link: Link, idle_timeout: Option<Duration>, now: Instant) {
+        let max_idle = idle_timeout.map_or(MAX_IDLE_REPEATABLE, |t| {
+            t.saturating_sub(IDLE_TIMEOUT_MARGIN)
+        });
+        let mut idle = self.lock_idle(now);
+        if idle.len() < MAX_IDLE_CONNECTIONS && !link.sender.is_closed() {
+            idle.push(IdleConnection {
                 sender: link.sender,
-                since: now,
-                idle,
+                idle_since: now,
+                max_idle,
             });
         }
     }
 
-    /// Closes all connections that rest.
+    /// Closes all idle connections.
     pub fn clear(&self) {
-        self.resting
+        self.idle
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .clear();
--- a/crates/gradedyke-gateway/src/news.rs
+++ b/crates/gradedyke-gateway/src/news.rs
@@ -1,4 +1,7 @@
-//! How a process comes by what the platform's service holds.
+//! Keeps a process's copy of the platform's key-value data up to date.
+//!
+//! A few keepers read the key-value service; all other processes receive the data from
+//! them, and read the service themselves only while no other process has recent data.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,21 +16,21 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// Time after which a keeper asks once more beside a call that has no answer: longer than the
-/// service takes on its worst days.
-const BESIDE: Duration = Duration::from_millis(400);
+/// Time after which a keeper sends a second call while the first is still unanswered; longer
+/// than a slow but working service takes.
+const HEDGE_DELAY: Duration = Duration::from_millis(400);
 
-/// How a keeper follows the platform.
+/// Poll and retry intervals of a keeper that reads the service.
 pub const KEEPER_PACE: mirror::Pace = mirror::Pace {
     look: Duration::from_millis(100),
-    beside: Some(BESIDE),
+    beside: Some(HEDGE_DELAY),
     first: Duration::from_millis(50),
     patience: Duration::from_millis(800),
     unhurried: Duration::from_millis(800),
 };
 
-/// The same of an entry. There are many of them, and in an outage of the service, or cut off
-/// from it, their calls are in vain.
+/// Poll and retry intervals of an entry. They are longer than those of a keeper, because
+/// many entries retry at the same time in an outage of the service.
 const ENTRY_PACE: mirror::Pace = mirror::Pace {
     beside: None,
     first: Duration::from_millis(400),
@@ -35,7 +38,7 @@
     ..KEEPER_PACE
 };
 
-/// Follows all prefixes of the platform's service while there is a `need`.
+/// Spawns a task for each prefix that reads the service whenever `need` says so.
 fn follow(
     tasks: &mut JoinSet<()>,
     mirror: &Arc<Mirror>,
@@ -56,20 +59,20 @@
     }
 }
 
-/// How an entry comes by what the platform holds: from keepers, from other entries while
-/// it is cut off from those, and from the platform's service where no keeper has news.
-pub struct Entry {
-    /// What it knows.
+/// Updates the mirror of an entry: from keepers, from other entries while it cannot reach
+/// any keeper, and from the platform's service while no keeper has recent data.
+pub struct EntryFollower {
+    /// The entry's copy of the platform's data.
     pub mirror: Arc<Mirror>,
-    /// The other processes.
+    /// Client for the other processes.
     pub peers: Arc<dyn feed::Peers>,
-    /// The time in which a change must be in force.
+    /// Time within which a change must be in force.
     pub in_force: Duration,
 }
 
-impl Entry {
-    /// Follows keepers, the preferred one of `sources` first, and the platform's service
-    /// while it has to, until `stop`. The process starts at `now`.
+impl EntryFollower {
+    /// Spawns the tasks that update the mirror until `stop`. `sources` returns the keepers
+    /// to ask, in order of preference; `now` is the start of the process.
     pub fn start(
         self,
         tasks: &mut JoinSet<()>,
@@ -95,34 +98,34 @@
     }
 }
 
-/// How a keeper comes by what the platform holds.
-pub(crate) struct Keeper {
-    /// Where it answers.
-    pub(crate) own: SocketAddr,
-    /// The identity of its disk.
+/// Updates the mirror of a keeper, from the platform's service or from another keeper.
+pub(crate) struct KeeperFollower {
+    /// The address at which other processes reach this keeper.
+    pub(crate) own_address: SocketAddr,
+    /// Identity of the keeper's disk.
     pub(crate) disk: Disk,
-    /// Keepers that watch before anybody takes part.
+    /// Keepers that read the service while the view has no members yet.
     pub(crate) seeds: Vec<SocketAddr>,
-    /// What it knows.
+    /// The keeper's copy of the platform's data.
     pub(crate) mirror: Arc<Mirror>,
-    /// The other keepers.
+    /// Client for the other keepers.
     pub(crate) quorum: Arc<Quorum>,
-    /// Whether it reads the service where it is no watcher.
+    /// Decides when a keeper that is not a watcher reads the service.
     pub(crate) reader: Arc<feed::Reader>,
-    /// Whether it reads the service in place of the first watcher.
+    /// Decides when another watcher reads the service in place of the first one.
     pub(crate) standby: feed::Standby,
 }
 
-impl Keeper {
-    /// How much this keeper needs to read the platform's service itself: as the first of the
-    /// watchers, in place of that one, or because nobody brings it news.
+impl KeeperFollower {
+    /// How urgently this keeper must read the platform's service itself: as the first of the
+    /// watchers, in place of that one, or because no other process sends it recent data.
     fn need(&self, now: Instant) -> Need {
         let view = self.quorum.view();
         let mut watchers = view.watchers();
         let first = watchers.next();
         let age = self.mirror.age(now);
         match first {
-            None if self.seeds.is_empty() || self.seeds.contains(&self.own) => Need::High,
+            None if self.seeds.is_empty() || self.seeds.contains(&self.own_address) => Need::High,
             Some(first) if first.disk == self.disk => Need::High,
             Some(first) if watchers.any(|w| w.disk == self.disk) => {
                 let down = self.quorum.client(first.address).is_down();
@@ -132,8 +135,8 @@
         }
     }
 
-    /// Keepers to hear from: a member from those that watch, a spare from the nearest
-    /// member.
+    /// Keepers to ask for updates: a member asks the watchers, a spare asks the members,
+    /// the nearest first.
     fn sources(&self) -> Vec<SocketAddr> {
         let view = self.quorum.view();
         let mut sources = match view.find(self.disk) {
@@ -143,11 +146,11 @@
         if sources.is_empty() {
             sources.clone_from(&self.seeds);
         }
-        sources.retain(|a| *a != self.own);
+        sources.retain(|a| *a != self.own_address);
         sources
     }
 
-    /// Follows the platform's service until `stop`, by itself or from another keeper.
+    /// Spawns the tasks that update the mirror until `stop`.
     pub(crate) fn start(
         self,
         tasks: &mut JoinSet<()>,
@@ -155,12 +158,12 @@
         stop: &CancellationToken,
     ) {
         let keeper = Arc::new(self);
-        let hears = keeper.clone();
+        let follower = keeper.clone();
         tasks.spawn(feed::run(
             keeper.mirror.clone(),
             keeper.quorum.clone(),
             keeper.reader.clone(),
-            move || hears.sources(),
+            move || follower.sources(),
             stop.clone(),
         ));
         let mirror = keeper.mirror.clone();
--- a/crates/gradedyke-gateway/src/process.rs
+++ b/crates/gradedyke-gateway/src/process.rs
@@ -1,4 +1,4 @@
-//! A process from its start to its stop.
+//! Starts, drains and stops a gateway process, either an entry or a keeper.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -33,36 +33,34 @@
 use crate::throttle::Throttle;
 use crate::{meter, news, placement};
 
-/// What surrounds a process.
+/// External dependencies of a process.
 #[derive(Clone)]
 pub struct World {
-    /// How the outside spells things.
+    /// Decodes and encodes the formats of callers, backend servers and the platform.
     pub dialect: Arc<dyn Dialect>,
     /// The platform's key-value service.
     pub kv: Arc<dyn KeyValue>,
 }
 
-/// How often an entry looks at servers that vanished.
-const LOOK: Duration = Duration::from_millis(250);
-/// Time in which the balancer notices that an entry leaves: it asks every
-/// second, and two answers in a row must say so.
-const LEAVE: Duration = Duration::from_millis(2_300);
-/// Time that is left before the end of the grace, for the end itself.
-const RESERVE: Duration = Duration::from_millis(400);
-/// How often it is looked whether all requests have ended.
-const IDLE: Duration = Duration::from_millis(25);
-/// Connections of callers at a time: three quarters of 4,100 descriptors, each
-/// caller taking up to one more towards a server.
-const CONNECTIONS: usize = 1_500;
-/// Rest after which a caller's connection is closed: twice the 15 s that callers are
-/// usually let rest, because it counts from the start of the last request.
-const REST: Duration = Duration::from_secs(30);
+/// Interval at which an entry expires vanished servers and reconnects to keepers.
+const REFRESH_INTERVAL: Duration = Duration::from_millis(250);
+/// Time until the load balancer notices that an entry is draining: it polls every second and
+/// needs two negative answers in a row.
+const BALANCER_NOTICE_DELAY: Duration = Duration::from_millis(2_300);
+/// Part of the grace period that is reserved for the shutdown itself.
+const SHUTDOWN_RESERVE: Duration = Duration::from_millis(400);
+/// Interval at which a draining entry checks whether all requests have ended.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(25);
+/// Maximum number of caller connections. Each may need another descriptor for a connection
+/// to a server, and both must fit in the process's limit of open files.
+const MAX_CALLER_CONNECTIONS: usize = 1_500;
+/// Idle timeout of caller connections, counted from the start of the last request.
+const CALLER_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Longest time for which a caller may leave an answer unread: longer than callers wait for
-/// one.
-const UNREAD: Duration = Duration::from_secs(10);
+/// How long a caller may leave sent data unacknowledged before its connection is closed.
+const CALLER_UNREAD_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A running process. Its tasks end with it.
+/// A running process. Dropping it aborts its tasks.
 pub struct Process {
     stop: CancellationToken,
     tasks: JoinSet<()>,
@@ -71,23 +69,24 @@
     addresses: Addresses,
 }
 
-/// Where a process listens, with the ports that were given for port 0.
+/// Addresses that a process listens on, with the actual ports where port 0 was configured.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Addresses {
     /// For callers.
     pub caller: Option<SocketAddr>,
-    /// For the question whether callers may come.
+    /// For readiness checks of the platform.
     pub ready: Option<SocketAddr>,
     /// For other processes.
     pub peer: Option<SocketAddr>,
 }
 
-fn required<T>(value: Option<T>, what: &str) -> eyre::Result<T> {
-    value.ok_or_else(|| eyre!("{what} is not set; add it to the settings of this role"))
+fn require<T>(value: Option<T>, what: &str) -> eyre::Result<T> {
+    value.ok_or_else(|| eyre!("{what} is not set; this role requires it, add it to the settings"))
 }
 
-/// How long a keeper lets others go first; one without seeds knows of no others.
-fn turn(settings: &Settings) -> Duration {
+/// How long a keeper waits for other keepers to join first. Without seeds it knows of no
+/// others and does not wait.
+fn join_delay(settings: &Settings) -> Duration {
     if settings.seeds.is_empty() {
         return Duration::ZERO;
     }
@@ -118,12 +117,13 @@
     ///
     /// # Errors
     ///
-    /// A setting of the role is missing, or a listener cannot be bound.
+    /// Fails if a required setting is missing, the placement policy does not exist, or a
+    /// listener cannot be bound.
     pub async fn entry(settings: Settings, world: World) -> eyre::Result<Self> {
-        let caller = required(settings.listen.caller, "listen.caller")?;
-        let ready = required(settings.listen.ready, "listen.ready")?;
+        let caller = require(settings.listen.caller, "listen.caller")?;
+        let ready = require(settings.listen.ready, "listen.ready")?;
         let mirror = Mirror::new(&prefixes(&*world.dialect));
-        let forwards = match settings.listen.peer {
+        let peer_listener = match settings.listen.peer {
             Some(address) => {
                 let listener = TcpListener::bind(address).await;
                 Some(listener.wrap_err_with(|| {
@@ -132,21 +132,28 @@
             }
             None => None,
         };
-        let own = forwards.as_ref().map(TcpListener::local_addr).transpose()?;
-        let quorum = Quorum::new(mirror.clone(), &settings.data_centre, own);
+        let own_address = peer_listener
+            .as_ref()
+            .map(TcpListener::local_addr)
+            .transpose()?;
+        let quorum = Quorum::new(mirror.clone(), &settings.data_centre, own_address);
         let decisions = settings.decisions.clone();
         let enabled = Enabled::without(&decisions.off);
         let in_force = settings.in_force();
         let policy = placement::policies(enabled).remove(decisions.placement.as_str());
-        let policy = policy
-            .ok_or_else(|| eyre!("no policy {}; see decisions.placement", decisions.placement))?;
+        let policy = policy.ok_or_else(|| {
+            eyre!(
+                "no placement policy named {}; change decisions.placement",
+                decisions.placement
+            )
+        })?;
         tracing::info!(event = "deciding", placement = decisions.placement,
             off = ?decisions.off);
         let entry = Arc::new(Entry {
             dialect: world.dialect.clone(),
             mirror: mirror.clone(),
             config: ArcSwapOption::empty(),
-            fleet: Fleet::new(settings.location(), own, policy, enabled),
+            fleet: Fleet::new(settings.location(), own_address, policy, enabled),
             quorum: quorum.clone(),
             register: Register::new(rand::random(), settings.allowance_window(), Instant::now()),
             demand: Demand::default(),
@@ -161,16 +168,16 @@
         });
         let stop = CancellationToken::new();
         let mut process = Self::new(settings, Some(entry.clone()), stop.clone());
-        let sources = sources(process.settings.clone(), quorum.clone());
+        let sources = follow_sources(process.settings.clone(), quorum.clone());
         let tasks = &mut process.tasks;
-        let news = news::Entry {
+        let follower = news::EntryFollower {
             mirror,
             peers: quorum,
             in_force,
         };
-        news.start(tasks, &world.kv, sources, Instant::now(), &stop);
+        follower.start(tasks, &world.kv, sources, Instant::now(), &stop);
         tasks.spawn(refresh(entry.clone(), stop.clone()));
-        if let Some(listener) = forwards {
+        if let Some(listener) = peer_listener {
             let forwarder = Arc::new(Forwarder::new(entry.quorum.clone()));
             tasks.spawn(gradedyke_peer::server::serve(
                 listener,
@@ -180,18 +187,18 @@
         }
         let config = Config {
             protocol: Protocol::Http1,
-            connections: CONNECTIONS,
-            idle: Some(REST),
-            unread: Some(UNREAD),
+            connections: MAX_CALLER_CONNECTIONS,
+            idle: Some(CALLER_IDLE_TIMEOUT),
+            unread: Some(CALLER_UNREAD_TIMEOUT),
             ..Config::default()
         };
-        let door = bind(caller, config.clone(), "listen.caller").await?;
-        process.addresses.caller = Some(door.address()?);
-        tasks.spawn(door.serve(Arc::new(Door(entry.clone())), stop.clone()));
-        let question = bind(ready, config, "listen.ready").await?;
-        process.addresses.ready = Some(question.address()?);
-        tasks.spawn(question.serve(Arc::new(Readiness(entry)), stop));
-        process.started("entry");
+        let caller_server = bind(caller, config.clone(), "listen.caller").await?;
+        process.addresses.caller = Some(caller_server.address()?);
+        tasks.spawn(caller_server.serve(Arc::new(Door(entry.clone())), stop.clone()));
+        let ready_server = bind(ready, config, "listen.ready").await?;
+        process.addresses.ready = Some(ready_server.address()?);
+        tasks.spawn(ready_server.serve(Arc::new(Readiness(entry)), stop));
+        process.log_started("entry");
         Ok(process)
     }
 
@@ -199,11 +206,11 @@
     ///
     /// # Errors
     ///
-    /// A setting of the role is missing, the data folder cannot be used, or a
-    /// listener cannot be bound.
+    /// Fails if a required setting is missing, the data folder cannot be used, or a listener
+    /// cannot be bound.
     pub async fn keeper(settings: Settings, world: World) -> eyre::Result<Self> {
-        let peer = required(settings.listen.peer, "listen.peer")?;
-        let folder = required(settings.data_folder.clone(), "data_folder")?;
+        let peer = require(settings.listen.peer, "listen.peer")?;
+        let folder = require(settings.data_folder.clone(), "data_folder")?;
         let stop = CancellationToken::new();
         let mirror = Mirror::new(&prefixes(&*world.dialect));
         let listener = TcpListener::bind(peer).await;
@@ -225,23 +232,27 @@
             data_centres: settings.data_centres.clone(),
             first_start: settings.first_start,
             tolerate: settings.tolerate,
-            turn: turn(&settings),
+            turn: join_delay(&settings),
         };
         let seeds = settings.seeds.clone();
         let in_force = settings.in_force();
         let mut process = Self::new(settings, None, stop.clone());
         process.addresses.peer = Some(peer);
-        let (ready, replica) = watch::channel(None);
-        let desk = Arc::new(Desk::new(mirror.clone(), replica));
+        let (replica_sender, replica) = watch::channel(None);
+        let handler = Arc::new(Desk::new(mirror.clone(), replica));
         let tasks = &mut process.tasks;
-        tasks.spawn(gradedyke_peer::server::serve(listener, desk, stop.clone()));
+        tasks.spawn(gradedyke_peer::server::serve(
+            listener,
+            handler,
+            stop.clone(),
+        ));
         snapshot::load(&mirror, &folder, Instant::now());
         tasks.spawn(snapshot::keep(mirror.clone(), folder.clone(), stop.clone()));
-        // What the platform holds is told to entries while the disk is read.
+        // Entries can read the mirror from this keeper while it still opens its disk.
         let disk = replica::identity(&folder)?;
         let reader = feed::Reader::new(Instant::now(), feed::KEEPER_START, in_force);
-        let keeper = news::Keeper {
-            own: peer,
+        let follower = news::KeeperFollower {
+            own_address: peer,
             disk,
             seeds,
             mirror: mirror.clone(),
@@ -249,110 +260,119 @@
             reader: Arc::new(reader),
             standby: feed::Standby::default(),
         };
-        keeper.start(tasks, &world.kv, &stop);
-        let (opened, halt, at) = (mirror.clone(), stop.clone(), folder.clone());
+        follower.start(tasks, &world.kv, &stop);
+        let (replica_mirror, replica_stop, replica_folder) =
+            (mirror.clone(), stop.clone(), folder.clone());
         let open = move || {
-            let replica = Replica::open(&at, opened, halt)?;
-            snapshot::load_usage(&replica, &at, Instant::now());
+            let replica = Replica::open(&replica_folder, replica_mirror, replica_stop)?;
+            snapshot::load_usage(&replica, &replica_folder, Instant::now());
             Ok::<_, log::Error>(replica)
         };
         let replica = tokio::task::spawn_blocking(open).await??;
-        ready.send_replace(Some(replica.clone()));
+        replica_sender.send_replace(Some(replica.clone()));
         let membership = Membership::new(config, replica.clone(), world.kv, world.dialect);
         tasks.spawn(snapshot::keep_usage(replica.clone(), folder, stop.clone()));
         tasks.spawn(membership.run(stop));
         tasks.spawn(replica.clone().recover());
         tasks.spawn(replica.expire());
-        process.started("keeper");
+        process.log_started("keeper");
         Ok(process)
     }
 
-    fn started(&self, role: &str) {
+    fn log_started(&self, role: &str) {
         let settings = self.settings.load();
         tracing::info!(event = "started", role, instance = settings.name,
             data_centre = settings.data_centre, platform = %settings.platform,
             seeds = settings.seeds.len(), first_start = settings.first_start);
     }
 
-    /// Where it listens.
+    /// The addresses that the process listens on.
     pub fn addresses(&self) -> Addresses {
         self.addresses
     }
 
-    /// The entry, if the process runs one.
+    /// The entry; `None` if the process is a keeper.
     pub fn gateway(&self) -> Option<&Arc<Entry>> {
         self.entry.as_ref()
     }
 
-    /// Ends as a killed process does: every connection is cut at once.
+    /// Stops without draining, as if the process were killed: all connections are closed at
+    /// once.
     pub async fn kill(mut self) {
         self.tasks.shutdown().await;
         self.stop.cancel();
     }
 
-    /// Puts changed settings in force: where to find others. What is bound at
-    /// the start stays until the next one.
+    /// Applies changed settings as far as they are read at run time, such as the seeds.
+    /// Listeners and other settings used at the start change only with a restart.
     pub fn reload(&self, settings: Settings) {
         let seeds = settings.seeds.len();
         tracing::info!(event = "reloaded", instance = settings.name, seeds);
         self.settings.store(Arc::new(settings));
     }
 
-    /// Waits until the process gives up by itself.
+    /// Waits until the process stops itself after a failure.
     pub async fn failed(&self) {
         self.stop.cancelled().await;
     }
 
-    /// Stops as planned: callers are sent elsewhere, requests in progress are
-    /// finished, as far as the grace allows.
+    /// Shuts down gracefully: fails readiness checks so that the load balancer sends callers
+    /// elsewhere, and finishes requests in progress, within the grace period.
     pub async fn drain(mut self) {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let grace = self.settings.load().grace();
-        let end = began + grace.saturating_sub(RESERVE);
+        let deadline = started_at + grace.saturating_sub(SHUTDOWN_RESERVE);
         tracing::info!(event = "draining", grace_ms = grace.as_millis());
         if let Some(entry) = self.entry.clone() {
             entry.drain.cancel();
-            tokio::time::sleep_until(end.min(began + LEAVE)).await;
-            // Stops taking connections and closes those that rest.
+            tokio::time::sleep_until(deadline.min(started_at + BALANCER_NOTICE_DELAY)).await;
+            // Stops accepting connections and closes idle ones.
             self.stop.cancel();
-            while entry.active.load(Ordering::Relaxed) > 0 && Instant::now() < end {
-                tokio::time::sleep(IDLE).await;
+            while entry.active.load(Ordering::Relaxed) > 0 && Instant::now() < deadline {
+                tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
             }
             let left = entry.active.load(Ordering::Relaxed);
-            tracing::info!(event = "stopped", ms = began.elapsed().as_millis(), left);
+            tracing::info!(
+                event = "stopped",
+                ms = started_at.elapsed().as_millis(),
+                left
+            );
         } else {
             self.stop.cancel();
-            tracing::info!(event = "stopped", ms = began.elapsed().as_millis());
+            tracing::info!(event = "stopped", ms = started_at.elapsed().as_millis());
         }
         self.tasks.shutdown().await;
     }
 }
 
 async fn bind(address: SocketAddr, config: Config, setting: &str) -> eyre::Result<Server> {
-    let bound = Server::bind(address, config).await;
-    bound.wrap_err_with(|| format!("cannot listen on {address}; free it or change {setting}"))
+    let server = Server::bind(address, config).await;
+    server.wrap_err_with(|| format!("cannot listen on {address}; free it or change {setting}"))
 }
 
-/// Where an entry takes news from: keepers of the view, near ones first, then
-/// those of the settings.
-fn sources(settings: Arc<ArcSwap<Settings>>, quorum: Arc<Quorum>) -> impl Fn() -> Vec<SocketAddr> {
+/// The keepers from which an entry updates its mirror: the members of the view, the nearest
+/// first, then the configured seeds.
+fn follow_sources(
+    settings: Arc<ArcSwap<Settings>>,
+    quorum: Arc<Quorum>,
+) -> impl Fn() -> Vec<SocketAddr> {
     move || {
         let mut sources = quorum.by_distance();
         let settings = settings.load();
         let seeds = settings.seeds.iter().copied();
-        let new: Vec<_> = seeds.filter(|s| !sources.contains(s)).collect();
-        sources.extend(new);
+        let others: Vec<_> = seeds.filter(|s| !sources.contains(s)).collect();
+        sources.extend(others);
         sources
     }
 }
 
-/// Brings configuration and fleet in line with the mirror.
+/// Applies changes of the mirror to the configuration and the fleet until `stop`.
 async fn refresh(entry: Arc<Entry>, stop: CancellationToken) {
     let mut changed = entry.mirror.watch();
     loop {
         tokio::select! {
             _ = changed.changed() => entry.refresh(),
-            () = tokio::time::sleep(LOOK) => entry.quorum.mend(),
+            () = tokio::time::sleep(REFRESH_INTERVAL) => entry.quorum.mend(),
             () = stop.cancelled() => return,
         }
         let now = Instant::now();
--- a/crates/gradedyke-gateway/src/settings.rs
+++ b/crates/gradedyke-gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of one process: who it is, where it listens, what is around it.
+//! Settings of one process, read from its settings file.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -19,16 +19,16 @@
     /// For callers (entries).
     #[serde(default)]
     pub caller: Option<SocketAddr>,
-    /// For the platform's question whether callers may come (entries).
+    /// For readiness checks of the platform (entries).
     #[serde(default)]
     pub ready: Option<SocketAddr>,
-    /// For other processes of the system (keepers).
+    /// For other processes of the deployment (required for keepers, optional for entries).
     #[serde(default)]
     pub peer: Option<SocketAddr>,
-    /// Where others reach `peer`, if that is another address.
+    /// Address at which other processes reach `peer`, if it differs.
     #[serde(default)]
     pub peer_public: Option<SocketAddr>,
-    /// For metrics.
+    /// For the metrics page.
     #[serde(default)]
     pub metrics: Option<SocketAddr>,
 }
@@ -39,75 +39,76 @@
 pub struct Settings {
     /// The instance's name.
     pub name: String,
-    /// Its data centre.
+    /// The data centre that the instance runs in.
     pub data_centre: String,
-    /// All data centres of the deployment. Keepers take part evenly over these.
+    /// All data centres of the deployment. The members are spread evenly over them.
     #[serde(default)]
     pub data_centres: Vec<String>,
-    /// The region of each data centre. Routes and client accounts may be bound to regions.
+    /// The region of each data centre. Routes and client accounts may be restricted to
+    /// regions.
     #[serde(default)]
     pub regions: HashMap<String, String>,
-    /// Where it listens.
+    /// Addresses to listen on.
     pub listen: Listen,
     /// Address of the platform's key-value service.
     pub platform: SocketAddr,
-    /// Keepers to ask first; they may be gone.
+    /// Keepers to contact at the start; some may no longer exist.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// The folder for bulk data, on instances that have a disk.
+    /// Folder for stored data (keepers).
     #[serde(default)]
     pub data_folder: Option<PathBuf>,
-    /// Whether the whole system starts for the first time.
+    /// Whether the deployment starts for the first time, with no stored data.
     #[serde(default)]
     pub first_start: bool,
-    /// Disks that may be lost at a time with nothing lost.
+    /// Number of disks that may fail at the same time without loss of data.
     #[serde(default = "tolerate")]
     pub tolerate: usize,
-    /// Time from a request to stop until the process is killed, in seconds.
+    /// Time from the request to stop until the process is killed, in seconds.
     #[serde(default = "grace_s")]
     pub grace_s: f64,
-    /// Time from the moment a server is known to leave to its last new request,
-    /// in milliseconds.
+    /// Maximum time from the removal of a server until it receives its last new request, in
+    /// milliseconds.
     #[serde(default = "drain_ms")]
     pub drain_ms: u64,
-    /// Time from the moment a change of the configuration is confirmed until it must be in
-    /// force everywhere, in milliseconds.
+    /// Maximum time from the confirmation of a configuration change until it is in force at
+    /// every entry, in milliseconds.
     #[serde(default = "in_force_ms")]
     pub in_force_ms: u64,
-    /// Time after which a key that was withdrawn has no effect at any entry, also one that
-    /// is cut off, in milliseconds. Without it a key holds until the entry hears of it.
+    /// Time after which a revoked key is rejected by every entry, including those that are cut
+    /// off, in milliseconds. If unset, an entry accepts the key until it learns of the
+    /// revocation.
     #[serde(default)]
     pub revocation_ms: Option<u64>,
-    /// Length of the windows in each of which the allowance of a client account holds, in
-    /// seconds.
+    /// Length of the window to which the allowance of a client account applies, in seconds.
     #[serde(default = "allowance_window_s")]
     pub allowance_window_s: f64,
-    /// How an entry decides.
+    /// How an entry chooses servers.
     #[serde(default)]
     pub decisions: Decisions,
 }
 
-/// How an entry decides.
+/// How an entry chooses servers.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Decisions {
-    /// The policy that chooses a request's server, by its registered name.
+    /// Registered name of the policy that chooses the server of a request.
     pub placement: String,
-    /// Mechanisms that are switched off, to measure what they are worth.
+    /// Mechanisms to switch off, to measure their effect.
     pub off: Vec<Mechanism>,
 }
 
 impl Default for Decisions {
     fn default() -> Self {
         Self {
-            placement: PLACEMENT.to_owned(),
+            placement: DEFAULT_PLACEMENT.to_owned(),
             off: Vec::new(),
         }
     }
 }
 
-/// The policy for placement where none is named.
-const PLACEMENT: &str = "cost";
+/// Placement policy used if the settings name none.
+const DEFAULT_PLACEMENT: &str = "cost";
 
 fn tolerate() -> usize {
     1
@@ -129,27 +130,27 @@
     2_000
 }
 
-/// Shortest time in which a change can be in force, in milliseconds: what news take to an
-/// entry by the longest way.
-const SHORTEST_IN_FORCE_MS: u64 = 2_000;
+/// Minimum of `in_force_ms`, in milliseconds: the longest time that a change takes to reach
+/// an entry.
+const MIN_IN_FORCE_MS: u64 = 2_000;
 
-/// Shortest time to stop in: the balancer notices within two seconds.
-const SHORTEST_GRACE_S: f64 = 1.0;
+/// Minimum of `grace_s`, in seconds.
+const MIN_GRACE_S: f64 = 1.0;
 
-/// Shortest window of an allowance, in seconds: what an entry lets through is known to the
-/// others about 0.1 s later.
-const SHORTEST_WINDOW_S: f64 = 1.0;
+/// Minimum of `allowance_window_s`, in seconds: much longer than it takes until other entries
+/// know what an entry has admitted.
+const MIN_ALLOWANCE_WINDOW_S: f64 = 1.0;
 
-/// Shortest time for a withdrawn key, in milliseconds: what an entry knows is up to 2.0 s
-/// old by the way that news take, and nothing could run otherwise.
-const SHORTEST_REVOCATION_MS: u64 = 3_000;
+/// Minimum of `revocation_ms`, in milliseconds. An entry's data may be 2 s old in normal
+/// operation; with a smaller value it would reject valid keys.
+const MIN_REVOCATION_MS: u64 = 3_000;
 
 impl Settings {
     /// Reads and checks the settings in `text`, which came from `file`.
     ///
     /// # Errors
     ///
-    /// The first fault found, with its place and remedy.
+    /// Returns the first invalid setting, with its position and how to correct it.
     ///
     /// ```
     /// use gradedyke_gateway::settings::Settings;
@@ -166,24 +167,27 @@
         let source = Source::new(file, text);
         let settings: Self = source.read()?;
         if settings.name.is_empty() {
-            return Err(source.error("name", "empty; give the instance's name"));
+            return Err(source.error("name", "must not be empty; set it to the instance's name"));
         }
-        if settings.grace_s < SHORTEST_GRACE_S {
-            return Err(source.error("grace_s", "too short to stop in; give 1 or more"));
+        if settings.grace_s < MIN_GRACE_S {
+            return Err(source.error(
+                "grace_s",
+                "too short for a graceful shutdown; set 1 or more",
+            ));
         }
         if settings
             .revocation_ms
-            .is_some_and(|ms| ms < SHORTEST_REVOCATION_MS)
+            .is_some_and(|ms| ms < MIN_REVOCATION_MS)
         {
             return Err(source.error(
                 "revocation_ms",
-                "shorter than news take to an entry; give 3000 or more",
+                "shorter than changes take to reach an entry; set 3000 or more",
             ));
         }
-        if settings.allowance_window_s < SHORTEST_WINDOW_S {
+        if settings.allowance_window_s < MIN_ALLOWANCE_WINDOW_S {
             return Err(source.error(
                 "allowance_window_s",
-                "shorter than what entries tell each other takes; give 1 or more",
+                "shorter than entries need to exchange their usage; set 1 or more",
             ));
         }
         let policies = placement::policies(Enabled::default());
@@ -195,7 +199,7 @@
         Ok(settings)
     }
 
-    /// Where the process stands, and the region of each data centre.
+    /// The data centre of the process, and the region of each data centre.
     pub fn location(&self) -> Location {
         Location {
             data_centre: self.data_centre.clone(),
@@ -203,14 +207,15 @@
         }
     }
 
-    /// Length of the windows in each of which an allowance holds.
+    /// Length of the window to which an allowance applies.
     pub fn allowance_window(&self) -> Duration {
         Duration::from_secs_f64(self.allowance_window_s)
     }
 
-    /// Time in which a change of what the platform's service holds must be in force: the
-    /// shortest that any kind of change has, as far as news can be in time. A withdrawn key
-    /// must be confirmed as well, which takes as long again.
+    /// Time within which any change in the platform's service must be in force: the shortest
+    /// of the configured times, but at least 2 s. The time for revoked keys counts half,
+    /// because an entry must also confirm that its data is current, which takes as long
+    /// again.
     ///
     /// ```
     /// use gradedyke_gateway::settings::Settings;
@@ -224,26 +229,26 @@
     /// assert_eq!(settings.in_force(), Duration::from_secs(4));
     /// ```
     pub fn in_force(&self) -> Duration {
-        let shortest = self.in_force_ms.min(self.drain_ms);
-        let revocation = self.revocation_ms.map_or(shortest, |ms| ms / 2);
-        let wanted = shortest.min(revocation);
-        if wanted < SHORTEST_IN_FORCE_MS {
+        let configured_ms = self.in_force_ms.min(self.drain_ms);
+        let revocation_ms = self.revocation_ms.map_or(configured_ms, |ms| ms / 2);
+        let required_ms = configured_ms.min(revocation_ms);
+        if required_ms < MIN_IN_FORCE_MS {
             tracing::warn!(
                 event = "changes_too_late",
-                wanted_ms = wanted,
-                least_ms = SHORTEST_IN_FORCE_MS,
-                remedy = "allow more in in_force_ms, drain_ms and revocation_ms"
+                wanted_ms = required_ms,
+                least_ms = MIN_IN_FORCE_MS,
+                remedy = "increase in_force_ms, drain_ms or revocation_ms"
             );
         }
-        Duration::from_millis(wanted.max(SHORTEST_IN_FORCE_MS))
+        Duration::from_millis(required_ms.max(MIN_IN_FORCE_MS))
     }
 
-    /// Time after which a withdrawn key has no effect at any entry.
+    /// Time after which a revoked key is rejected by every entry.
     pub fn revocation(&self) -> Option<Duration> {
         self.revocation_ms.map(Duration::from_millis)
     }
 
-    /// Time from a request to stop until the process is killed.
+    /// Time from the request to stop until the process is killed.
     pub fn grace(&self) -> Duration {
         Duration::from_secs_f64(self.grace_s)
     }
--- a/crates/gradedyke-gateway/src/throttle.rs
+++ b/crates/gradedyke-gateway/src/throttle.rs
@@ -1,12 +1,11 @@
-//! Whether a program may begin while keepers have more to do than they can.
+//! Admission of new programs while the keepers are overloaded.
 //!
-//! A program ends whole only if each of its turns is let in, so keepers that turn turns
-//! away as they come lose the longest programs first, and with them all that these have
-//! had run. An entry therefore lets fewer programs begin when turns are refused for want
-//! of keepers that are there, and those under way go on. It needs to know no rate: the
-//! share of turns that are refused tells how many programs are too many, and falls as
-//! fewer begin. With the keepers' bound on the age of what they begin: see
-//! `tests/overload.rs` for the loads that it answers and what programs get under them.
+//! A program succeeds only if each of its turns is admitted. Keepers that refuse turns at
+//! random therefore fail the longest programs most often, and the work done for them is
+//! wasted. When keepers refuse turns because of overload, an entry admits fewer new
+//! programs, and running programs continue. The share of refused turns is the feedback
+//! signal: it falls as fewer programs start, so no capacity has to be configured.
+//! `tests/overload.rs` simulates this under several loads.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -18,47 +17,48 @@
 
 use crate::entry::refusal::SOON;
 
-/// Time in which refusals and turns let in count half: two waits of callers that were told
-/// to come back, so that a burst is met in its first second.
-const HALF: Duration = Duration::from_millis(500);
-/// Turns let in that count besides those that were, so that one refusal alone closes
-/// nothing.
-const PRIOR: f64 = 2.0;
-/// Share of turns that may be refused before fewer programs begin: callers send a refused
-/// turn again up to twice, so at one in ten a turn is lost once in a thousand.
-const BEARABLE: f64 = 0.1;
-/// Share of turns refused from which on no program begins but those that try it out.
-const HOPELESS: f64 = 0.5;
-/// Time of an exchange above which keepers count as having too much to do: half of what a
-/// turn gives them.
-const LATE: Duration = Duration::from_millis(150);
-/// How long what keepers told counts: two waits of a caller that was told to come back.
-const TOLD: Duration = Duration::from_millis(1_000);
-/// Least share of programs that may begin, to see whether keepers have caught up.
-const TRIES: f64 = 0.05;
+/// Half-life of the counts of admitted and refused turns: two retry intervals of a refused
+/// caller, so that the throttle reacts to a burst within its first second.
+const COUNT_HALF_LIFE: Duration = Duration::from_millis(500);
+/// Admitted turns added to the actual count, so that a single refusal does not throttle.
+const PRIOR_ADMITTED_TURNS: f64 = 2.0;
+/// Share of refused turns above which fewer programs are admitted. Callers retry a refused
+/// turn up to twice, so at this share one turn in a thousand fails.
+const TOLERATED_REFUSAL_RATIO: f64 = 0.1;
+/// Share of refused turns from which on only [`MIN_ADMISSION_RATIO`] of programs are
+/// admitted.
+const MAX_REFUSAL_RATIO: f64 = 0.5;
+/// Duration of an exchange above which keepers count as overloaded: half the timeout of
+/// the exchange that begins a turn.
+const SLOW_EXCHANGE: Duration = Duration::from_millis(150);
+/// How long a pressure reported by keepers is used: two retry intervals of a refused caller.
+const PRESSURE_TTL: Duration = Duration::from_millis(1_000);
+/// Share of programs that are always admitted, to detect when the keepers have recovered.
+const MIN_ADMISSION_RATIO: f64 = 0.05;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Counts {
-    let_in: Count,
+    admitted: Count,
     refused: Count,
-    told: Option<(Pressure, Instant)>,
+    reported: Option<(Pressure, Instant)>,
 }
 
 impl Counts {
-    /// Share of turns that are refused: as keepers told lately, and otherwise as seen here.
-    fn lost(&self, now: Instant) -> f64 {
-        let lately = |at: Instant| now.saturating_duration_since(at) < TOLD;
-        if let Some((pressure, at)) = self.told
-            && lately(at)
+    /// Share of turns that are refused: as keepers reported recently, or otherwise as counted
+    /// by this entry.
+    fn refusal_ratio(&self, now: Instant) -> f64 {
+        let is_recent = |at: Instant| now.saturating_duration_since(at) < PRESSURE_TTL;
+        if let Some((pressure, at)) = self.reported
+            && is_recent(at)
         {
             return pressure.share();
         }
-        let refused = self.refused.at(HALF, now);
-        refused / (self.let_in.at(HALF, now) + PRIOR + refused)
+        let refused = self.refused.at(COUNT_HALF_LIFE, now);
+        refused / (self.admitted.at(COUNT_HALF_LIFE, now) + PRIOR_ADMITTED_TURNS + refused)
     }
 }
 
-/// A number from 0 to 1 that follows from a program's name, the same at every entry.
+/// Hashes a program's name to a number in `0.0..1.0`, the same at every entry.
 ///
 /// ```
 /// use gradedyke_gateway::throttle;
@@ -74,7 +74,7 @@
     f64::from((hasher.finish() >> 32) as u32) / (f64::from(u32::MAX) + 1.0)
 }
 
-/// What this entry has seen of its keepers.
+/// Decides which share of new programs an entry admits.
 #[derive(Debug, Default)]
 pub struct Throttle(Mutex<Counts>);
 
@@ -83,50 +83,53 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes that keepers let a turn in, and took that long. Late answers are the first
-    /// sign of too much to do: refusals come when it is too late for those under way.
+    /// Records that keepers admitted a turn, and how long the exchange took. A slow
+    /// exchange counts as a refusal: it is an earlier sign of overload, while refusals
+    /// already fail running programs.
     pub fn let_in(&self, took: Duration, now: Instant) {
-        if took > LATE {
+        if took > SLOW_EXCHANGE {
             return self.refused(now);
         }
-        self.lock().let_in.add(HALF, now);
+        self.lock().admitted.add(COUNT_HALF_LIFE, now);
     }
 
-    /// Notes that keepers which are there had too much to do for a turn.
+    /// Records that keepers were reachable but refused a turn because of overload.
     pub fn refused(&self, now: Instant) {
-        self.lock().refused.add(HALF, now);
+        self.lock().refused.add(COUNT_HALF_LIFE, now);
     }
 
-    /// Takes in how keepers keep up, as told at `at`. They see the turns of all entries,
-    /// of which this one has too few to tell.
+    /// Records the pressure that keepers reported at `at`. Keepers see the turns of all
+    /// entries; one entry alone may see too few for a useful ratio.
     pub fn told(&self, pressure: Pressure, at: Instant) {
-        self.lock().told = Some((pressure, at));
+        self.lock().reported = Some((pressure, at));
     }
 
-    /// Share of programs that may begin, 0 to 1.
+    /// Share of new programs that are admitted, 0 to 1.
     ///
     /// ```
     /// use gradedyke_gateway::throttle::Throttle;
     ///
     /// let now = tokio::time::Instant::now();
     /// let throttle = Throttle::default();
-    /// assert_eq!(throttle.share(now), 1.0);
+    /// assert_eq!(throttle.admission_ratio(now), 1.0);
     /// (0..20).for_each(|_| throttle.refused(now));
-    /// assert!(throttle.share(now) < 0.1);
+    /// assert!(throttle.admission_ratio(now) < 0.1);
     /// ```
-    pub fn share(&self, now: Instant) -> f64 {
-        let lost = self.lock().lost(now);
-        let share = (HOPELESS - lost) / (HOPELESS - BEARABLE);
-        share.clamp(TRIES, 1.0)
+    pub fn admission_ratio(&self, now: Instant) -> f64 {
+        let refusal_ratio = self.lock().refusal_ratio(now);
+        let ratio =
+            (MAX_REFUSAL_RATIO - refusal_ratio) / (MAX_REFUSAL_RATIO - TOLERATED_REFUSAL_RATIO);
+        ratio.clamp(MIN_ADMISSION_RATIO, 1.0)
     }
 
-    /// Whether a program may begin. `draw`, 0 to 1, is drawn for it.
+    /// Whether a program is admitted. `draw` is the program's number in `0.0..1.0`, either
+    /// random or from [`draw`].
     pub fn admits(&self, draw: f64, now: Instant) -> bool {
-        draw < self.share(now)
+        draw < self.admission_ratio(now)
     }
 
-    /// In how long a caller that was refused for want of keepers may expect to be let in:
-    /// the longer, the fewer programs may begin.
+    /// How long a caller whose program was refused should wait before it retries: the
+    /// fewer programs are admitted, the longer.
     ///
     /// ```
     /// use gradedyke_gateway::throttle::Throttle;
@@ -137,6 +140,6 @@
     /// assert_eq!(wait, Duration::from_millis(250));
     /// ```
     pub fn wait(&self, now: Instant) -> Duration {
-        SOON.div_f64(self.share(now))
+        SOON.div_f64(self.admission_ratio(now))
     }
 }
--- a/crates/gradedyke-gateway/tests/allowance.rs
+++ b/crates/gradedyke-gateway/tests/allowance.rs
@@ -1,5 +1,5 @@
-//! The allowance of client accounts over many entries, in virtual time: the deciding code
-//! of entries and keepers with a simple network between them.
+//! Simulates rate limits of client accounts over many entries in virtual time, with the
+//! limiting code of entries and keepers and a simple network between them.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -13,29 +13,29 @@
 use tokio::time::Instant;
 
 const WINDOW: Duration = Duration::from_secs(5);
-/// Requests that a program makes, one after the other.
-const PROGRAM: u32 = 16;
-/// Time from one request of a program to its next.
+/// Number of requests that a program makes, one after the other.
+const REQUESTS_PER_PROGRAM: u32 = 16;
+/// Time between two requests of a program.
 const STEP_MS: u64 = 150;
-/// Time from an entry to a keeper.
-const WAY_MS: u64 = 2;
+/// Minimum latency of a report and its answer.
+const LATENCY_MS: u64 = 2;
 
-/// Who asks how much.
+/// Demand of the accounts.
 #[derive(Clone, Copy)]
 struct Load {
     entries: usize,
     accounts: usize,
-    /// Allowance of each account, in requests a second, without a burst.
+    /// Allowance of each account, in requests per second, without a burst.
     per_second: f64,
-    /// Requests asked for by one account relative to its allowance.
+    /// Demand of the first account, as a multiple of its allowance.
     hot: f64,
-    /// The same of all others.
+    /// Demand of each other account, as a multiple of its allowance.
     others: f64,
 }
 
-/// A request on its way to the keepers and back.
-struct Asking {
-    arrives: u64,
+/// A request that waits for the keepers' answer.
+struct PendingReport {
+    arrival_ms: u64,
     entry: usize,
     program: usize,
     counted: Counted,
@@ -46,31 +46,35 @@
 struct Program {
     account: usize,
     entry: usize,
-    left: u32,
-    next: u64,
+    /// Requests that remain to be sent.
+    remaining: u32,
+    /// When the next request is sent.
+    next_ms: u64,
 }
 
-/// What came of it, for each account.
+/// Results of one account.
 #[derive(Clone, Default)]
-struct Seen {
-    /// When requests were let through, in milliseconds.
-    ran: Vec<u64>,
-    begun: u32,
-    whole: u32,
+struct Outcome {
+    /// Times at which requests were admitted, in milliseconds.
+    admitted_ms: Vec<u64>,
+    started: u32,
+    completed: u32,
     refused: u32,
 }
 
-struct Play {
+struct Simulation {
     rng: StdRng,
     start: Instant,
     accounts: Vec<Account>,
     registers: Vec<Register>,
     boards: Vec<Board>,
-    asking: VecDeque<Asking>,
+    pending: VecDeque<PendingReport>,
     programs: Vec<Program>,
-    seen: Vec<Seen>,
-    asked: u64,
-    /// Whether programs are refused whole.
+    outcomes: Vec<Outcome>,
+    /// Number of tool calls for which the keepers were asked.
+    calls_asked: u64,
+    /// Number of requests that a new program is expected to need; 0 disables the refusal of
+    /// programs at their first request.
     planned: u32,
 }
 
@@ -86,7 +90,7 @@
     }
 }
 
-/// Requests that an account with this allowance may have in a window.
+/// Maximum number of requests in a window of an account with this allowance.
 fn limit(per_second: f64) -> usize {
     let allowance = Allowance {
         per_second,
@@ -95,7 +99,7 @@
     usize::try_from(gradedyke_gateway::allowance::limit(&allowance, WINDOW)).unwrap()
 }
 
-impl Play {
+impl Simulation {
     fn new(load: &Load, planned: u32, seed: u64) -> Self {
         let start = Instant::now();
         let entries = 0..load.entries as u64;
@@ -106,10 +110,10 @@
             accounts: accounts.map(|n| account(n, load.per_second)).collect(),
             registers: entries.map(|n| Register::new(n, WINDOW, start)).collect(),
             boards: (0..5).map(|_| Board::default()).collect(),
-            asking: VecDeque::new(),
+            pending: VecDeque::new(),
             programs: Vec::new(),
-            seen: vec![Seen::default(); load.accounts],
-            asked: 0,
+            outcomes: vec![Outcome::default(); load.accounts],
+            calls_asked: 0,
             planned,
         }
     }
@@ -120,34 +124,34 @@
 
     fn run(&mut self, load: &Load, from_ms: u64, to_ms: u64) {
         for ms in from_ms..to_ms {
-            self.begin(load, ms);
-            self.answer(ms);
-            self.step(ms);
+            self.start_programs(load, ms);
+            self.deliver_answers(ms);
+            self.send_due_requests(ms);
         }
     }
 
-    /// Has new programs begin.
-    fn begin(&mut self, load: &Load, ms: u64) {
+    /// Starts new programs at random, at the rate of `load`.
+    fn start_programs(&mut self, load: &Load, ms: u64) {
         for number in 0..load.accounts {
-            let share = if number == 0 { load.hot } else { load.others };
-            let per_ms = load.per_second * share / f64::from(PROGRAM) / 1e3;
-            if self.rng.random_bool(per_ms.min(1.0)) {
+            let demand = if number == 0 { load.hot } else { load.others };
+            let starts_per_ms = load.per_second * demand / f64::from(REQUESTS_PER_PROGRAM) / 1e3;
+            if self.rng.random_bool(starts_per_ms.min(1.0)) {
                 let entry = self.rng.random_range(0..load.entries);
                 self.programs.push(Program {
                     account: number,
                     entry,
-                    left: PROGRAM,
-                    next: ms,
+                    remaining: REQUESTS_PER_PROGRAM,
+                    next_ms: ms,
                 });
             }
         }
     }
 
     /// Sends the requests that are due.
-    fn step(&mut self, ms: u64) {
+    fn send_due_requests(&mut self, ms: u64) {
         for number in 0..self.programs.len() {
             let program = &self.programs[number];
-            if program.left > 0 && program.next == ms {
+            if program.remaining > 0 && program.next_ms == ms {
                 self.request(number, ms);
             }
         }
@@ -155,7 +159,10 @@
 
     fn request(&mut self, number: usize, ms: u64) {
         let program = &self.programs[number];
-        let (first, turn) = (program.left == PROGRAM, program.left.is_multiple_of(2));
+        let (first, turn) = (
+            program.remaining == REQUESTS_PER_PROGRAM,
+            program.remaining.is_multiple_of(2),
+        );
         let planned = if first { self.planned } else { 0 };
         let (entry, now) = (program.entry, self.at(ms));
         let register = &self.registers[entry];
@@ -169,80 +176,80 @@
             Verdict::Within if !turn => self.admit(number, ms),
             Verdict::Within | Verdict::Unknown => {
                 let (report, mark) = register.report(&counted, now);
-                self.asked += u64::from(!turn);
-                let spread = self.rng.random_range(0..4);
-                self.asking.push_back(Asking {
-                    arrives: ms + WAY_MS + spread,
+                self.calls_asked += u64::from(!turn);
+                let jitter_ms = self.rng.random_range(0..4);
+                self.pending.push_back(PendingReport {
+                    arrival_ms: ms + LATENCY_MS + jitter_ms,
                     entry,
                     program: number,
                     counted,
                     report,
                     mark,
                 });
-                // Nothing else of the program goes out meanwhile.
-                self.programs[number].next = u64::MAX;
+                // The program sends nothing else until the answer arrives.
+                self.programs[number].next_ms = u64::MAX;
             }
         }
     }
 
-    /// Has the keepers answer what has arrived, and decides by their answers.
-    fn answer(&mut self, ms: u64) {
-        for _ in 0..self.asking.len() {
-            let Some(asking) = self.asking.pop_front() else {
+    /// Delivers the reports that are due to the keepers, and decides by their answers.
+    fn deliver_answers(&mut self, ms: u64) {
+        for _ in 0..self.pending.len() {
+            let Some(pending) = self.pending.pop_front() else {
                 break;
             };
-            if asking.arrives > ms {
-                self.asking.push_back(asking);
+            if pending.arrival_ms > ms {
+                self.pending.push_back(pending);
                 continue;
             }
             let now = self.at(ms);
             let mut sum = Total::default();
             for board in &mut self.boards {
-                board.put(asking.report.clone(), now);
-                sum = sum.max(board.total(asking.counted.account, now));
+                board.put(pending.report.clone(), now);
+                sum = sum.max(board.total(pending.counted.account, now));
             }
-            let register = &self.registers[asking.entry];
-            register.learn(asking.mark, sum, now);
-            if asking.counted.within(sum) {
-                self.admit(asking.program, ms);
+            let register = &self.registers[pending.entry];
+            register.learn(pending.mark, sum, now);
+            if pending.counted.within(sum) {
+                self.admit(pending.program, ms);
             } else {
-                register.undo(&asking.counted);
-                self.refuse(asking.program);
+                register.undo(&pending.counted);
+                self.refuse(pending.program);
             }
         }
     }
 
     fn admit(&mut self, number: usize, ms: u64) {
         let program = &mut self.programs[number];
-        let seen = &mut self.seen[program.account];
-        seen.ran.push(ms);
-        seen.begun += u32::from(program.left == PROGRAM);
-        program.left -= 1;
-        seen.whole += u32::from(program.left == 0);
-        program.next = ms + STEP_MS;
+        let outcome = &mut self.outcomes[program.account];
+        outcome.admitted_ms.push(ms);
+        outcome.started += u32::from(program.remaining == REQUESTS_PER_PROGRAM);
+        program.remaining -= 1;
+        outcome.completed += u32::from(program.remaining == 0);
+        program.next_ms = ms + STEP_MS;
     }
 
     fn refuse(&mut self, number: usize) {
         let program = &mut self.programs[number];
-        self.seen[program.account].refused += 1;
-        program.left = 0;
+        self.outcomes[program.account].refused += 1;
+        program.remaining = 0;
     }
 
-    /// Most requests of an account in any window.
-    fn most(&self, account: usize) -> usize {
-        let mut ran = self.seen[account].ran.clone();
-        ran.sort_unstable();
-        let window = u64::try_from(WINDOW.as_millis()).unwrap();
+    /// Maximum number of requests of an account in any window.
+    fn max_in_window(&self, account: usize) -> usize {
+        let mut admitted_ms = self.outcomes[account].admitted_ms.clone();
+        admitted_ms.sort_unstable();
+        let window_ms = u64::try_from(WINDOW.as_millis()).unwrap();
         let in_window = |from: usize| {
-            let end = ran[from] + window;
-            ran.partition_point(|at| *at < end) - from
+            let end = admitted_ms[from] + window_ms;
+            admitted_ms.partition_point(|at| *at < end) - from
         };
-        (0..ran.len()).map(in_window).max().unwrap_or(0)
+        (0..admitted_ms.len()).map(in_window).max().unwrap_or(0)
     }
 }
 
 const LOADS: [Load; 4] = [
-    // A hot account of the usual size among some that use three fifths of theirs.
+    // One account that exceeds its allowance among others that stay within theirs.
     Load {
         entries: 8,
         accounts: 8,
@@ -257,7 +264,7 @@
         hot: 7.5,
         others: 0.6,
     },
-    // A large one.
+    // A larger allowance.
     Load {
         entries: 58,
         accounts: 4,
@@ -265,7 +272,7 @@
         hot: 7.5,
         others: 0.6,
     },
-    // More entries than requests in a window of the hot one's allowance.
+    // More entries than requests per window in the allowance.
     Load {
         entries: 300,
         accounts: 4,
@@ -276,18 +283,24 @@
 ];
 
 #[tokio::test]
-async fn no_window_has_more_than_a_twentieth_over_the_allowance() {
+async fn no_window_exceeds_the_allowance_by_more_than_five_percent() {
     for (number, load) in LOADS.iter().enumerate() {
-        // Where too little is expected of programs, those under way meet the limit.
-        for (seed, planned) in [(0, PROGRAM), (1, PROGRAM), (2, PROGRAM / 2), (3, 0)] {
-            let mut play = Play::new(load, planned, seed);
-            play.run(load, 0, 12_000);
+        // If programs need more requests than planned, running programs reach the limit.
+        for (seed, planned) in [
+            (0, REQUESTS_PER_PROGRAM),
+            (1, REQUESTS_PER_PROGRAM),
+            (2, REQUESTS_PER_PROGRAM / 2),
+            (3, 0),
+        ] {
+            let mut simulation = Simulation::new(load, planned, seed);
+            simulation.run(load, 0, 12_000);
             for account in 0..load.accounts {
-                let (most, limit) = (play.most(account), limit(load.per_second));
-                let over = most.saturating_sub(limit);
+                let (max_requests, limit) =
+                    (simulation.max_in_window(account), limit(load.per_second));
+                let excess = max_requests.saturating_sub(limit);
                 assert!(
-                    over <= limit / 20 + 2,
-                    "{most} of {limit}, load {number}, {seed}"
+                    excess <= limit / 20 + 2,
+                    "{max_requests} requests in a window, limit {limit}, load {number}, seed {seed}"
                 );
             }
         }
@@ -295,7 +308,7 @@
 }
 
 #[tokio::test]
-async fn what_is_within_the_allowance_is_not_refused_and_seldom_asked_for() {
+async fn requests_within_the_allowance_are_admitted_and_rarely_ask_the_keepers() {
     let load = Load {
         entries: 58,
         accounts: 16,
@@ -303,95 +316,103 @@
         hot: 0.6,
         others: 0.6,
     };
-    let mut play = Play::new(&load, PROGRAM, 1);
-    play.run(&load, 0, 10_000);
-    let refused: u32 = play.seen.iter().map(|s| s.refused).sum();
-    let ran: usize = play.seen.iter().map(|s| s.ran.len()).sum();
+    let mut simulation = Simulation::new(&load, REQUESTS_PER_PROGRAM, 1);
+    simulation.run(&load, 0, 10_000);
+    let refused: u32 = simulation.outcomes.iter().map(|o| o.refused).sum();
+    let admitted: usize = simulation
+        .outcomes
+        .iter()
+        .map(|o| o.admitted_ms.len())
+        .sum();
     assert_eq!(refused, 0);
-    // Half of the requests are calls, which ask in vain at most in one case of eight.
-    assert!(play.asked * 8 <= ran as u64, "{} of {ran}", play.asked);
+    // Half of the requests are tool calls; at most a quarter of these ask the keepers.
+    assert!(
+        simulation.calls_asked * 8 <= admitted as u64,
+        "{} of {admitted}",
+        simulation.calls_asked
+    );
 }
 
 #[tokio::test]
-async fn an_account_beyond_its_allowance_has_programs_that_end_whole() {
-    // Programs that end whole, of 45 that its allowance holds in 12 s.
-    let whole = |planned| {
+async fn an_account_over_its_allowance_still_completes_programs() {
+    // Number of completed programs; the allowance suffices for 45 in 12 s.
+    let completed = |planned| {
         let load = LOADS[1];
-        let mut play = Play::new(&load, planned, 7);
-        play.run(&load, 0, 12_000);
-        play.seen[0].whole
+        let mut simulation = Simulation::new(&load, planned, 7);
+        simulation.run(&load, 0, 12_000);
+        simulation.outcomes[0].completed
     };
-    // Without refusing at the first turn, most are begun and end in the middle.
-    let (by_program, by_request) = (whole(PROGRAM), whole(0));
-    assert!(by_program >= 25, "{by_program}");
+    // If programs are not refused at their first turn, most are interrupted in the middle.
+    let (by_program, by_request) = (completed(REQUESTS_PER_PROGRAM), completed(0));
+    assert!(by_program >= 25, "{by_program} programs completed");
     assert!(
         by_request * 2 <= by_program,
-        "{by_request} against {by_program}"
+        "{by_request} programs completed without planning, {by_program} with it"
     );
 }
 
-/// Most requests in any window of an account that has used its limit when all processes are
-/// killed, 0.25 s after keepers wrote the use down, and that goes on 0.3 s later. Keepers
-/// read it back if `restored`.
-fn most_around_a_kill(seed: u64, restored: bool) -> usize {
+/// Maximum number of requests in any window of an account at its limit, when all processes
+/// are killed 0.25 s after keepers saved the usage and restart 0.3 s later. With `restored`
+/// the keepers load the saved usage.
+fn max_requests_around_restart(seed: u64, restored: bool) -> usize {
     let load = LOADS[1];
-    // Nothing is expected of programs, so that those under way meet the limit.
-    let mut play = Play::new(&load, 0, seed);
-    play.run(&load, 0, 2_750);
-    let written = play.boards[0].written(play.at(2_750));
-    play.run(&load, 2_750, 3_000);
-    let now = play.at(3_300);
+    // Without planned requests, running programs reach the limit.
+    let mut simulation = Simulation::new(&load, 0, seed);
+    simulation.run(&load, 0, 2_750);
+    let saved = simulation.boards[0].written(simulation.at(2_750));
+    simulation.run(&load, 2_750, 3_000);
+    let now = simulation.at(3_300);
     let entries = 0..load.entries as u64;
     let entries = entries.map(|n| Register::new(1_000 + n, WINDOW, now));
-    play.registers = entries.collect();
-    play.boards = (0..5).map(|_| Board::default()).collect();
+    simulation.registers = entries.collect();
+    simulation.boards = (0..5).map(|_| Board::default()).collect();
     if restored {
-        for board in &mut play.boards {
-            board.restore(written.clone(), now);
+        for board in &mut simulation.boards {
+            board.restore(saved.clone(), now);
         }
     }
-    play.asking.clear();
-    play.programs.clear();
-    play.run(&load, 3_300, 10_000);
-    play.most(0)
+    simulation.pending.clear();
+    simulation.programs.clear();
+    simulation.run(&load, 3_300, 10_000);
+    simulation.max_in_window(0)
 }
 
 #[tokio::test]
-async fn keepers_that_were_all_killed_know_the_use_from_their_disks() {
+async fn restarted_keepers_restore_usage_from_disk() {
     let limit = limit(LOADS[1].per_second);
     for seed in 0..4 {
-        // What was let through after the last write is not known.
-        let most = most_around_a_kill(seed, true);
-        assert!(most <= limit * 11 / 10, "{most} of {limit}");
-        let forgotten = most_around_a_kill(seed, false);
+        // Requests admitted after the last save are lost.
+        let restored = max_requests_around_restart(seed, true);
+        assert!(restored <= limit * 11 / 10, "{restored} of {limit}");
+        let forgotten = max_requests_around_restart(seed, false);
         assert!(forgotten >= limit * 13 / 10, "{forgotten} of {limit}");
     }
 }
 
 #[tokio::test]
-async fn a_keeper_without_its_disk_is_outvoted_and_learns_within_a_second() {
+async fn a_keeper_that_lost_its_disk_is_outvoted_and_relearns_usage() {
     let now = Instant::now();
     let register = Register::new(1, WINDOW, now);
-    let own = account(0, 10.0);
+    let limited = account(0, 10.0);
     let mut counted = None;
     for _ in 0..30 {
-        counted = register.count(&own, 0, now);
+        counted = register.count(&limited, 0, now);
     }
     let counted = counted.unwrap();
     let (report, _) = register.report(&counted, now);
-    let (mut old, mut new) = (Board::default(), Board::default());
-    old.put(report, now);
+    let (mut intact, mut empty) = (Board::default(), Board::default());
+    intact.put(report, now);
     let (asked, later) = (counted.account, now + Duration::from_millis(1_100));
-    let sum = old.total(asked, later).max(new.total(asked, later));
+    let sum = intact.total(asked, later).max(empty.total(asked, later));
     assert_eq!(sum.requests, 30);
-    // Another account's turn tells it again.
+    // The report for another account's turn includes the usage again.
     let other = register.count(&account(1, 10.0), 0, later).unwrap();
-    new.put(register.report(&other, later).0, later);
-    assert_eq!(new.total(asked, later).requests, 30);
+    empty.put(register.report(&other, later).0, later);
+    assert_eq!(empty.total(asked, later).requests, 30);
 }
 
 #[test]
-fn a_use_is_forgotten_after_the_window_and_not_before() {
+fn usage_expires_after_the_window_and_not_before() {
     let mut tally = usage::Tally::default();
     let one = Total {
         requests: 1,
@@ -408,14 +429,14 @@
 }
 
 #[tokio::test]
-async fn a_program_that_needs_more_than_the_allowance_begins_alone() {
+async fn a_program_that_needs_more_than_the_limit_starts_if_no_other_has() {
     let now = Instant::now();
     let register = Register::new(1, WINDOW, now);
-    // 10 requests in a window, for programs that need 16 each.
-    let own = account(0, 2.0);
+    // The limit is 10 requests per window, and a program needs 16.
+    let limited = account(0, 2.0);
     let mut board = Board::default();
-    let mut begin = |at: Instant| {
-        let counted = register.count(&own, PROGRAM, at).unwrap();
+    let mut try_start = |at: Instant| {
+        let counted = register.count(&limited, REQUESTS_PER_PROGRAM, at).unwrap();
         let (report, mark) = register.report(&counted, at);
         board.put(report, at);
         let sum = board.total(counted.account, at);
@@ -426,7 +447,7 @@
         }
         within
     };
-    assert!(begin(now));
-    assert!(!begin(now + Duration::from_secs(1)));
-    assert!(begin(now + Duration::from_secs(6)));
+    assert!(try_start(now));
+    assert!(!try_start(now + Duration::from_secs(1)));
+    assert!(try_start(now + Duration::from_secs(6)));
 }
--- a/crates/gradedyke-gateway/tests/news/network.rs
+++ b/crates/gradedyke-gateway/tests/news/network.rs
@@ -1,4 +1,4 @@
-//! Processes that ask each other for news, in virtual time.
+//! Simulated network between entries and keepers, in virtual time.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,17 +12,17 @@
 use gradedyke_turns::mirror::Mirror;
 use tokio::time::Instant;
 
-/// Time of the way to another process and back.
-const WAY: Duration = Duration::from_millis(1);
-/// How many entries keepers tell an entry of.
-const NEIGHBOURS: usize = 8;
+/// Round-trip time to another process.
+const ROUND_TRIP_TIME: Duration = Duration::from_millis(1);
+/// Number of neighbours that a keeper reports to an entry.
+const NEIGHBOUR_COUNT: usize = 8;
 
-/// What is met where a process was lost.
+/// How calls to a lost process fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Loss {
-    /// Nothing answers: its machine has no power.
+    /// Calls time out, as if the machine had lost power.
     Silent,
-    /// Connections are refused: its process was killed.
+    /// Connections are refused, as if the process had been killed.
     Refused,
 }
 
@@ -32,12 +32,12 @@
     lost: Option<Loss>,
 }
 
-/// The processes, by where they answer.
+/// The processes by address.
 #[derive(Default)]
 pub struct Network(Mutex<BTreeMap<SocketAddr, Node>>);
 
 impl Network {
-    /// Adds a process that tells what is in `mirror`.
+    /// Adds a process that serves the data in `mirror`.
     pub fn add(&self, address: SocketAddr, mirror: Arc<Mirror>, keeper: bool) {
         let node = Node {
             mirror,
@@ -47,8 +47,8 @@
         self.0.lock().unwrap().insert(address, node);
     }
 
-    /// Loses all keepers, or has them back.
-    pub fn lose_keepers(&self, lost: Option<Loss>) {
+    /// Makes all keepers fail with `lost`, or restores them.
+    pub fn set_keepers_lost(&self, lost: Option<Loss>) {
         let mut nodes = self.0.lock().unwrap();
         nodes
             .values_mut()
@@ -56,21 +56,23 @@
             .for_each(|n| n.lost = lost);
     }
 
-    /// Where keepers answer.
+    /// The addresses of the keepers.
     pub fn keepers(&self) -> Vec<SocketAddr> {
         let nodes = self.0.lock().unwrap();
         let keepers = nodes.iter().filter(|(_, node)| node.keeper);
         keepers.map(|(address, _)| *address).collect()
     }
 
-    /// Some entries, those behind `address` in a ring, so that all are told by somebody.
+    /// The entries that follow `address` in a ring, so that each entry is somebody's neighbour.
     fn neighbours(&self, address: SocketAddr) -> Vec<SocketAddr> {
         let nodes = self.0.lock().unwrap();
         let entries = nodes.iter().filter(|(_, node)| !node.keeper);
         let entries: Vec<SocketAddr> = entries.map(|(address, _)| *address).collect();
-        let behind = entries.partition_point(|e| *e <= address);
-        let ring = entries.iter().cycle().skip(behind);
-        ring.take(NEIGHBOURS.min(entries.len())).copied().collect()
+        let start = entries.partition_point(|e| *e <= address);
+        let ring = entries.iter().cycle().skip(start);
+        ring.take(NEIGHBOUR_COUNT.min(entries.len()))
+            .copied()
+            .collect()
     }
 
     fn lost(&self, address: SocketAddr) -> Option<Loss> {
@@ -88,30 +90,30 @@
             Request::Follow {
                 cursor,
                 wait_ms,
-                address: asker,
+                address: caller,
             } => {
                 let wait = Duration::from_millis((*wait_ms).into());
                 let mut news = feed::tell(&mirror, cursor, wait).await;
-                if let Some(asker) = asker.filter(|_| keeper) {
-                    news.neighbours = self.neighbours(asker);
+                if let Some(caller) = caller.filter(|_| keeper) {
+                    news.neighbours = self.neighbours(caller);
                 }
                 Reply::News(news)
             }
-            _ => Reply::Failed("only news are told here".to_owned()),
+            _ => Reply::Failed("unsupported request: this process only serves updates".to_owned()),
         }
     }
 }
 
-/// The network as one entry sees it.
-pub struct Seat {
+/// The network from the point of view of one entry.
+pub struct PeerClient {
     pub network: Arc<Network>,
     pub own: SocketAddr,
-    /// Whether the last question to a keeper failed.
+    /// Whether the last call to a keeper failed.
     pub cut_off: AtomicBool,
 }
 
-impl Seat {
-    fn note(&self, peer: SocketAddr, failed: bool) {
+impl PeerClient {
+    fn record_result(&self, peer: SocketAddr, failed: bool) {
         if self.network.keepers().contains(&peer) {
             self.cut_off.store(failed, Ordering::Relaxed);
         }
@@ -121,10 +123,10 @@
         &self,
         peer: SocketAddr,
         request: &Request,
-        time: Duration,
+        timeout: Duration,
     ) -> Result<Reply, Unanswered> {
-        let reply = tokio::time::timeout(time, async {
-            tokio::time::sleep(WAY).await;
+        let reply = tokio::time::timeout(timeout, async {
+            tokio::time::sleep(ROUND_TRIP_TIME).await;
             match self.network.lost(peer) {
                 None => Ok(self.network.answer(peer, request).await),
                 Some(Loss::Silent) => std::future::pending().await,
@@ -132,13 +134,13 @@
             }
         });
         let reply = reply.await;
-        let reply = reply.unwrap_or(Err(gradedyke_peer::Error::TimedOut(peer, time)));
+        let reply = reply.unwrap_or(Err(gradedyke_peer::Error::TimedOut(peer, timeout)));
         Ok(reply?)
     }
 }
 
 #[async_trait]
-impl Peers for Seat {
+impl Peers for PeerClient {
     fn own(&self) -> Option<SocketAddr> {
         Some(self.own)
     }
@@ -151,15 +153,15 @@
         &self,
         peer: SocketAddr,
         request: &Request,
-        time: Duration,
+        timeout: Duration,
     ) -> Result<Reply, Unanswered> {
-        let reply = self.exchange(peer, request, time).await;
-        // What was asked before a loss and answered after it does not arrive.
+        let reply = self.exchange(peer, request, timeout).await;
+        // A process that was lost during the call does not answer it.
         let reply = match (reply, self.network.lost(peer)) {
             (Ok(_), Some(_)) => Err(gradedyke_peer::Error::Broken(peer).into()),
             (reply, _) => reply,
         };
-        self.note(peer, reply.is_err());
+        self.record_result(peer, reply.is_err());
         reply
     }
 }
--- a/crates/gradedyke-gateway/tests/news/service.rs
+++ b/crates/gradedyke-gateway/tests/news/service.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the platform's key-value service that holds one key, in virtual time.
+//! Simulated key-value service of the platform that holds one key, in virtual time.
 
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
@@ -13,74 +13,75 @@
 use tokio::time::Instant;
 
 /// The key of the configuration.
-const KEY: &str = "config";
-/// Time of an answer.
-const ANSWER: Duration = Duration::from_millis(4);
-/// Longest time that a watch with nothing to tell is held, as the adapter asks for.
-const HELD: Duration = Duration::from_millis(600);
-/// Time after which a caller gives up a call that is not answered.
-const GIVEN_UP: Duration = Duration::from_millis(1_500);
-
-/// How the service fails calls.
+const CONFIG_KEY: &str = "config";
+/// Latency of a call.
+const CALL_LATENCY: Duration = Duration::from_millis(4);
+/// Maximum time that a watch call waits for a change, as in the real client.
+const WATCH_TIMEOUT: Duration = Duration::from_millis(600);
+/// Time after which a client gives up an unanswered call.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
+
+/// How calls to the service fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outage {
-    /// It takes them and says nothing.
+    /// Calls are not answered.
     Silent,
-    /// It turns them away at once.
+    /// Calls fail at once.
     Refusing,
 }
 
-/// The service. Its configuration is the number of the change that wrote it.
+/// The service. The value of the configuration is the revision that wrote it.
 pub struct Service {
+    /// Times at which changes were confirmed; their number is the revision.
     changes: watch::Sender<Vec<Instant>>,
     outage: Mutex<Option<Outage>>,
-    /// How many changes it has forgotten.
-    forgotten: AtomicUsize,
-    /// Calls to it so far.
+    /// Revision up to which the history is compacted.
+    compacted: AtomicUsize,
+    /// Number of calls so far.
     pub calls: AtomicUsize,
-    /// Calls that listed all it holds.
+    /// Number of calls that listed all keys.
     pub listings: AtomicUsize,
 }
 
 impl Service {
-    /// A service whose first configuration was confirmed at `now`.
+    /// Creates a service whose first configuration was confirmed at `now`.
     pub fn new(now: Instant) -> Arc<Self> {
         Arc::new(Self {
             changes: watch::Sender::new(vec![now]),
             outage: Mutex::default(),
-            forgotten: AtomicUsize::new(0),
+            compacted: AtomicUsize::new(0),
             calls: AtomicUsize::new(0),
             listings: AtomicUsize::new(0),
         })
     }
 
-    /// Changes the configuration, and confirms it to the operator at `now`.
+    /// Writes a new configuration, confirmed at `now`.
     pub fn change(&self, now: Instant) {
         self.changes.send_modify(|changes| changes.push(now));
     }
 
-    /// Has it forget all changes so far.
-    pub fn forget(&self) {
-        self.forgotten.store(self.revision(), Ordering::Relaxed);
+    /// Compacts the history of all changes so far.
+    pub fn compact(&self) {
+        self.compacted.store(self.revision(), Ordering::Relaxed);
     }
 
-    /// Has it fail all calls, or none.
+    /// Makes all calls fail with `outage`, or succeed again.
     pub fn set_outage(&self, outage: Option<Outage>) {
         *self.outage.lock().unwrap() = outage;
     }
 
-    /// For how long a change has been confirmed that `mirror` does not have; zero if it has
-    /// all.
+    /// Time since the confirmation of the first change that `mirror` has not received; zero if
+    /// it has all.
     pub fn lag(&self, mirror: &Mirror, now: Instant) -> Duration {
-        let known = mirror.get(KEY).map_or(0, |(_, revision)| revision);
+        let known = mirror.get(CONFIG_KEY).map_or(0, |(_, revision)| revision);
         let changes = self.changes.borrow();
-        let lacks = changes.get(usize::try_from(known).unwrap());
-        lacks.map_or(Duration::ZERO, |at| now.saturating_duration_since(*at))
+        let missing = changes.get(usize::try_from(known).unwrap());
+        missing.map_or(Duration::ZERO, |at| now.saturating_duration_since(*at))
     }
 
     fn entry(revision: usize) -> Entry {
         Entry {
-            key: KEY.to_owned(),
+            key: CONFIG_KEY.to_owned(),
             value: revision.to_string().into_bytes(),
             revision: Revision::try_from(revision).unwrap(),
         }
@@ -91,48 +92,50 @@
     }
 }
 
-/// The service as one process calls it.
+/// The client of one process for the service.
 #[derive(Clone)]
 pub struct Client {
     service: Arc<Service>,
-    /// Whether this process cannot reach it.
-    pub cut: Arc<AtomicBool>,
+    /// Whether the process is cut off from the service.
+    pub cut_off: Arc<AtomicBool>,
 }
 
 impl Client {
-    /// A client that reaches `service`.
+    /// Creates a client that can reach `service`.
     pub fn new(service: Arc<Service>) -> Self {
-        let cut = Arc::default();
-        Self { service, cut }
+        let cut_off = Arc::default();
+        Self { service, cut_off }
     }
 
-    /// Makes a call, which fails in an outage of the service or where it is cut off.
+    /// Simulates a call, which fails in an outage or while the process is cut off.
     async fn call(&self) -> Result<(), Error> {
         self.service.calls.fetch_add(1, Ordering::Relaxed);
-        let cut = self.cut.load(Ordering::Relaxed);
+        let cut_off = self.cut_off.load(Ordering::Relaxed);
         let outage = *self.service.outage.lock().unwrap();
-        match outage.or(cut.then_some(Outage::Silent)) {
+        match outage.or(cut_off.then_some(Outage::Silent)) {
             None => {
-                tokio::time::sleep(ANSWER).await;
+                tokio::time::sleep(CALL_LATENCY).await;
                 Ok(())
             }
             Some(Outage::Silent) => {
-                tokio::time::sleep(GIVEN_UP).await;
-                Err(Error::Unknown("silent".to_owned()))
+                tokio::time::sleep(CALL_TIMEOUT).await;
+                Err(Error::Unknown("call timed out".to_owned()))
             }
-            Some(Outage::Refusing) => Err(Error::Unavailable("turned away".to_owned())),
+            Some(Outage::Refusing) => Err(Error::Unavailable("service unavailable".to_owned())),
         }
     }
 }
 
-fn unused<T>() -> Result<T, Error> {
-    Err(Error::Refused("nobody writes here".to_owned()))
+fn unsupported<T>() -> Result<T, Error> {
+    Err(Error::Refused(
+        "operation not supported by the simulation".to_owned(),
+    ))
 }
 
 #[async_trait]
 impl KeyValue for Client {
     async fn get(&self, _key: &str) -> Result<Option<Entry>, Error> {
-        unused()
+        unsupported()
     }
 
     async fn list(&self, _prefix: &str) -> Result<Listing, Error> {
@@ -146,53 +149,53 @@
     }
 
     async fn swap(&self, _swap: Swap) -> Result<Swapped, Error> {
-        unused()
+        unsupported()
     }
 
     async fn grant(&self, _length: Duration) -> Result<Lease, Error> {
-        unused()
+        unsupported()
     }
 
     async fn renew(&self, _lease: Lease) -> Result<(), Error> {
-        unused()
+        unsupported()
     }
 
     async fn revoke(&self, _lease: Lease) -> Result<(), Error> {
-        unused()
+        unsupported()
     }
 
     async fn watch(&self, _prefix: &str, from: Revision) -> Result<Box<dyn Watch>, Error> {
-        Ok(Box::new(Waiting {
+        Ok(Box::new(ChangeWatch {
             client: self.clone(),
             known: usize::try_from(from).unwrap() - 1,
-            asked: false,
+            called_before: false,
         }))
     }
 }
 
-struct Waiting {
+struct ChangeWatch {
     client: Client,
     known: usize,
-    /// Whether it was asked before: the first call is not held.
-    asked: bool,
+    /// Whether this is not the first call, which returns at once.
+    called_before: bool,
 }
 
 #[async_trait]
-impl Watch for Waiting {
+impl Watch for ChangeWatch {
     async fn next(&mut self) -> Result<Vec<Event>, Error> {
         let service = self.client.service.clone();
         let mut changes = service.changes.subscribe();
         let known = self.known;
-        let more = changes.wait_for(|changes| changes.len() > known);
-        // Without a change it says so at the end of that time.
-        let held = if std::mem::replace(&mut self.asked, true) {
-            HELD
+        let changed = changes.wait_for(|changes| changes.len() > known);
+        // Without a change the call returns an empty result after this time.
+        let wait = if std::mem::replace(&mut self.called_before, true) {
+            WATCH_TIMEOUT
         } else {
             Duration::ZERO
         };
-        let _ = tokio::time::timeout(held, more).await;
+        let _ = tokio::time::timeout(wait, changed).await;
         self.client.call().await?;
-        if self.known < service.forgotten.load(Ordering::Relaxed) {
+        if self.known < service.compacted.load(Ordering::Relaxed) {
             return Err(Error::Compacted);
         }
         let revision = service.revision();
--- a/crates/gradedyke-gateway/tests/settings.rs
+++ b/crates/gradedyke-gateway/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings that are wrong are refused with their place and a remedy.
+//! Validation of settings: invalid values are rejected with their position and a remedy.
 
 use gradedyke_gateway::settings::Settings;
 
@@ -6,20 +6,20 @@
     read_with(&format!(r#""decisions": {decisions},"#))
 }
 
-fn read_with(more: &str) -> Result<Settings, String> {
+fn read_with(extra: &str) -> Result<Settings, String> {
     let text = format!(
         r#"{{
     "name": "a-1", "data_centre": "a", "platform": "127.0.0.1:81",
     "listen": {{ "caller": "127.0.0.1:80" }},
-    {more}
+    {extra}
 }}"#
     );
     Settings::read("a.jsonc", &text).map_err(|e| e.to_string())
 }
 
 #[test]
-fn decisions_are_checked() {
-    // Decisions, and what the error says.
+fn invalid_decisions_are_rejected() {
+    // Value of `decisions`, and a part of the expected error.
     let cases = [
         (
             r#"{ "placement": "nearest" }"#,
@@ -41,27 +41,26 @@
 }
 
 #[test]
-fn a_change_is_in_force_in_the_shortest_time_that_any_kind_has() {
-    // Milliseconds for the configuration, for servers that leave and for withdrawn keys, and
-    // what holds for all.
+fn in_force_is_the_minimum_of_all_configured_times() {
+    // `in_force_ms`, `drain_ms`, `revocation_ms`, and the expected result in milliseconds.
     let cases = [
         (5_000, 5_000, None, 5_000),
         (5_000, 3_000, None, 3_000),
         (3_000, 5_000, None, 3_000),
         (3_000, 3_000, Some(5_000), 2_500),
         (5_000, 5_000, Some(60_000), 5_000),
-        // As early as news can be there.
+        // Never below the minimum of 2 s.
         (1_000, 3_000, None, 2_000),
         (3_000, 3_000, Some(3_000), 2_000),
     ];
     for (config, drain, revocation, expected) in cases {
         let revocation = revocation.map(|ms: u64| format!(r#""revocation_ms": {ms},"#));
-        let more = format!(
+        let extra = format!(
             r#""in_force_ms": {config}, "drain_ms": {drain}, {}"#,
             revocation.unwrap_or_default()
         );
-        let settings = read_with(&more).unwrap();
-        assert_eq!(settings.in_force().as_millis(), expected, "{more}");
+        let settings = read_with(&extra).unwrap();
+        assert_eq!(settings.in_force().as_millis(), expected, "{extra}");
     }
     assert_eq!(read_with("").unwrap().in_force().as_millis(), 2_000);
 }
