--- a/crates/gradedyke-gateway/src/allowance.rs
+++ b/crates/gradedyke-gateway/src/allowance.rs
@@ -21,8 +21,8 @@
 
 use crate::account::{Account, Allowance};
 
-/// Maximum age of a sum by which a call is admitted without asking the keepers. The end of
-/// a turn brings a new sum, and tool calls usually follow soon after.
+/// Maximum age of a sum by which a call is admitted without asking the keepers. Each turn
+/// brings a new sum, and tool calls usually follow soon after.
 const MAX_SUM_AGE: Duration = Duration::from_millis(250);
 /// Share of the limit up to which a call is admitted without asking the keepers. The rest
 /// is headroom for requests that a sum of age [`MAX_SUM_AGE`] does not include.
@@ -174,8 +174,8 @@
 }
 
 impl Register {
-    /// Returns an empty register for the entry with the given number. Limits apply to
-    /// every `window`.
+    /// Creates an empty register. `entry` identifies this process in reports, and limits
+    /// apply to every time span of length `window`.
     pub fn new(entry: u64, window: Duration, now: Instant) -> Self {
         Self {
             entry,
@@ -198,7 +198,7 @@
         let elapsed_ms = now.saturating_duration_since(self.start).as_millis();
         let bucket = elapsed_ms.checked_div(self.bucket_len().as_millis());
         bucket
-            .and_then(|p| u64::try_from(p).ok())
+            .and_then(|b| u64::try_from(b).ok())
             .unwrap_or_default()
     }
 
--- a/crates/gradedyke-gateway/src/news.rs
+++ b/crates/gradedyke-gateway/src/news.rs
@@ -38,7 +38,7 @@
     ..KEEPER_PACE
 };
 
-/// Spawns a task for each prefix that reads the service whenever `need` says so.
+/// Spawns one task per prefix, which reads the service as urgently as `need` says.
 fn follow(
     tasks: &mut JoinSet<()>,
     mirror: &Arc<Mirror>,
--- a/crates/gradedyke-gateway/tests/allowance.rs
+++ b/crates/gradedyke-gateway/tests/allowance.rs
@@ -12,12 +12,13 @@
 use rand::{RngExt, SeedableRng};
 use tokio::time::Instant;
 
+/// Length of the windows to which the allowances apply.
 const WINDOW: Duration = Duration::from_secs(5);
 /// Number of requests that a program makes, one after the other.
 const REQUESTS_PER_PROGRAM: u32 = 16;
 /// Time between two requests of a program.
 const STEP_MS: u64 = 150;
-/// Minimum latency of a report and its answer.
+/// Minimum latency from an entry to a keeper.
 const LATENCY_MS: u64 = 2;
 
 /// Demand of the accounts.
@@ -28,9 +29,9 @@
     /// Allowance of each account, in requests per second, without a burst.
     per_second: f64,
     /// Demand of the first account, as a multiple of its allowance.
-    hot: f64,
+    first_demand: f64,
     /// Demand of each other account, as a multiple of its allowance.
-    others: f64,
+    other_demand: f64,
 }
 
 /// A request that waits for the keepers' answer.
@@ -125,7 +126,7 @@
     fn run(&mut self, load: &Load, from_ms: u64, to_ms: u64) {
         for ms in from_ms..to_ms {
             self.start_programs(load, ms);
-            self.deliver_answers(ms);
+            self.deliver_reports(ms);
             self.send_due_requests(ms);
         }
     }
@@ -133,7 +134,11 @@
     /// Starts new programs at random, at the rate of `load`.
     fn start_programs(&mut self, load: &Load, ms: u64) {
         for number in 0..load.accounts {
-            let demand = if number == 0 { load.hot } else { load.others };
+            let demand = if number == 0 {
+                load.first_demand
+            } else {
+                load.other_demand
+            };
             let starts_per_ms = load.per_second * demand / f64::from(REQUESTS_PER_PROGRAM) / 1e3;
             if self.rng.random_bool(starts_per_ms.min(1.0)) {
                 let entry = self.rng.random_range(0..load.entries);
@@ -149,16 +154,16 @@
 
     /// Sends the requests that are due.
     fn send_due_requests(&mut self, ms: u64) {
-        for number in 0..self.programs.len() {
-            let program = &self.programs[number];
+        for index in 0..self.programs.len() {
+            let program = &self.programs[index];
             if program.remaining > 0 && program.next_ms == ms {
-                self.request(number, ms);
+                self.request(index, ms);
             }
         }
     }
 
-    fn request(&mut self, number: usize, ms: u64) {
-        let program = &self.programs[number];
+    fn request(&mut self, index: usize, ms: u64) {
+        let program = &self.programs[index];
         let (first, turn) = (
             program.remaining == REQUESTS_PER_PROGRAM,
             program.remaining.is_multiple_of(2),
@@ -171,9 +176,9 @@
         match register.verdict(&counted, now) {
             Verdict::Beyond => {
                 register.undo(&counted);
-                self.refuse(number);
+                self.refuse(index);
             }
-            Verdict::Within if !turn => self.admit(number, ms),
+            Verdict::Within if !turn => self.admit(index, ms),
             Verdict::Within | Verdict::Unknown => {
                 let (report, mark) = register.report(&counted, now);
                 self.calls_asked += u64::from(!turn);
@@ -181,19 +186,19 @@
                 self.pending.push_back(PendingReport {
                     arrival_ms: ms + LATENCY_MS + jitter_ms,
                     entry,
-                    program: number,
+                    program: index,
                     counted,
                     report,
                     mark,
                 });
                 // The program sends nothing else until the answer arrives.
-                self.programs[number].next_ms = u64::MAX;
+                self.programs[index].next_ms = u64::MAX;
             }
         }
     }
 
     /// Delivers the reports that are due to the keepers, and decides by their answers.
-    fn deliver_answers(&mut self, ms: u64) {
+    fn deliver_reports(&mut self, ms: u64) {
         for _ in 0..self.pending.len() {
             let Some(pending) = self.pending.pop_front() else {
                 break;
@@ -219,8 +224,8 @@
         }
     }
 
-    fn admit(&mut self, number: usize, ms: u64) {
-        let program = &mut self.programs[number];
+    fn admit(&mut self, index: usize, ms: u64) {
+        let program = &mut self.programs[index];
         let outcome = &mut self.outcomes[program.account];
         outcome.admitted_ms.push(ms);
         outcome.started += u32::from(program.remaining == REQUESTS_PER_PROGRAM);
@@ -229,8 +234,8 @@
         program.next_ms = ms + STEP_MS;
     }
 
-    fn refuse(&mut self, number: usize) {
-        let program = &mut self.programs[number];
+    fn refuse(&mut self, index: usize) {
+        let program = &mut self.programs[index];
         self.outcomes[program.account].refused += 1;
         program.remaining = 0;
     }
@@ -254,31 +259,31 @@
         entries: 8,
         accounts: 8,
         per_second: 60.0,
-        hot: 4.0,
-        others: 0.6,
+        first_demand: 4.0,
+        other_demand: 0.6,
     },
     Load {
         entries: 58,
         accounts: 16,
         per_second: 60.0,
-        hot: 7.5,
-        others: 0.6,
+        first_demand: 7.5,
+        other_demand: 0.6,
     },
     // A larger allowance.
     Load {
         entries: 58,
         accounts: 4,
         per_second: 280.0,
-        hot: 7.5,
-        others: 0.6,
+        first_demand: 7.5,
+        other_demand: 0.6,
     },
     // More entries than requests per window in the allowance.
     Load {
         entries: 300,
         accounts: 4,
         per_second: 20.0,
-        hot: 7.5,
-        others: 0.5,
+        first_demand: 7.5,
+        other_demand: 0.5,
     },
 ];
 
@@ -313,8 +318,8 @@
         entries: 58,
         accounts: 16,
         per_second: 280.0,
-        hot: 0.6,
-        others: 0.6,
+        first_demand: 0.6,
+        other_demand: 0.6,
     };
     let mut simulation = Simulation::new(&load, REQUESTS_PER_PROGRAM, 1);
     simulation.run(&load, 0, 10_000);
--- a/crates/gradedyke-gateway/tests/news/main.rs
+++ b/crates/gradedyke-gateway/tests/news/main.rs
@@ -23,7 +23,7 @@
 
 /// Time within which a confirmed change must be in force everywhere.
 const IN_FORCE: Duration = Duration::from_secs(2);
-/// Time after the end of an outage of the service after which all entries must be up to date.
+/// How long after the end of an outage of the service all entries must be up to date.
 const RECOVERY_TIME: Duration = Duration::from_secs(3);
 /// Time within which entries must detect that the service answers again; callers retry for
 /// about as long.
@@ -80,13 +80,13 @@
         self.tasks.spawn(follow);
     }
 
-    fn add_entry(&mut self, own: SocketAddr) {
+    fn add_entry(&mut self, address: SocketAddr) {
         let mirror = Mirror::new(&[""]);
-        self.network.add(own, mirror.clone(), false);
+        self.network.add(address, mirror.clone(), false);
         self.entries.push(mirror.clone());
         let peers = PeerClient {
             network: self.network.clone(),
-            own,
+            own_address: address,
             cut_off: AtomicBool::new(false),
         };
         let kv: Arc<dyn KeyValue> = Arc::new(Client::new(self.service.clone()));
--- a/crates/gradedyke-gateway/tests/news/network.rs
+++ b/crates/gradedyke-gateway/tests/news/network.rs
@@ -107,7 +107,8 @@
 /// The network from the point of view of one entry.
 pub struct PeerClient {
     pub network: Arc<Network>,
-    pub own: SocketAddr,
+    /// The entry's address.
+    pub own_address: SocketAddr,
     /// Whether the last call to a keeper failed.
     pub cut_off: AtomicBool,
 }
@@ -142,7 +143,7 @@
 #[async_trait]
 impl Peers for PeerClient {
     fn own(&self) -> Option<SocketAddr> {
-        Some(self.own)
+        Some(self.own_address)
     }
 
     fn cut_off(&self) -> bool {
