--- a/crates/gradedyke-gateway/src/link.rs
+++ b/crates/gradedyke-gateway/src/link.rs
@@ -35,7 +35,7 @@
 /// request is sent, the request may have run.
 const MAX_IDLE_ONCE: Duration = Duration::from_millis(900);
 /// Maximum idle time of a connection that is used for a repeatable request. It may exceed
-/// the server's idle timeout, since a request on a closed connection is simply repeated.
+/// the server's idle timeout: if the server closes the connection, the request is repeated.
 const MAX_IDLE_REPEATABLE: Duration = Duration::from_millis(4_000);
 /// A connection is not used within this time before the server's idle timeout, to allow for
 /// network latency and short stalls of either side.
--- a/crates/gradedyke-gateway/src/settings.rs
+++ b/crates/gradedyke-gateway/src/settings.rs
@@ -130,8 +130,8 @@
     2_000
 }
 
-/// Minimum of `in_force_ms`, in milliseconds: the longest time that a change takes to reach
-/// an entry.
+/// Lower bound of [`Settings::in_force`], in milliseconds: the longest time that a change
+/// takes to reach an entry.
 const MIN_IN_FORCE_MS: u64 = 2_000;
 
 /// Minimum of `grace_s`, in seconds.
@@ -213,9 +213,8 @@
     }
 
     /// Time within which any change in the platform's service must be in force: the shortest
-    /// of the configured times, but at least 2 s. The time for revoked keys counts half,
-    /// because an entry must also confirm that its data is current, which takes as long
-    /// again.
+    /// of the configured times, but at least 2 s. Half of `revocation_ms` is used, because an
+    /// entry must also confirm that its data is current, which takes as long again.
     ///
     /// ```
     /// use gradedyke_gateway::settings::Settings;
--- a/crates/gradedyke-gateway/tests/allowance.rs
+++ b/crates/gradedyke-gateway/tests/allowance.rs
@@ -157,12 +157,12 @@
         for index in 0..self.programs.len() {
             let program = &self.programs[index];
             if program.remaining > 0 && program.next_ms == ms {
-                self.request(index, ms);
+                self.send_request(index, ms);
             }
         }
     }
 
-    fn request(&mut self, index: usize, ms: u64) {
+    fn send_request(&mut self, index: usize, ms: u64) {
         let program = &self.programs[index];
         let (first, turn) = (
             program.remaining == REQUESTS_PER_PROGRAM,
--- a/crates/gradedyke-gateway/tests/news/main.rs
+++ b/crates/gradedyke-gateway/tests/news/main.rs
@@ -80,13 +80,13 @@
         self.tasks.spawn(follow);
     }
 
-    fn add_entry(&mut self, address: SocketAddr) {
+    fn add_entry(&mut self, own_address: SocketAddr) {
         let mirror = Mirror::new(&[""]);
-        self.network.add(address, mirror.clone(), false);
+        self.network.add(own_address, mirror.clone(), false);
         self.entries.push(mirror.clone());
         let peers = PeerClient {
             network: self.network.clone(),
-            own_address: address,
+            own_address,
             cut_off: AtomicBool::new(false),
         };
         let kv: Arc<dyn KeyValue> = Arc::new(Client::new(self.service.clone()));
--- a/crates/gradedyke-gateway/tests/news/network.rs
+++ b/crates/gradedyke-gateway/tests/news/network.rs
@@ -28,7 +28,7 @@
 
 struct Node {
     mirror: Arc<Mirror>,
-    keeper: bool,
+    is_keeper: bool,
     lost: Option<Loss>,
 }
 
@@ -38,10 +38,10 @@
 
 impl Network {
     /// Adds a process that serves the data in `mirror`.
-    pub fn add(&self, address: SocketAddr, mirror: Arc<Mirror>, keeper: bool) {
+    pub fn add(&self, address: SocketAddr, mirror: Arc<Mirror>, is_keeper: bool) {
         let node = Node {
             mirror,
-            keeper,
+            is_keeper,
             lost: None,
         };
         self.0.lock().unwrap().insert(address, node);
@@ -52,21 +52,21 @@
         let mut nodes = self.0.lock().unwrap();
         nodes
             .values_mut()
-            .filter(|n| n.keeper)
+            .filter(|n| n.is_keeper)
             .for_each(|n| n.lost = lost);
     }
 
     /// The addresses of the keepers.
     pub fn keepers(&self) -> Vec<SocketAddr> {
         let nodes = self.0.lock().unwrap();
-        let keepers = nodes.iter().filter(|(_, node)| node.keeper);
+        let keepers = nodes.iter().filter(|(_, node)| node.is_keeper);
         keepers.map(|(address, _)| *address).collect()
     }
 
     /// The entries that follow `address` in a ring, so that each entry is somebody's neighbour.
     fn neighbours(&self, address: SocketAddr) -> Vec<SocketAddr> {
         let nodes = self.0.lock().unwrap();
-        let entries = nodes.iter().filter(|(_, node)| !node.keeper);
+        let entries = nodes.iter().filter(|(_, node)| !node.is_keeper);
         let entries: Vec<SocketAddr> = entries.map(|(address, _)| *address).collect();
         let start = entries.partition_point(|e| *e <= address);
         let ring = entries.iter().cycle().skip(start);
@@ -80,10 +80,10 @@
     }
 
     async fn answer(&self, address: SocketAddr, request: &Request) -> Reply {
-        let (mirror, keeper) = {
+        let (mirror, is_keeper) = {
             let nodes = self.0.lock().unwrap();
             let node = &nodes[&address];
-            (node.mirror.clone(), node.keeper)
+            (node.mirror.clone(), node.is_keeper)
         };
         match request {
             Request::Age => feed::tell_age(&mirror, Instant::now()),
@@ -94,7 +94,7 @@
             } => {
                 let wait = Duration::from_millis((*wait_ms).into());
                 let mut news = feed::tell(&mirror, cursor, wait).await;
-                if let Some(caller) = caller.filter(|_| keeper) {
+                if let Some(caller) = caller.filter(|_| is_keeper) {
                     news.neighbours = self.neighbours(caller);
                 }
                 Reply::News(news)
