--- a/crates/gradedyke-turns/src/backlog.rs
+++ b/crates/gradedyke-turns/src/backlog.rs
@@ -1,4 +1,5 @@
-//! What a replica has begun and not answered yet.
+//! Limits the latency of [`Request::Begin`](crate::message::Request::Begin) requests by the
+//! age of those in flight.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -6,20 +7,20 @@
 
 use tokio::time::Instant;
 
-/// Age of the oldest request above which nothing more is begun: a third of what its asker
-/// waits, so that what is begun is done in time. A bound on their number alone (192, at 600
-/// a second) had every answer come after 320 ms, when nobody waited for it.
-const STANDING: Duration = Duration::from_millis(100);
-/// The same for what begins a program: nothing is lost yet by its refusal, while the loss
-/// of a later turn loses all that its program has had run.
-const STANDING_FIRST: Duration = Duration::from_millis(50);
-/// Requests that may be in progress whatever their age: a sync's worth, so that one slow
-/// read does not turn others away.
-const FEW: usize = 32;
+/// Age of the oldest request in flight above which new ones are rejected. Well below the
+/// caller's timeout, so that admitted requests are answered in time.
+const MAX_OLDEST_AGE: Duration = Duration::from_millis(100);
+/// The same for a program's first turn. Lower, because rejecting a first turn wastes no work,
+/// whereas rejecting a later one wastes the program's earlier turns.
+const MAX_OLDEST_AGE_FIRST_TURN: Duration = Duration::from_millis(50);
+/// Requests that may be in flight whatever their age, so that one slow request does not block
+/// others.
+const MIN_CONCURRENT_REQUESTS: usize = 32;
 
-/// Whether nothing more may be begun beside `active` requests whose oldest has been in
-/// progress for `age`; whether it would be a program's `first`. It answers a load beyond
-/// what a replica can do, whose queue would make every answer too late.
+/// Returns whether a new request must be rejected while `active` requests are in flight, the
+/// oldest for `age`. `first` tells whether the new one is for a program's first turn.
+///
+/// Under overload a queue would grow until every response is too late for its caller.
 ///
 /// ```
 /// use gradedyke_turns::backlog;
@@ -31,30 +32,35 @@
 /// assert!(!backlog::full(10, age, true));
 /// ```
 pub fn full(active: usize, age: Duration, first: bool) -> bool {
-    let most = if first { STANDING_FIRST } else { STANDING };
-    age > most && active >= FEW
+    let max_age = if first {
+        MAX_OLDEST_AGE_FIRST_TURN
+    } else {
+        MAX_OLDEST_AGE
+    };
+    age > max_age && active >= MIN_CONCURRENT_REQUESTS
 }
 
+/// Start times of the requests in flight, by sequence number.
 #[derive(Debug, Default)]
 struct Requests {
-    next: u64,
-    since: BTreeMap<u64, Instant>,
+    next_number: u64,
+    started: BTreeMap<u64, Instant>,
 }
 
-/// Requests in progress, by when they began.
+/// The requests that a replica has in flight.
 #[derive(Debug, Default)]
 pub struct Backlog(Mutex<Requests>);
 
-/// A request in progress, until this is dropped.
+/// Counts a request as in flight until dropped.
 #[derive(Debug)]
-pub struct Active<'a> {
+pub struct InFlightGuard<'a> {
     backlog: &'a Backlog,
     number: u64,
 }
 
-impl Drop for Active<'_> {
+impl Drop for InFlightGuard<'_> {
     fn drop(&mut self) {
-        self.backlog.lock().since.remove(&self.number);
+        self.backlog.lock().started.remove(&self.number);
     }
 }
 
@@ -63,8 +69,8 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Begins a request, unless those in progress stand for too long; whether it is a
-    /// program's `first`.
+    /// Adds a request, or returns `None` if it must be rejected (see [`full`]). `first` tells
+    /// whether it is for a program's first turn.
     ///
     /// ```
     /// use gradedyke_turns::backlog::Backlog;
@@ -72,25 +78,25 @@
     ///
     /// let now = tokio::time::Instant::now();
     /// let backlog = Backlog::default();
-    /// let begun: Vec<_> = (0..40).map(|_| backlog.begin(false, now)).collect();
+    /// let begun: Vec<_> = (0..40).map(|_| backlog.try_begin(false, now)).collect();
     /// assert!(begun.iter().all(Option::is_some));
     /// let later = now + Duration::from_millis(70);
-    /// assert!(backlog.begin(true, later).is_none());
-    /// assert!(backlog.begin(false, later).is_some());
+    /// assert!(backlog.try_begin(true, later).is_none());
+    /// assert!(backlog.try_begin(false, later).is_some());
     /// drop(begun);
-    /// assert!(backlog.begin(true, later).is_some());
+    /// assert!(backlog.try_begin(true, later).is_some());
     /// ```
-    pub fn begin(&self, first: bool, now: Instant) -> Option<Active<'_>> {
+    pub fn try_begin(&self, first: bool, now: Instant) -> Option<InFlightGuard<'_>> {
         let mut requests = self.lock();
-        let oldest = requests.since.values().next();
+        let oldest = requests.started.values().next();
         let age = oldest.map(|at| now.saturating_duration_since(*at));
-        if full(requests.since.len(), age.unwrap_or_default(), first) {
+        if full(requests.started.len(), age.unwrap_or_default(), first) {
             return None;
         }
-        let number = requests.next;
-        requests.next += 1;
-        requests.since.insert(number, now);
-        Some(Active {
+        let number = requests.next_number;
+        requests.next_number += 1;
+        requests.started.insert(number, now);
+        Some(InFlightGuard {
             backlog: self,
             number,
         })
--- a/crates/gradedyke-turns/src/desk.rs
+++ b/crates/gradedyke-turns/src/desk.rs
@@ -1,5 +1,5 @@
-//! What other processes meet: lets requests in, and answers those that need no
-//! records at once.
+//! Handles requests from other processes: limits concurrency, and answers requests that need
+//! no records without the replica.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -17,39 +17,37 @@
 use crate::mirror::Mirror;
 use crate::pressure::{Gauge, Pressure};
 use crate::replica::Replica;
-use crate::tally::{Kind, Tally};
-
-/// Time after which a replica that reads its disk still says so: a third of what
-/// an entry gives replicas that are there.
-const STARTING: Duration = Duration::from_millis(100);
-/// Attempts that are begun at a time, for the memory that they hold. Whether one is done
-/// in time is for the backlog's bound on their age to see to: so many take 320 ms at 600 a
-/// second, and whoever asks waits 300.
-const BEGINS: usize = 192;
-/// The same of all other requests for records. They end work that has been done,
-/// and are waited for longer (2 s), so they have room when no more is begun.
-const OTHERS: usize = 768;
-
-/// Counts a request as being answered until it is dropped.
-struct Active<'a>(&'a AtomicUsize);
-
-impl<'a> Active<'a> {
-    /// Counts one, unless `most` are being answered already.
-    fn take(count: &'a AtomicUsize, most: usize) -> Option<Self> {
-        let taken = count.fetch_add(1, Ordering::Relaxed);
-        let active = Self(count);
-        (taken < most).then_some(active)
+use crate::tally::{RequestKind, RequestStats};
+
+/// How long a request waits for a replica that is still opening before it is answered with
+/// [`Reply::Starting`]. Well below the timeout of the caller.
+const STARTUP_WAIT: Duration = Duration::from_millis(100);
+/// Most concurrent [`Request::Begin`] requests; limits memory. [`Backlog`] limits latency.
+const MAX_CONCURRENT_BEGINS: usize = 192;
+/// Most concurrent requests of other kinds that need the replica. They have their own, higher
+/// limit, as most of them complete attempts that have already run.
+const MAX_CONCURRENT_OTHERS: usize = 768;
+
+/// Counts a request as in flight until dropped.
+struct ConcurrencyPermit<'a>(&'a AtomicUsize);
+
+impl<'a> ConcurrencyPermit<'a> {
+    /// Counts one more request, unless `limit` are in flight already.
+    fn try_acquire(count: &'a AtomicUsize, limit: usize) -> Option<Self> {
+        let in_flight = count.fetch_add(1, Ordering::Relaxed);
+        let permit = Self(count);
+        (in_flight < limit).then_some(permit)
     }
 }
 
-impl Drop for Active<'_> {
+impl Drop for ConcurrencyPermit<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// What answers other processes. News are told from the first moment on; what
-/// concerns records waits until the replica has read its disk.
+/// Handles requests from other processes. Changes of the mirror are served at once; requests
+/// for records wait until the replica has opened its disk.
 pub struct Desk {
     mirror: Arc<Mirror>,
     replica: watch::Receiver<Option<Arc<Replica>>>,
@@ -57,11 +55,12 @@
     others: AtomicUsize,
     backlog: Backlog,
     gauge: Mutex<Gauge>,
-    tally: Mutex<Tally>,
+    stats: Mutex<RequestStats>,
 }
 
 impl Desk {
-    /// A desk that tells what is in `mirror`, and asks `replica` once it is there.
+    /// Creates a handler that serves changes of `mirror`, and passes requests for records to
+    /// `replica` once it is available.
     pub fn new(mirror: Arc<Mirror>, replica: watch::Receiver<Option<Arc<Replica>>>) -> Self {
         Self {
             mirror,
@@ -70,50 +69,52 @@
             others: AtomicUsize::new(0),
             backlog: Backlog::default(),
             gauge: Mutex::default(),
-            tally: Mutex::new(Tally::new(Instant::now())),
+            stats: Mutex::new(RequestStats::new(Instant::now())),
         }
     }
 
-    fn tally(&self) -> MutexGuard<'_, Tally> {
-        self.tally.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_stats(&self) -> MutexGuard<'_, RequestStats> {
+        self.stats.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Counts a request that lay `unread`, and tells of the second before if the
-    /// replica fell behind in it.
-    fn count(&self, request: &Request, unread: Duration, now: Instant) {
-        let kind = Kind::of(request);
+    /// Counts a request that waited `queue_delay` to be read. Logs the statistics of the last
+    /// window if the replica was overloaded in it.
+    fn record_request(&self, request: &Request, queue_delay: Duration, now: Instant) {
+        let kind = RequestKind::of(request);
         metrics::counter!("gradedyke_asked_total", "kind" => kind.name()).increment(1);
-        let span = {
-            let mut tally = self.tally();
-            let span = tally.over(now);
-            tally.count(kind, unread);
-            span
+        let window = {
+            let mut stats = self.lock_stats();
+            let window = stats.finish_window(now);
+            stats.record_request(kind, queue_delay);
+            window
         };
-        let Some(span) = span else { return };
+        let Some(window) = window else { return };
         tracing::warn!(
             event = "falls_behind",
-            begins = span.begins,
-            keeps = span.keeps,
-            reads = span.reads,
-            refused = span.refused,
-            unread_ms = span.unread.as_millis(),
-            took_ms = span.took.as_millis()
+            begins = window.begins,
+            keeps = window.keeps,
+            reads = window.reads,
+            refused = window.rejected,
+            unread_ms = window.max_queue_delay.as_millis(),
+            took_ms = window.max_response_time.as_millis()
         );
     }
 
-    /// Lets a request in that lay `unread`, if there is room for it. One that its asker
-    /// does not wait for any more is not done in vain. In a model where 1.6 times as much is
-    /// asked as replicas can do, 66 in 100 programs end whole with this, the backlog's bound
-    /// and entries that let fewer programs begin, and 7 without; of the long ones 66 and 2.
-    fn admit(&self, request: &Request, unread: Duration) -> Option<Active<'_>> {
+    /// Admits a request that waited `queue_delay` to be read, if a slot is free. A request that
+    /// waited longer than its caller's timeout is rejected, as nobody would use the reply.
+    fn admit(&self, request: &Request, queue_delay: Duration) -> Option<ConcurrencyPermit<'_>> {
         match request {
-            Request::Begin(begin) if unread.as_millis() > u128::from(begin.patience_ms) => None,
-            Request::Begin(_) => Active::take(&self.begins, BEGINS),
-            _ => Active::take(&self.others, OTHERS),
+            Request::Begin(begin) if queue_delay.as_millis() > u128::from(begin.patience_ms) => {
+                None
+            }
+            Request::Begin(_) => {
+                ConcurrencyPermit::try_acquire(&self.begins, MAX_CONCURRENT_BEGINS)
+            }
+            _ => ConcurrencyPermit::try_acquire(&self.others, MAX_CONCURRENT_OTHERS),
         }
     }
 
-    async fn answer(&self, request: Request, unread: Duration) -> Reply {
+    async fn answer(&self, request: Request, queue_delay: Duration) -> Reply {
         if let Request::Follow {
             cursor,
             wait_ms,
@@ -133,34 +134,34 @@
         if matches!(request, Request::Age) {
             return feed::tell_age(&self.mirror, Instant::now());
         }
-        let begins = matches!(request, Request::Begin(_));
-        let Some(_active) = self.admit(&request, unread) else {
-            return self.refuse(begins);
+        let is_begin = matches!(request, Request::Begin(_));
+        let Some(_permit) = self.admit(&request, queue_delay) else {
+            return self.reject(is_begin);
         };
         let mut replica = self.replica.clone();
         let ready = replica.wait_for(Option::is_some);
-        let Ok(ready) = tokio::time::timeout(STARTING, ready).await else {
+        let Ok(ready) = tokio::time::timeout(STARTUP_WAIT, ready).await else {
             return Reply::Starting;
         };
         let ready = ready.ok().and_then(|r| r.clone());
         match ready {
             Some(replica) => self.serve(&replica, request).await,
-            None => Reply::Failed("the replica did not start; see its log".to_owned()),
+            None => Reply::Failed("the replica failed to start; see its log".to_owned()),
         }
     }
 
-    /// Notes an attempt, and whether it was refused. Returns how the replica keeps up.
-    fn gauge(&self, refused: bool) -> Pressure {
+    /// Counts an attempt and whether it was rejected. Returns the pressure on the replica.
+    fn record_attempt(&self, rejected: bool) -> Pressure {
         let now = Instant::now();
         let mut gauge = self.gauge.lock().unwrap_or_else(PoisonError::into_inner);
-        gauge.count(refused, now);
+        gauge.count(rejected, now);
         gauge.pressure(now)
     }
 
-    fn refuse(&self, begins: bool) -> Reply {
+    fn reject(&self, is_begin: bool) -> Reply {
         metrics::counter!("gradedyke_busy_total").increment(1);
-        self.tally().refuse();
-        let pressure = begins.then(|| self.gauge(true));
+        self.lock_stats().record_rejection();
+        let pressure = is_begin.then(|| self.record_attempt(true));
         Reply::Busy(pressure.unwrap_or_default())
     }
 
@@ -170,7 +171,7 @@
             Request::Keep { .. } | Request::KeepAll { .. } => {
                 let started = Instant::now();
                 let reply = replica.answer(request).await;
-                self.tally().answered(started.elapsed());
+                self.lock_stats().record_response_time(started.elapsed());
                 reply
             }
             _ => replica.answer(request).await,
@@ -179,14 +180,14 @@
 
     async fn begin(&self, replica: &Replica, begin: Begin) -> Reply {
         let started = Instant::now();
-        let Some(_begun) = self.backlog.begin(begin.first, started) else {
-            return self.refuse(true);
+        let Some(_guard) = self.backlog.try_begin(begin.first, started) else {
+            return self.reject(true);
         };
-        let told = self.gauge(false);
+        let current = self.record_attempt(false);
         let mut reply = replica.answer(Request::Begin(begin)).await;
-        self.tally().answered(started.elapsed());
+        self.lock_stats().record_response_time(started.elapsed());
         if let Reply::Began { pressure, .. } = &mut reply {
-            *pressure = told;
+            *pressure = current;
         }
         reply
     }
@@ -198,12 +199,12 @@
         let reply = match message::decode(&request) {
             Some(request) => {
                 let now = Instant::now();
-                let unread = now.saturating_duration_since(arrived);
-                self.count(&request, unread, now);
-                self.answer(request, unread).await
+                let queue_delay = now.saturating_duration_since(arrived);
+                self.record_request(&request, queue_delay, now);
+                self.answer(request, queue_delay).await
             }
             None => Reply::Failed(
-                "the request is not understood; run the same version everywhere".to_owned(),
+                "the request could not be decoded; run the same version everywhere".to_owned(),
             ),
         };
         message::encode(&reply)
--- a/crates/gradedyke-turns/src/detour.rs
+++ b/crates/gradedyke-turns/src/detour.rs
@@ -1,9 +1,8 @@
-//! Ways around a cut between an entry and the keepers.
+//! Reaches replicas through other gateways during a network partition.
 //!
-//! An entry that cannot reach the keepers, while other entries can, asks these
-//! to pass its requests on. All requests to keepers may be repeated, so the
-//! direct way and the detour can be tried side by side. Entries learn of each
-//! other from the keepers, in time before a cut.
+//! A gateway that cannot reach the replicas asks neighbour gateways to forward its requests.
+//! All requests to replicas are idempotent, so the direct call and a forwarded one can run at
+//! the same time. Gateways learn each other's addresses from the replicas in advance.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -19,28 +18,27 @@
 use crate::pressure::Pressure;
 use crate::quorum::Quorum;
 
-/// Silence of the direct way after which a detour is tried: thirty times what an
-/// exchange takes with a sync. A keeper that answers others within that time is
-/// slow, and detours would make it slower.
-const SILENCE: Duration = Duration::from_millis(150);
-/// Longest time for a request that is passed on. The neighbour may be cut off
-/// too, and another is better than waiting.
-const CALL: Duration = Duration::from_millis(250);
-/// Time in it that the neighbour gives the keeper, so that it can still say that
-/// the keeper is slow.
-const PASSED: Duration = Duration::from_millis(200);
-
-/// Neighbours that are tried for one request, one after the other.
-const DETOURS: usize = 3;
-
-/// Passes requests of other entries on to keepers, and tells entries that are cut off what
-/// the platform's service holds.
+/// How long a direct call may go unanswered before a neighbour is tried. Far longer than a
+/// normal call, so that a slow replica does not get each request twice.
+const RELAY_DELAY: Duration = Duration::from_millis(150);
+/// Timeout of a call to a neighbour. Short, as the neighbour may be partitioned too and the
+/// next one may not be.
+const RELAY_CALL_TIMEOUT: Duration = Duration::from_millis(250);
+/// Timeout of the neighbour's call to the replica. Less than [`RELAY_CALL_TIMEOUT`], so that
+/// the neighbour can still report that the replica is slow.
+const FORWARD_TIMEOUT: Duration = Duration::from_millis(200);
+
+/// Most neighbours tried for one request, one after the other.
+const MAX_RELAYS: usize = 3;
+
+/// Forwards requests of other gateways to replicas, and serves them changes of the platform's
+/// key-value store.
 pub struct Forwarder {
     quorum: Arc<Quorum>,
 }
 
 impl Forwarder {
-    /// A forwarder to the keepers that `quorum` knows.
+    /// Creates a forwarder to the replicas that `quorum` knows.
     pub fn new(quorum: Arc<Quorum>) -> Self {
         Self { quorum }
     }
@@ -56,15 +54,15 @@
                 let wait = Duration::from_millis(wait_ms.into());
                 return Reply::News(feed::tell(self.quorum.mirror(), &cursor, wait).await);
             }
-            _ => return Reply::Failed("an entry keeps no records; ask a keeper".to_owned()),
+            _ => return Reply::Failed("a gateway stores no records; ask a replica".to_owned()),
         };
-        // To keepers only: an entry is no way to anywhere else.
+        // Forward to replicas only, so that a gateway is not an open proxy.
         let view = self.quorum.view();
         if !view.members.iter().any(|m| m.address == to) {
-            return Reply::Failed("the address is no keeper's; renew the view".to_owned());
+            return Reply::Failed("the address is not a replica's; refresh the view".to_owned());
         }
         metrics::counter!("gradedyke_forwarded_total").increment(1);
-        match self.quorum.client(to).call(body, PASSED).await {
+        match self.quorum.client(to).call(body, FORWARD_TIMEOUT).await {
             Ok(reply) => Reply::Via(reply),
             Err(gradedyke_peer::Error::TimedOut(..)) => Reply::Busy(Pressure::default()),
             Err(error) => Reply::Failed(error.to_string()),
@@ -77,134 +75,141 @@
     async fn handle(&self, request: Bytes, _arrived: Instant) -> Bytes {
         let reply = match message::decode(&request) {
             Some(request) => self.answer(request).await,
-            None => Reply::Failed("the request is not understood".to_owned()),
+            None => Reply::Failed("the request could not be decoded".to_owned()),
         };
         message::encode(&reply)
     }
 }
 
-/// What a detour brought.
-enum Passed {
-    /// The keeper's reply.
+/// Result of a call through a neighbour.
+enum RelayOutcome {
+    /// The replica's reply.
     Reply(Bytes),
-    /// The keeper was reached, and did not answer in time.
-    Slow,
-    /// This neighbour is no way.
-    No,
+    /// The replica is reachable but did not answer in time.
+    ReplicaTimedOut,
+    /// The neighbour failed or cannot reach the replica.
+    Unreachable,
 }
 
-/// Asks the keeper at `to` through the entry that `neighbour` reaches.
-async fn ask(neighbour: &Client, to: SocketAddr, body: Bytes) -> Passed {
-    let via = message::encode(&Request::Via { to, body });
-    let reply = neighbour.call(via, CALL).await;
+/// Calls the replica at `to` through `neighbour`.
+async fn call_through(neighbour: &Client, to: SocketAddr, body: Bytes) -> RelayOutcome {
+    let request = message::encode(&Request::Via { to, body });
+    let reply = neighbour.call(request, RELAY_CALL_TIMEOUT).await;
     let reply = reply.inspect_err(|error| {
         tracing::debug!(event = "detour_failed", keeper = %to, %error);
     });
     let reply = reply.ok().and_then(|r| message::decode(&r));
     match reply {
-        Some(Reply::Via(reply)) => Passed::Reply(reply),
-        Some(Reply::Busy(_)) => Passed::Slow,
-        _ => Passed::No,
+        Some(Reply::Via(reply)) => RelayOutcome::Reply(reply),
+        Some(Reply::Busy(_)) => RelayOutcome::ReplicaTimedOut,
+        _ => RelayOutcome::Unreachable,
     }
 }
 
-/// The ways to one keeper.
-pub struct Way {
-    keeper: SocketAddr,
+/// A client of one replica that goes through neighbours if the replica is unreachable.
+pub struct ReplicaClient {
+    replica: SocketAddr,
     direct: Client,
-    detours: Vec<Client>,
-    /// All keepers that count, and how many of them are a majority.
+    relays: Vec<Client>,
+    /// Direct clients of all active replicas.
     all: Vec<Client>,
+    /// How many of them form a majority.
     quorum: usize,
-    /// The neighbour that passed a request on last, for the next one.
-    worked: Arc<Mutex<Option<SocketAddr>>>,
+    /// The neighbour that last forwarded a request successfully; shared with other clients.
+    last_relay: Arc<Mutex<Option<SocketAddr>>>,
 }
 
-impl Way {
-    /// The ways to `keeper`: its own client, and entries that may reach it.
-    /// `worked` remembers which of these did. Of `all` keepers that count,
-    /// `quorum` must answer.
+impl ReplicaClient {
+    /// Creates a client of the replica at address `replica`, which is called by `direct` or
+    /// through `relays`. `last_relay` remembers the neighbour that last succeeded, which is
+    /// tried first. `all` has the direct clients of all active replicas, of which `quorum` are
+    /// a majority.
     pub fn new(
-        keeper: SocketAddr,
+        replica: SocketAddr,
         direct: Client,
-        mut detours: Vec<Client>,
+        mut relays: Vec<Client>,
         (all, quorum): (Vec<Client>, usize),
-        worked: Arc<Mutex<Option<SocketAddr>>>,
+        last_relay: Arc<Mutex<Option<SocketAddr>>>,
     ) -> Self {
-        let last = *worked.lock().unwrap_or_else(PoisonError::into_inner);
-        detours.sort_by_key(|d| Some(d.address()) != last);
-        detours.truncate(DETOURS);
+        let previous = *last_relay.lock().unwrap_or_else(PoisonError::into_inner);
+        relays.sort_by_key(|r| Some(r.address()) != previous);
+        relays.truncate(MAX_RELAYS);
         Self {
-            keeper,
+            replica,
             direct,
-            detours,
+            relays,
             all,
             quorum,
-            worked,
+            last_relay,
         }
     }
 
-    fn note(&self, neighbour: SocketAddr) {
-        let mut worked = self.worked.lock().unwrap_or_else(PoisonError::into_inner);
-        if *worked != Some(neighbour) {
-            tracing::info!(event = "detour_found", %neighbour, keeper = %self.keeper);
-            *worked = Some(neighbour);
+    /// Remembers the neighbour that forwarded a request successfully.
+    fn record_relay(&self, neighbour: SocketAddr) {
+        let mut last_relay = self
+            .last_relay
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        if *last_relay != Some(neighbour) {
+            tracing::info!(event = "detour_found", %neighbour, keeper = %self.replica);
+            *last_relay = Some(neighbour);
         }
     }
 
-    /// Calls by the direct way, for at most `time`; and by detours when that is
-    /// known to be broken, or does not answer soon.
-    pub async fn call(&self, body: Bytes, time: Duration) -> Option<Bytes> {
-        let direct = self.straight(body.clone(), time);
-        let around = self.around(body);
-        tokio::pin!(direct, around);
+    /// Calls the replica directly, for at most `timeout`, and through neighbours if no majority
+    /// of replicas answers directly. Returns the first reply.
+    pub async fn call(&self, body: Bytes, timeout: Duration) -> Option<Bytes> {
+        let direct = self.call_direct(body.clone(), timeout);
+        let relayed = self.call_relayed(body);
+        tokio::pin!(direct, relayed);
         tokio::select! {
             reply = &mut direct => match reply {
                 Some(reply) => Some(reply),
-                None => around.await,
+                None => relayed.await,
             },
-            reply = &mut around => match reply {
+            reply = &mut relayed => match reply {
                 Some(reply) => Some(reply),
                 None => direct.await,
             },
         }
     }
 
-    async fn straight(&self, body: Bytes, time: Duration) -> Option<Bytes> {
-        let reply = self.direct.call(body, time).await;
+    async fn call_direct(&self, body: Bytes, timeout: Duration) -> Option<Bytes> {
+        let reply = self.direct.call(body, timeout).await;
         let reply = reply.inspect_err(|error| {
-            tracing::debug!(event = "replica_call_failed", keeper = %self.keeper, %error);
+            tracing::debug!(event = "replica_call_failed", keeper = %self.replica, %error);
         });
         reply.ok()
     }
 
-    /// Waits until it shows whether a detour is needed: only where no majority
-    /// answers directly. A single keeper that is slow or gone is not missed, and
-    /// detours to it would keep it slow.
-    async fn needed(&self) -> bool {
-        let asked = Instant::now();
-        let up = self.all.iter().filter(|c| !c.is_down()).count();
-        if up < self.quorum {
+    /// Waits until it is known whether to go through neighbours, which is done only if no
+    /// majority answers directly. A single slow or lost replica is not needed for a majority,
+    /// and forwarded calls would add to its load.
+    async fn is_relay_needed(&self) -> bool {
+        let started = Instant::now();
+        let up_count = self.all.iter().filter(|c| !c.is_down()).count();
+        if up_count < self.quorum {
             return self.direct.is_down();
         }
-        tokio::time::sleep(SILENCE).await;
-        let answered = self.all.iter().filter(|c| c.heard() >= asked).count();
-        answered < self.quorum && self.direct.heard() < asked
+        tokio::time::sleep(RELAY_DELAY).await;
+        let answered_count = self.all.iter().filter(|c| c.heard() >= started).count();
+        answered_count < self.quorum && self.direct.heard() < started
     }
 
-    async fn around(&self, body: Bytes) -> Option<Bytes> {
-        if !self.needed().await {
+    /// Calls through neighbours, one after the other, if needed.
+    async fn call_relayed(&self, body: Bytes) -> Option<Bytes> {
+        if !self.is_relay_needed().await {
             return None;
         }
-        for neighbour in &self.detours {
-            match ask(neighbour, self.keeper, body.clone()).await {
-                Passed::Reply(reply) => {
-                    self.note(neighbour.address());
+        for neighbour in &self.relays {
+            match call_through(neighbour, self.replica, body.clone()).await {
+                RelayOutcome::Reply(reply) => {
+                    self.record_relay(neighbour.address());
                     return Some(reply);
                 }
-                // Another way to it would only give it more to do.
-                Passed::Slow => return None,
-                Passed::No => {}
+                // Calling it through another neighbour would only add to its load.
+                RelayOutcome::ReplicaTimedOut => return None,
+                RelayOutcome::Unreachable => {}
             }
         }
         None
--- a/crates/gradedyke-turns/src/load.rs
+++ b/crates/gradedyke-turns/src/load.rs
@@ -1,11 +1,8 @@
-//! How busy each backend server is, over all entries.
+//! Load of each backend server, summed over all gateways.
 //!
-//! An entry alone sees a small part of the load: with fifty of them, some chose
-//! the same server by chance and its queue grew unseen. So each tells the
-//! keepers, with the exchange that begins a turn, what it has in progress where,
-//! and gets the sum of what the others told. No call is made for it, and the
-//! sum is as fresh as the exchange. Asking the servers was given up: their own
-//! reports lag and are priced.
+//! A single gateway sees only its own requests, so several could pick the same server at once
+//! without noticing. Each gateway therefore reports its requests in flight to the replicas
+//! when it begins a turn, and the nearest replica replies with the sum over the other gateways.
 
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -18,57 +15,57 @@
 
 use crate::record::Id;
 
-/// A server's name in short, which travels with every turn.
+/// A 32-bit hash of a backend server's name, to keep messages small.
 pub type Server = u32;
 
-/// The short name of a server.
+/// Returns the hash of a backend server's name.
 pub fn server(id: &Id) -> Server {
     let mut hasher = DefaultHasher::new();
     id.as_str().hash(&mut hasher);
-    // The upper half; two servers that share it only look busier than they are.
+    // On a collision both servers only seem busier than they are.
     u32::try_from(hasher.finish() >> 32).unwrap_or_default()
 }
 
-/// What is in progress at one server, and how it does.
+/// Load and recent results of one backend server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Busy {
-    /// The server.
+    /// Hash of the server's name.
     pub server: Server,
-    /// Requests.
+    /// Requests in flight.
     pub requests: u32,
-    /// Requests that failed lately by the server's fault.
+    /// Recent requests that failed because of the server.
     pub failures: u32,
-    /// Requests that ended lately, one way or the other.
+    /// Recent requests that completed, successfully or not.
     pub ended: u32,
-    /// Entries that could not reach the server lately.
+    /// Gateways that recently could not reach the server.
     pub unreached: u32,
-    /// Answers whose pace was seen lately.
+    /// Recent responses whose speed was measured.
     pub paced: u32,
-    /// How long these took relative to what was expected, in hundredths, added up.
+    /// Sum over these responses of actual to expected duration, in hundredths.
     pub pace: u32,
 }
 
-/// What one entry has in progress.
+/// Requests that one gateway has in flight.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// The entry, by the start of its process.
+    /// Identifies one run of the gateway's process.
     pub entry: u64,
-    /// Where it passes requests of other entries on.
+    /// Where it forwards requests of other gateways, if it does.
     pub address: Option<SocketAddr>,
-    /// Servers where it has something in progress.
+    /// Load and recent results of the servers that it uses.
     pub busy: Vec<Busy>,
 }
 
-/// How long a report counts. An entry with something in progress tells more
-/// often; one that is gone must not look busy for longer.
-const FRESH: Duration = Duration::from_millis(1_500);
+/// How long a report is counted. Gateways with requests in flight report more often than this.
+const REPORT_TTL: Duration = Duration::from_millis(1_500);
 
-/// How long an entry that told something is taken for one that runs.
-const NEIGHBOUR: Duration = Duration::from_secs(20);
-/// Entries that are named to another at a time: enough that one is not cut.
-const NEIGHBOURS: usize = 6;
+/// How long a gateway is considered running after it was last heard from.
+const NEIGHBOUR_TTL: Duration = Duration::from_secs(20);
+/// Most neighbours named to a gateway. Several, so that probably one of them is reachable during
+/// a partition.
+const MAX_NEIGHBOURS: usize = 6;
 
-/// The reports of all entries.
+/// The latest reports of all gateways.
 #[derive(Debug, Default)]
 pub struct Board {
     reports: HashMap<u64, (Instant, Vec<Busy>)>,
@@ -76,32 +73,32 @@
 }
 
 impl Board {
-    /// Takes a report in.
+    /// Stores a gateway's report, replacing its previous one.
     pub fn put(&mut self, report: Report, now: Instant) {
         self.reports
-            .retain(|_, (at, _)| now.saturating_duration_since(*at) < FRESH);
+            .retain(|_, (at, _)| now.saturating_duration_since(*at) < REPORT_TTL);
         self.reports.insert(report.entry, (now, report.busy));
         self.note(report.address, now);
     }
 
-    /// Notes an entry that runs.
+    /// Records that the gateway at `address` is running.
     pub fn note(&mut self, address: Option<SocketAddr>, now: Instant) {
         if let Some(address) = address {
             self.addresses.insert(address, now);
         }
     }
 
-    /// Some of the entries that told something lately, chosen at random.
+    /// Returns the addresses of some running gateways, chosen at random.
     pub fn neighbours(&mut self, now: Instant) -> Vec<SocketAddr> {
         self.addresses
-            .retain(|_, at| now.saturating_duration_since(*at) < NEIGHBOUR);
-        let mut all: Vec<SocketAddr> = self.addresses.keys().copied().collect();
-        all.shuffle(&mut rand::rng());
-        all.truncate(NEIGHBOURS);
-        all
+            .retain(|_, at| now.saturating_duration_since(*at) < NEIGHBOUR_TTL);
+        let mut chosen: Vec<SocketAddr> = self.addresses.keys().copied().collect();
+        chosen.shuffle(&mut rand::rng());
+        chosen.truncate(MAX_NEIGHBOURS);
+        chosen
     }
 
-    /// What all entries but `entry` have in progress.
+    /// Returns the load of each server, summed over all gateways but `entry`.
     ///
     /// ```
     /// use gradedyke_turns::load::{Board, Busy, Report};
@@ -115,11 +112,11 @@
     /// ```
     pub fn others(&self, entry: u64, now: Instant) -> Vec<Busy> {
         let mut sums: HashMap<Server, Busy> = HashMap::new();
-        let fresh = |at: Instant| now.saturating_duration_since(at) < FRESH;
+        let is_fresh = |at: Instant| now.saturating_duration_since(at) < REPORT_TTL;
         let others = self
             .reports
             .iter()
-            .filter(|(e, (at, _))| **e != entry && fresh(*at));
+            .filter(|(e, (at, _))| **e != entry && is_fresh(*at));
         for busy in others.flat_map(|(_, (_, busy))| busy) {
             let sum = sums.entry(busy.server).or_default();
             sum.server = busy.server;
--- a/crates/gradedyke-turns/src/pressure.rs
+++ b/crates/gradedyke-turns/src/pressure.rs
@@ -1,7 +1,7 @@
-//! How a replica keeps up with what it is asked to begin.
+//! Backpressure: the share of attempts that a replica rejected recently.
 //!
-//! It alone sees enough to tell: of hundreds of entries each has one or two turns a
-//! second. So it tells every entry with each answer, and entries let fewer programs begin.
+//! A single gateway sees too few attempts to measure this. Replicas therefore report it with
+//! each reply, and gateways admit fewer new programs while it is high.
 
 use std::time::Duration;
 
@@ -10,47 +10,47 @@
 
 use crate::decay::Count;
 
-/// Time in which what was asked counts half: a burst is told in its first second, and its
-/// end as soon.
-const HALF: Duration = Duration::from_millis(500);
-/// Attempts asked for in that time below which nothing is told: too few to tell a share.
-const FEW: f64 = 8.0;
-/// Thousandths in a whole.
-const WHOLE: f64 = 1_000.0;
+/// Half-life of the counts.
+const COUNT_HALF_LIFE: Duration = Duration::from_millis(500);
+/// Decayed number of attempts below which no pressure is reported, as a share of so few would
+/// be noise.
+const MIN_ATTEMPTS: f64 = 8.0;
+/// Steps of the encoded share: thousandths.
+const STEPS_PER_UNIT: f64 = 1_000.0;
 
-/// Share of attempts that a replica turned away lately, in thousandths.
+/// Share of attempts that a replica rejected recently, in thousandths.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Pressure(u16);
 
 impl Pressure {
-    /// The share, 0 to 1.
+    /// Returns the share, from 0 to 1.
     ///
     /// ```
     /// use gradedyke_turns::pressure::Pressure;
     ///
     /// assert_eq!(Pressure::default().share(), 0.0);
-    /// assert_eq!(Pressure::of(0.25).share(), 0.25);
+    /// assert_eq!(Pressure::from_share(0.25).share(), 0.25);
     /// ```
     pub fn share(self) -> f64 {
-        f64::from(self.0) / WHOLE
+        f64::from(self.0) / STEPS_PER_UNIT
     }
 
-    /// The pressure of a replica that turns this share away, 0 to 1.
+    /// Creates a pressure from a share, clamped to the range from 0 to 1.
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-    pub fn of(share: f64) -> Self {
-        Self((share.clamp(0.0, 1.0) * WHOLE).round() as u16)
+    pub fn from_share(share: f64) -> Self {
+        Self((share.clamp(0.0, 1.0) * STEPS_PER_UNIT).round() as u16)
     }
 }
 
-/// What a replica was asked to begin, and turned away.
+/// Measures the pressure on a replica.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Gauge {
-    asked: Count,
-    refused: Count,
+    attempts: Count,
+    rejected: Count,
 }
 
 impl Gauge {
-    /// Counts an attempt, and whether it was `refused`.
+    /// Counts an attempt and whether it was `rejected`.
     ///
     /// ```
     /// use gradedyke_turns::pressure::Gauge;
@@ -60,19 +60,19 @@
     /// (0..20).for_each(|number| gauge.count(number % 2 == 0, now));
     /// assert!((gauge.pressure(now).share() - 0.5).abs() < 0.01);
     /// ```
-    pub fn count(&mut self, refused: bool, now: Instant) {
-        self.asked.add(HALF, now);
-        if refused {
-            self.refused.add(HALF, now);
+    pub fn count(&mut self, rejected: bool, now: Instant) {
+        self.attempts.add(COUNT_HALF_LIFE, now);
+        if rejected {
+            self.rejected.add(COUNT_HALF_LIFE, now);
         }
     }
 
-    /// The pressure now.
+    /// Returns the pressure at `now`.
     pub fn pressure(&self, now: Instant) -> Pressure {
-        let asked = self.asked.at(HALF, now);
-        if asked < FEW {
+        let attempts = self.attempts.at(COUNT_HALF_LIFE, now);
+        if attempts < MIN_ATTEMPTS {
             return Pressure::default();
         }
-        Pressure::of(self.refused.at(HALF, now) / asked)
+        Pressure::from_share(self.rejected.at(COUNT_HALF_LIFE, now) / attempts)
     }
 }
--- a/crates/gradedyke-turns/src/quorum.rs
+++ b/crates/gradedyke-turns/src/quorum.rs
@@ -1,8 +1,10 @@
-//! The asking side: begins attempts and keeps records with a majority.
+//! The client side of replication: begins attempts and writes records to a majority of
+//! replicas.
 //!
-//! - `begin`: an attempt is begun; `keep`: records are kept, and sums asked for; `settle`:
-//!   what attempts used is told afterwards.
-//! - `gathered`: what follows from the replies.
+//! - `begin`: reserves tokens for an attempt and reads the conversation it continues.
+//! - `keep`: writes records and reads usage totals.
+//! - `settle`: reports in the background how many tokens attempts used.
+//! - `gathered`: combines the replies of the replicas.
 
 mod begin;
 mod gathered;
@@ -22,7 +24,7 @@
 use tokio::time::Instant;
 
 use crate::conversation::Chain;
-use crate::detour::Way;
+use crate::detour::ReplicaClient;
 use crate::load::{Busy, Report};
 use crate::membership;
 use crate::message::{self, Reply, Request};
@@ -32,123 +34,126 @@
 use crate::usage::{self, Total};
 use crate::view::{Disk, Member, View};
 
-/// Longest time for a replica's reply that is still of use: several syncs of a
-/// slow disk. What arrives later is settled by the replicas among themselves.
-const CALL: Duration = Duration::from_millis(1_000);
+/// Timeout of a call to a replica: several syncs of a slow disk. Replicas that miss a
+/// record get it from each other.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Why an attempt may not begin. Nothing has been sent to a backend server.
+/// Why an operation on the replicas failed. An attempt that fails to begin has sent nothing
+/// to a backend server.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Refusal {
-    /// All replicas answered, and none has the turn that is continued.
-    #[error("no replica has the turn; start a new conversation")]
+    /// All replicas answered, and none has the parent turn.
+    #[error("no replica has the parent turn; start a new conversation")]
     NoTurn,
-    /// The turn may exist, but those who could tell do not answer.
-    #[error("it cannot be told now whether the turn exists; come back soon")]
+    /// The parent turn may exist, but replicas that may have it did not answer.
+    #[error("cannot determine whether the parent turn exists; retry soon")]
     Unsure,
-    /// The budget is spent.
-    #[error("the budget of {budget} tokens has no room for {asked} beside {used}; end the program")]
+    /// The program's token budget has no room for the reservation.
+    #[error(
+        "token budget exceeded: budget {budget}, used {used}, requested {asked}; end the program"
+    )]
     Spent {
         /// The budget, in tokens.
         budget: u64,
-        /// Tokens used and reserved by other attempts.
+        /// Tokens used or reserved by other attempts.
         used: u64,
-        /// Tokens asked for.
+        /// Tokens requested.
         asked: u32,
     },
-    /// Too few replicas answer, and some of them read their disks still.
-    #[error("replicas read their disks still; come back soon")]
+    /// Too few replicas answered; at least one is still recovering from its disk.
+    #[error("replicas are still recovering from disk; retry soon")]
     Starting,
-    /// Too few replicas answer, and some of them have too much to do.
-    #[error("replicas have more to do than they can; come back soon")]
+    /// Too few replicas answered; at least one is overloaded.
+    #[error("replicas are overloaded; retry soon")]
     Busy,
-    /// No majority of replicas answers.
-    #[error("{answered} of {needed} replicas answered; see whether they run")]
+    /// No majority of replicas answered.
+    #[error("{answered} replicas answered, {needed} needed; check that they are running")]
     NoQuorum {
-        /// Replicas that answered.
+        /// Number of active replicas that answered.
         answered: usize,
-        /// Replicas that must.
+        /// Number of answers needed.
         needed: usize,
     },
 }
 
-/// What is asked for an attempt.
+/// Parameters of [`Quorum::begin`].
 #[derive(Clone, Debug)]
 pub struct Ask {
-    /// What to reserve, with the whole budget, if there is one.
+    /// The reservation and the program's total budget in tokens; `None` without a budget.
     pub reserve: Option<(Reserved, u64)>,
-    /// The turn that is continued.
+    /// The turn whose conversation is continued.
     pub parent: Option<Id>,
-    /// Whether it is a program's first turn, as far as that is known.
+    /// Whether this is believed to be the program's first turn.
     pub first: bool,
-    /// What the asker has in progress.
+    /// Requests that this gateway has in flight.
     pub load: Report,
-    /// What it let through for client accounts, if the turn is one's.
+    /// Usage that this gateway admitted for client accounts, if the turn belongs to one.
     pub usage: Option<usage::Report>,
-    /// How long one try may take.
+    /// Timeout of one try.
     pub time: Duration,
-    /// Until when tries are repeated after the loss of a majority.
+    /// Deadline for retries while no majority answers.
     pub until: Instant,
 }
 
-/// What was begun.
+/// Result of [`Quorum::begin`].
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Begun {
-    /// The conversation that is continued.
+pub struct BeginResponse {
+    /// The conversation up to the parent turn.
     pub chain: Option<Chain>,
-    /// What other entries have in progress, if the nearest replica told.
+    /// Requests that other gateways have in flight, if the nearest replica reported them.
     pub load: Option<Vec<Busy>>,
-    /// What the client account has had run, if that was asked.
+    /// Total usage of the client account, if requested.
     pub usage: Option<Total>,
-    /// How long the exchange took that succeeded, without waits for replicas that were lost.
+    /// Duration of the successful try, without the retries before it.
     pub took: Duration,
 }
 
-/// The replicas as one asking process sees them.
+/// A client of all replicas in the current view.
 pub struct Quorum {
     mirror: Arc<Mirror>,
     data_centre: String,
     clients: Mutex<HashMap<SocketAddr, Client>>,
     view: watch::Sender<View>,
-    /// Since when no majority answers.
-    lost: Mutex<Option<Instant>>,
-    /// This process's own address, if it passes requests on.
-    own: Option<SocketAddr>,
-    /// Orders members that are equally far, in another way at each process.
-    salt: u64,
-    /// What was told of the load after its asker had its majority.
-    late: Arc<Late>,
-    /// The neighbour that passed a request on last.
-    worked: Arc<Mutex<Option<SocketAddr>>>,
-    /// Whether enough members were reached by detours when that was last tried.
-    around: AtomicBool,
-    /// How the members keep up, as last told, and when that was.
+    /// When the majority was lost; `None` while a majority answers.
+    quorum_lost_since: Mutex<Option<Instant>>,
+    /// The address where this process forwards requests for other gateways, if it does.
+    forwarding_address: Option<SocketAddr>,
+    /// Random per process, so that processes order equally distant members differently.
+    tie_break_salt: u64,
+    /// Load that arrived after its request had a majority.
+    late_load: Arc<LateLoad>,
+    /// The neighbour that last forwarded a request successfully.
+    last_relay: Arc<Mutex<Option<SocketAddr>>>,
+    /// Whether the last probe reached a majority, directly or through neighbours.
+    last_probe_succeeded: AtomicBool,
+    /// The last known pressure on the replicas and when it was reported.
     pressure: Mutex<Option<(Pressure, Instant)>>,
-    /// What attempts used and no majority has been told yet.
-    settlements: Mutex<settle::Queue>,
-    /// For tasks that outlast the call which starts them.
-    own_handle: Weak<Self>,
+    /// Settlements that no majority has acknowledged yet.
+    settlement_queue: Mutex<settle::Queue>,
+    /// A reference to itself for background tasks.
+    weak_self: Weak<Self>,
 }
 
-impl Answers {
-    /// Takes no more answers. The load that came meanwhile is kept, that of later ones by
-    /// whoever brings them.
-    fn leave(&mut self, late: &Late) {
+impl Replies {
+    /// Closes the channel and saves load from replies that are already queued. The tasks of
+    /// later replies find the channel closed and save their load themselves.
+    fn close(&mut self, late_load: &LateLoad) {
         self.receiver.close();
         while let Ok((_, reply)) = self.receiver.try_recv() {
             if let Some(Reply::Began { load, .. }) = reply {
-                late.put(load);
+                late_load.store(load);
             }
         }
     }
 }
 
-/// Load that was told too late for the attempt that asked; the next one takes it. The
-/// nearest replica tells it, and that is the last to answer at times.
+/// Load that arrived too late for the attempt that requested it; the next attempt uses it.
+/// Only the nearest replica reports load, and it is not always among the first to answer.
 #[derive(Default)]
-struct Late(Mutex<Option<Vec<Busy>>>);
+struct LateLoad(Mutex<Option<Vec<Busy>>>);
 
-impl Late {
-    fn put(&self, load: Option<Vec<Busy>>) {
+impl LateLoad {
+    fn store(&self, load: Option<Vec<Busy>>) {
         if load.is_some() {
             *self.0.lock().unwrap_or_else(PoisonError::into_inner) = load;
         }
@@ -160,82 +165,88 @@
     }
 }
 
-struct Answers {
+/// Replies to a request that was sent to all members.
+struct Replies {
     receiver: mpsc::Receiver<(Member, Option<Reply>)>,
-    asked: usize,
+    member_count: usize,
 }
 
 impl Quorum {
-    /// The replicas of the view in `mirror`, asked from `data_centre`.
-    /// `own` is where the asking process passes requests of others on.
-    pub fn new(mirror: Arc<Mirror>, data_centre: &str, own: Option<SocketAddr>) -> Arc<Self> {
-        Arc::new_cyclic(|own_handle| Self {
+    /// Creates a client of the replicas in `mirror`'s view, for a process in `data_centre`.
+    /// `forwarding_address` is where this process forwards requests for other gateways.
+    pub fn new(
+        mirror: Arc<Mirror>,
+        data_centre: &str,
+        forwarding_address: Option<SocketAddr>,
+    ) -> Arc<Self> {
+        Arc::new_cyclic(|weak_self| Self {
             mirror,
             data_centre: data_centre.to_owned(),
             clients: Mutex::default(),
             view: watch::Sender::new(View::default()),
-            lost: Mutex::default(),
-            own,
-            salt: rand::random(),
-            late: Arc::default(),
-            worked: Arc::default(),
-            around: AtomicBool::new(false),
+            quorum_lost_since: Mutex::default(),
+            forwarding_address,
+            tie_break_salt: rand::random(),
+            late_load: Arc::default(),
+            last_relay: Arc::default(),
+            last_probe_succeeded: AtomicBool::new(false),
             pressure: Mutex::default(),
-            settlements: Mutex::default(),
-            own_handle: own_handle.clone(),
+            settlement_queue: Mutex::default(),
+            weak_self: weak_self.clone(),
         })
     }
 
-    /// Where this process passes requests of others on, if it does.
+    /// Returns the address where this process forwards requests for other gateways, if it does.
     pub fn own(&self) -> Option<SocketAddr> {
-        self.own
+        self.forwarding_address
     }
 
-    /// The latest view known.
+    /// Returns the latest known view.
     pub fn view(&self) -> View {
         if let Some((view, _)) = membership::read(&self.mirror) {
-            self.learn(&view);
+            self.update_view(&view);
         }
         self.view.borrow().clone()
     }
 
-    fn learn(&self, view: &View) {
+    /// Stores `view` if it is newer than the known one.
+    fn update_view(&self, view: &View) {
         self.view.send_if_modified(|known| {
-            let later = view.version > known.version;
-            if later {
+            let is_newer = view.version > known.version;
+            if is_newer {
                 tracing::info!(event = "view_learned", version = view.version);
                 known.clone_from(view);
             }
-            later
+            is_newer
         });
     }
 
-    /// Whether a majority could be reached when it was last tried, directly or
-    /// by a detour.
+    /// Returns whether a majority was reachable at the last try, directly or through
+    /// neighbours.
     pub fn reachable(&self) -> bool {
         let view = self.view();
-        let up = |m: &Member| !self.client(m.address).is_down();
-        view.enough(up) || self.around.load(Ordering::Relaxed)
+        let is_up = |m: &Member| !self.client(m.address).is_down();
+        view.enough(is_up) || self.last_probe_succeeded.load(Ordering::Relaxed)
     }
 
-    /// How the members keep up, as last told, and when that was.
+    /// Returns the last known pressure on the replicas and when it was reported.
     pub fn pressure(&self) -> Option<(Pressure, Instant)> {
         *self.pressure.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn press(&self, pressure: Option<Pressure>, now: Instant) {
+    fn record_pressure(&self, pressure: Option<Pressure>, now: Instant) {
         if let Some(pressure) = pressure {
-            let mut told = self.pressure.lock().unwrap_or_else(PoisonError::into_inner);
-            *told = Some((pressure, now));
+            let mut last = self.pressure.lock().unwrap_or_else(PoisonError::into_inner);
+            *last = Some((pressure, now));
         }
     }
 
-    /// What this process knows of the platform's service.
+    /// Returns this process's mirror of the platform's key-value store.
     pub fn mirror(&self) -> &Mirror {
         &self.mirror
     }
 
-    /// Whether no member could be reached when that was last tried.
+    /// Returns whether no member was directly reachable at the last try.
     pub fn cut_off(&self) -> bool {
         let view = self.view();
         view.members
@@ -243,43 +254,49 @@
             .all(|m| self.client(m.address).is_down())
     }
 
-    /// The ways to the keeper at `address`.
-    fn way(&self, view: &View, address: SocketAddr) -> Way {
+    /// Creates a client of the replica at `address` that can also go through neighbours.
+    fn replica_client(&self, view: &View, address: SocketAddr) -> ReplicaClient {
         let mut neighbours = self.mirror.neighbours();
-        neighbours.retain(|n| Some(*n) != self.own);
-        let detours = neighbours.into_iter().map(|n| self.client(n));
+        neighbours.retain(|n| Some(*n) != self.forwarding_address);
+        let relays = neighbours.into_iter().map(|n| self.client(n));
         let all = view.active().map(|m| self.client(m.address)).collect();
         let majority = (all, view.quorum());
-        let worked = self.worked.clone();
+        let last_relay = self.last_relay.clone();
         let direct = self.client(address);
-        Way::new(address, direct, detours.collect(), majority, worked)
+        ReplicaClient::new(address, direct, relays.collect(), majority, last_relay)
     }
 
-    /// Tries again to reach the members that could not be reached: a process
-    /// that is not ready gets no requests, and so would never try by itself.
+    /// Probes unreachable members in the background. A process that is not ready receives no
+    /// requests and would otherwise never notice that members are reachable again.
     pub fn mend(self: &Arc<Self>) {
         let view = self.view();
         let down = view.members.iter();
         let down = down.filter(|m| self.client(m.address).is_down());
-        let down: Vec<(Disk, Way)> = down.map(|m| (m.disk, self.way(&view, m.address))).collect();
+        let down: Vec<(Disk, ReplicaClient)> = down
+            .map(|m| (m.disk, self.replica_client(&view, m.address)))
+            .collect();
         if down.is_empty() {
-            self.around.store(false, Ordering::Relaxed);
+            self.last_probe_succeeded.store(false, Ordering::Relaxed);
             return;
         }
         let quorum = self.clone();
         tokio::spawn(async move {
             let hello = message::encode(&Request::Hello);
-            let tries = down.iter().map(|(_, way)| way.call(hello.clone(), CALL));
-            let replies = join_all(tries).await;
-            let tried = down.iter().zip(&replies);
-            let silent = tried.filter(|(_, reply)| reply.is_none());
-            let silent: Vec<Disk> = silent.map(|((disk, _), _)| *disk).collect();
-            let enough = view.enough(|m| !silent.contains(&m.disk));
-            quorum.around.store(enough, Ordering::Relaxed);
+            let calls = down
+                .iter()
+                .map(|(_, client)| client.call(hello.clone(), CALL_TIMEOUT));
+            let replies = join_all(calls).await;
+            let results = down.iter().zip(&replies);
+            let silent = results.filter(|(_, reply)| reply.is_none());
+            let unreachable: Vec<Disk> = silent.map(|((disk, _), _)| *disk).collect();
+            let has_quorum = view.enough(|m| !unreachable.contains(&m.disk));
+            quorum
+                .last_probe_succeeded
+                .store(has_quorum, Ordering::Relaxed);
         });
     }
 
-    /// The client of the peer at `address`.
+    /// Returns the shared client of the peer at `address`.
     pub fn client(&self, address: SocketAddr) -> Client {
         let clients = self.clients.lock();
         let mut clients = clients.unwrap_or_else(PoisonError::into_inner);
@@ -289,49 +306,49 @@
             .clone()
     }
 
-    /// Sends a request to each member and returns their answers as they come.
-    fn ask(&self, view: &View, request: impl Fn(&Member) -> Bytes) -> Answers {
+    /// Sends a request to every member; the result receives their replies.
+    fn send_to_all(&self, view: &View, request: impl Fn(&Member) -> Bytes) -> Replies {
         let (sender, receiver) = mpsc::channel(view.members.len().max(1));
         for member in &view.members {
-            let way = self.way(view, member.address);
+            let client = self.replica_client(view, member.address);
             let body = request(member);
             let sender = sender.clone();
             let member = member.clone();
-            let late = self.late.clone();
+            let late_load = self.late_load.clone();
             tokio::spawn(async move {
-                let reply = way.call(body, CALL).await;
+                let reply = client.call(body, CALL_TIMEOUT).await;
                 let reply = reply.and_then(|r| message::decode::<Reply>(&r));
-                // Whoever has its majority does not wait for the rest.
-                let unheard = sender.send((member, reply)).await;
-                if let Err(mpsc::error::SendError((_, Some(Reply::Began { load, .. })))) = unheard {
-                    late.put(load);
+                // Fails when the request already has its majority and was closed.
+                let sent = sender.send((member, reply)).await;
+                if let Err(mpsc::error::SendError((_, Some(Reply::Began { load, .. })))) = sent {
+                    late_load.store(load);
                 }
             });
         }
-        Answers {
+        Replies {
             receiver,
-            asked: view.members.len(),
+            member_count: view.members.len(),
         }
     }
 
-    /// How far a member is: in another data centre, and then by chance, so that those
-    /// in a data centre without members do not all go to the same one.
+    /// Sort key of a member: own data centre first, then random per process, so that gateways
+    /// in a data centre without members do not all pick the same member.
     fn distance(&self, member: &Member) -> (bool, u64) {
-        let far = member.data_centre != self.data_centre;
-        let by_chance = (member.disk ^ self.salt).wrapping_mul(self.salt | 1);
-        (far, by_chance)
+        let is_remote = member.data_centre != self.data_centre;
+        let tie_break = (member.disk ^ self.tie_break_salt).wrapping_mul(self.tie_break_salt | 1);
+        (is_remote, tie_break)
     }
 
-    /// The member to take the conversation from: near, and reachable.
-    fn nearest<'a>(&self, view: &'a View) -> Option<&'a Member> {
-        let cost = |m: &&Member| {
-            let down = self.client(m.address).is_down();
-            (down, !m.active, self.distance(m))
+    /// Returns the member to read the conversation from: reachable, active and near.
+    fn nearest_member<'a>(&self, view: &'a View) -> Option<&'a Member> {
+        let rank = |m: &&Member| {
+            let is_down = self.client(m.address).is_down();
+            (is_down, !m.active, self.distance(m))
         };
-        view.members.iter().min_by_key(cost)
+        view.members.iter().min_by_key(rank)
     }
 
-    /// Where members answer, the nearest first.
+    /// Returns the addresses of the members, nearest first.
     pub fn by_distance(&self) -> Vec<SocketAddr> {
         let mut members = self.view().members;
         members.sort_by_key(|m| self.distance(m));
--- a/crates/gradedyke-turns/src/quorum/begin.rs
+++ b/crates/gradedyke-turns/src/quorum/begin.rs
@@ -1,4 +1,4 @@
-//! How an attempt is begun: its budget reserved, and what it continues read.
+//! Begins attempts: reserves budget and reads the conversation that is continued.
 
 use std::sync::PoisonError;
 use std::time::Duration;
@@ -6,42 +6,41 @@
 use gradedyke_base::retry::Backoff;
 use tokio::time::Instant;
 
-use super::gathered::Gathered;
-use super::{Ask, Begun, CALL, Quorum, Refusal};
+use super::gathered::CollectedReplies;
+use super::{Ask, BeginResponse, CALL_TIMEOUT, Quorum, Refusal};
 use crate::conversation::Chain;
 use crate::message::{self, Begin, Reply, Request};
 use crate::record::Settled;
 use crate::view::{Member, View};
 
-/// How long the nearest replica's copy of a conversation is waited for after
-/// the majority has answered, before another is asked.
-const PATIENCE: Duration = Duration::from_millis(25);
-/// Wait before a majority that was lost is asked again, the first time.
-const AGAIN: Duration = Duration::from_millis(40);
-/// Wait before replicas that have too much to do are asked once more: what an exchange
-/// may take in a burst. Asked every 40 ms, they got seven requests for one, and
-/// had more to do the more they refused.
-const RELIEF: Duration = Duration::from_millis(100);
-/// The longest wait for replicas that start: they serve a tenth of a second after their
-/// start, and a thousand turns that wait for them must not be their first load.
-const SOONEST: Duration = Duration::from_millis(160);
-/// How long after its loss a majority is waited for at all: what replicas that
-/// were killed together take to come back. Later the caller is told at once.
-const LATELY: Duration = Duration::from_millis(1_500);
+/// How long to wait for the nearest replica's copy of the conversation after a majority has
+/// answered, before it is requested from another replica.
+const CONVERSATION_WAIT: Duration = Duration::from_millis(25);
+/// First delay before a retry while no majority answers.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(40);
+/// Delay before the single retry after overloaded replicas refused. Longer than
+/// [`MIN_RETRY_DELAY`], so that retries do not add to the overload.
+const BUSY_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Longest delay between retries. Bounds the burst of retries that meets replicas when they
+/// have restarted.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(160);
+/// How long after the loss of the majority attempts still retry, which covers a restart of
+/// all replicas. After that, attempts fail at once.
+const QUORUM_LOSS_GRACE: Duration = Duration::from_millis(1_500);
 
 impl Quorum {
-    /// Reserves what an attempt may use and reads what it continues. A majority
-    /// that was lost a moment ago is waited for: replicas that are restarted
-    /// are back within that time.
+    /// Reserves the tokens that an attempt may use and reads the conversation it continues.
+    /// Retries for a short time while no majority answers, to bridge restarts of replicas.
     ///
     /// # Errors
     ///
-    /// A [`Refusal`]. What may have been reserved is settled in the background.
-    pub async fn begin(&self, ask: &Ask) -> Result<Begun, Refusal> {
-        let mut doubt = false;
-        let result = self.begin_soon(ask, &mut doubt).await;
+    /// Any [`Refusal`]. A reservation that replicas may have stored is settled as unused in
+    /// the background.
+    pub async fn begin(&self, ask: &Ask) -> Result<BeginResponse, Refusal> {
+        let mut maybe_reserved = false;
+        let result = self.begin_with_retries(ask, &mut maybe_reserved).await;
         if result.is_err()
-            && doubt
+            && maybe_reserved
             && let Some((reserved, _)) = &ask.reserve
         {
             self.settle(Settled::unused(reserved));
@@ -49,56 +48,70 @@
         result
     }
 
-    /// Begins, and sets `doubt` where a replica may have kept the reservation.
-    async fn begin_soon(&self, ask: &Ask, doubt: &mut bool) -> Result<Begun, Refusal> {
-        let soon = ask.until.min(Instant::now() + ask.time);
-        let mut relieved = false;
-        let mut backoff = Backoff::endless(AGAIN, SOONEST);
+    /// Begins with retries; sets `maybe_reserved` if a replica may have stored the reservation.
+    async fn begin_with_retries(
+        &self,
+        ask: &Ask,
+        maybe_reserved: &mut bool,
+    ) -> Result<BeginResponse, Refusal> {
+        let try_deadline = ask.until.min(Instant::now() + ask.time);
+        let mut has_retried_busy = false;
+        let mut backoff = Backoff::endless(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
         loop {
             let view = self.view();
-            let asked = Instant::now();
-            let Some(result) = self.begin_under(&view, ask, doubt).await else {
+            let started = Instant::now();
+            let Some(result) = self.try_begin(&view, ask, maybe_reserved).await else {
                 continue;
             };
-            let starting = matches!(result, Err(Refusal::Starting));
-            let missed = starting || matches!(result, Err(Refusal::NoQuorum { .. }));
+            let is_starting = matches!(result, Err(Refusal::Starting));
+            let no_quorum = is_starting || matches!(result, Err(Refusal::NoQuorum { .. }));
             let now = Instant::now();
-            if matches!(result, Err(Refusal::Busy)) && !relieved && now + RELIEF < soon {
-                relieved = true;
-                tokio::time::sleep(RELIEF).await;
+            if matches!(result, Err(Refusal::Busy))
+                && !has_retried_busy
+                && now + BUSY_RETRY_DELAY < try_deadline
+            {
+                has_retried_busy = true;
+                tokio::time::sleep(BUSY_RETRY_DELAY).await;
                 continue;
             }
-            // Keepers that are there but slow are not asked again: that would make
-            // them slower.
-            let away = starting || !self.reachable();
-            let again = missed && away && self.lately_lost(now);
-            if again && now + AGAIN < ask.until {
+            // No retry while a majority is reachable but slow: that would add to its load.
+            let is_unreachable = is_starting || !self.reachable();
+            let should_retry = no_quorum && is_unreachable && self.mark_quorum_lost(now);
+            if should_retry && now + MIN_RETRY_DELAY < ask.until {
                 tokio::time::sleep(backoff.step(rand::random())).await;
                 continue;
             }
-            if !missed {
-                self.found(now);
+            if !no_quorum {
+                self.clear_quorum_lost(now);
             }
-            return result.map(|begun| Begun {
-                took: now - asked,
-                ..begun
+            return result.map(|response| BeginResponse {
+                took: now - started,
+                ..response
             });
         }
     }
 
-    /// Notes that no majority answers; tells whether that is new.
-    fn lately_lost(&self, now: Instant) -> bool {
-        let mut lost = self.lost.lock().unwrap_or_else(PoisonError::into_inner);
-        if lost.is_none() {
+    /// Records that no majority answers. Returns whether the majority was lost less than
+    /// [`QUORUM_LOSS_GRACE`] ago.
+    fn mark_quorum_lost(&self, now: Instant) -> bool {
+        let mut lost_since = self
+            .quorum_lost_since
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        if lost_since.is_none() {
             tracing::warn!(event = "keepers_lost", view = self.view.borrow().version);
         }
-        let since = *lost.get_or_insert(now);
-        now.saturating_duration_since(since) < LATELY
+        let since = *lost_since.get_or_insert(now);
+        now.saturating_duration_since(since) < QUORUM_LOSS_GRACE
     }
 
-    fn found(&self, now: Instant) {
-        let mut lost = self.lost.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some(since) = lost.take() {
+    /// Records that a majority answers again.
+    fn clear_quorum_lost(&self, now: Instant) {
+        let mut lost_since = self
+            .quorum_lost_since
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        if let Some(since) = lost_since.take() {
             tracing::info!(
                 event = "keepers_regained",
                 view = self.view.borrow().version,
@@ -107,14 +120,14 @@
         }
     }
 
-    /// `None` when the view turned out to be old.
-    async fn begin_under(
+    /// Makes one try; `None` if a replica reported that `view` is stale.
+    async fn try_begin(
         &self,
         view: &View,
         ask: &Ask,
-        doubt: &mut bool,
-    ) -> Option<Result<Begun, Refusal>> {
-        let nearest = self.nearest(view).map(|m| m.disk);
+        maybe_reserved: &mut bool,
+    ) -> Option<Result<BeginResponse, Refusal>> {
+        let nearest = self.nearest_member(view).map(|m| m.disk);
         let patience_ms = u32::try_from(ask.time.as_millis()).unwrap_or(u32::MAX);
         let request = |member: &Member| {
             message::encode(&Request::Begin(Begin {
@@ -128,80 +141,90 @@
                 patience_ms,
             }))
         };
-        let mut gathered = Gathered::new(view);
-        let mut answers = self.ask(view, request);
-        let end = ask.until.min(Instant::now() + ask.time);
-        let mut patience = None;
-        while !gathered.complete(ask) {
-            let until = patience.unwrap_or(end);
+        let mut collected = CollectedReplies::new(view);
+        let mut replies = self.send_to_all(view, request);
+        let deadline = ask.until.min(Instant::now() + ask.time);
+        let mut conversation_deadline = None;
+        while !collected.is_complete(ask) {
+            let until = conversation_deadline.unwrap_or(deadline);
             let Ok(Some((member, reply))) =
-                tokio::time::timeout_at(until, answers.receiver.recv()).await
+                tokio::time::timeout_at(until, replies.receiver.recv()).await
             else {
                 break;
             };
             if let Some(Reply::Stale(view)) = &reply {
-                self.learn(view);
-                *doubt = true;
+                self.update_view(view);
+                *maybe_reserved = true;
                 return None;
             }
-            gathered.take(&member, reply);
-            if gathered.has_quorum() && patience.is_none() && gathered.holder.is_some() {
-                patience = Some(end.min(Instant::now() + PATIENCE));
+            collected.add(&member, reply);
+            if collected.has_quorum()
+                && conversation_deadline.is_none()
+                && collected.holder.is_some()
+            {
+                conversation_deadline = Some(deadline.min(Instant::now() + CONVERSATION_WAIT));
             }
         }
-        answers.leave(&self.late);
-        *doubt |= gathered.in_doubt();
-        self.press(gathered.pressure(), Instant::now());
-        Some(self.conclude(gathered, ask, answers.asked).await)
+        replies.close(&self.late_load);
+        *maybe_reserved |= collected.may_have_executed();
+        self.record_pressure(collected.pressure(), Instant::now());
+        Some(self.evaluate(collected, ask, replies.member_count).await)
     }
 
-    async fn conclude(
+    /// Turns the collected replies into the result of the try.
+    async fn evaluate(
         &self,
-        gathered: Gathered,
+        collected: CollectedReplies,
         ask: &Ask,
-        asked: usize,
-    ) -> Result<Begun, Refusal> {
-        let (answered, needed) = (gathered.answered, gathered.needed);
-        if !gathered.has_quorum() && gathered.starting {
+        member_count: usize,
+    ) -> Result<BeginResponse, Refusal> {
+        let (answered, needed) = (collected.answered, collected.needed);
+        if !collected.has_quorum() && collected.starting {
             return Err(Refusal::Starting);
         }
-        if !gathered.has_quorum() && gathered.busy {
+        if !collected.has_quorum() && collected.busy {
             return Err(Refusal::Busy);
         }
-        if !gathered.has_quorum() {
+        if !collected.has_quorum() {
             return Err(Refusal::NoQuorum { answered, needed });
         }
         if let Some((reserved, budget)) = &ask.reserve {
-            gathered.afford(reserved, *budget)?;
+            collected.check_budget(reserved, *budget)?;
         }
-        let late = self.late.take();
-        let load = gathered.load.or(late);
-        let usage = gathered.usage;
+        let late_load = self.late_load.take();
+        let load = collected.load.or(late_load);
+        let usage = collected.usage;
         if ask.parent.is_none() {
-            return Ok(Begun {
+            return Ok(BeginResponse {
                 load,
                 usage,
-                ..Begun::default()
+                ..BeginResponse::default()
             });
         }
-        let chain = match (gathered.chain, gathered.holder) {
+        let chain = match (collected.chain, collected.holder) {
             (Some(chain), _) => Ok(chain),
-            (None, Some(holder)) => self.fetch(&holder, ask).await.ok_or(Refusal::Unsure),
-            (None, None) if gathered.missing == asked && asked >= needed => Err(Refusal::NoTurn),
+            (None, Some(holder)) => self
+                .fetch_conversation(&holder, ask)
+                .await
+                .ok_or(Refusal::Unsure),
+            (None, None) if collected.missing == member_count && member_count >= needed => {
+                Err(Refusal::NoTurn)
+            }
             (None, None) => Err(Refusal::Unsure),
         };
-        chain.map(|chain| Begun {
+        chain.map(|chain| BeginResponse {
             chain: Some(chain),
             load,
             usage,
-            ..Begun::default()
+            ..BeginResponse::default()
         })
     }
 
-    async fn fetch(&self, holder: &Member, ask: &Ask) -> Option<Chain> {
+    /// Reads the conversation from a member that has it.
+    async fn fetch_conversation(&self, holder: &Member, ask: &Ask) -> Option<Chain> {
         let request = Request::Chain(ask.parent.clone()?);
-        let way = self.way(&self.view(), holder.address);
-        let call = way.call(message::encode(&request), CALL);
+        let client = self.replica_client(&self.view(), holder.address);
+        let call = client.call(message::encode(&request), CALL_TIMEOUT);
         let reply = tokio::time::timeout(ask.time, call).await.ok()?;
         match message::decode(&reply?)? {
             Reply::Chain(chain) => chain,
--- a/crates/gradedyke-turns/src/quorum/gathered.rs
+++ b/crates/gradedyke-turns/src/quorum/gathered.rs
@@ -1,4 +1,4 @@
-//! What replicas answered, and what follows from it.
+//! Combines the replies of replicas to one request.
 
 use std::collections::HashMap;
 
@@ -12,42 +12,51 @@
 use crate::usage::Total;
 use crate::view::{Member, View};
 
-/// What the replicas said so far.
-pub(super) struct Gathered {
+/// Replies to one request that were received so far.
+pub(super) struct CollectedReplies {
+    /// Active members that must acknowledge.
     pub(super) needed: usize,
-    copies: usize,
-    asked: usize,
-    heard: usize,
-    /// Members that said that they have done nothing.
-    idle: usize,
-    /// Active members that answered.
+    /// Members that must have the record on disk.
+    required_copies: usize,
+    /// Members that the request was sent to.
+    member_count: usize,
+    /// Members that replied or failed.
+    finished: usize,
+    /// Members that replied that they did not execute the request.
+    not_executed: usize,
+    /// Active members that acknowledged.
     pub(super) answered: usize,
-    /// Members that have the record on disk.
-    kept: usize,
+    /// Members that acknowledged and so have the record on disk.
+    stored: usize,
+    /// All known attempts of the program.
     attempts: HashMap<Id, Attempt>,
+    /// The conversation up to the parent turn.
     pub(super) chain: Option<Chain>,
+    /// A member that has the parent turn but did not send the conversation.
     pub(super) holder: Option<Member>,
+    /// Members that do not have the parent turn.
     pub(super) missing: usize,
-    /// Whether one reads its disk still.
+    /// Whether a member is still recovering from its disk.
     pub(super) starting: bool,
-    /// Whether one has too much to do.
+    /// Whether a member is overloaded.
     pub(super) busy: bool,
+    /// Requests that other gateways have in flight.
     pub(super) load: Option<Vec<Busy>>,
-    /// How members keep up that said so.
+    /// Pressure of each member that reported it.
     pressures: Vec<Pressure>,
-    /// The greatest sum that was told.
+    /// The largest usage total that a member reported.
     pub(super) usage: Option<Total>,
 }
 
-impl Gathered {
+impl CollectedReplies {
     pub(super) fn new(view: &View) -> Self {
         Self {
             needed: view.quorum(),
-            copies: view.copies(),
-            kept: 0,
-            asked: view.members.len(),
-            heard: 0,
-            idle: 0,
+            required_copies: view.copies(),
+            stored: 0,
+            member_count: view.members.len(),
+            finished: 0,
+            not_executed: 0,
             answered: 0,
             attempts: HashMap::new(),
             chain: None,
@@ -61,36 +70,39 @@
         }
     }
 
+    /// Returns whether enough members acknowledged and stored the record.
     pub(super) fn has_quorum(&self) -> bool {
-        self.answered >= self.needed && self.kept >= self.copies
+        self.answered >= self.needed && self.stored >= self.required_copies
     }
 
-    /// How the majority keeps up that is least pressed, if so many said.
+    /// Returns the highest pressure within the least loaded majority; `None` if fewer members
+    /// than a majority reported it.
     pub(super) fn pressure(&self) -> Option<Pressure> {
-        let mut told = self.pressures.clone();
-        told.sort_unstable();
-        told.get(self.needed.saturating_sub(1)).copied()
+        let mut sorted = self.pressures.clone();
+        sorted.sort_unstable();
+        sorted.get(self.needed.saturating_sub(1)).copied()
     }
 
-    /// Whether a member may have done what was asked.
-    pub(super) fn in_doubt(&self) -> bool {
-        self.idle < self.asked
+    /// Returns whether any member may have executed the request.
+    pub(super) fn may_have_executed(&self) -> bool {
+        self.not_executed < self.member_count
     }
 
-    /// Counts a member that has done what was asked.
-    fn count(&mut self, member: &Member) {
+    /// Counts a member that executed the request.
+    fn count_ack(&mut self, member: &Member) {
         self.answered += usize::from(member.active);
-        self.kept += 1;
+        self.stored += 1;
     }
 
-    /// Whether nothing more is worth waiting for.
-    pub(super) fn complete(&self, ask: &Ask) -> bool {
-        let parent = ask.parent.is_none() || self.chain.is_some();
-        self.has_quorum() && parent || self.heard == self.asked
+    /// Returns whether no further reply is needed or expected.
+    pub(super) fn is_complete(&self, ask: &Ask) -> bool {
+        let has_parent = ask.parent.is_none() || self.chain.is_some();
+        self.has_quorum() && has_parent || self.finished == self.member_count
     }
 
-    pub(super) fn take(&mut self, member: &Member, reply: Option<Reply>) {
-        self.heard += 1;
+    /// Adds a member's reply; `None` if the call failed.
+    pub(super) fn add(&mut self, member: &Member, reply: Option<Reply>) {
+        self.finished += 1;
         match reply {
             Some(Reply::Began {
                 attempts,
@@ -100,27 +112,27 @@
                 pressure,
             }) => {
                 self.pressures.push(pressure);
-                self.used(usage);
+                self.merge_usage(usage);
                 self.load = self.load.take().or(load);
-                self.count(member);
-                attempts.into_iter().for_each(|a| self.merge(a));
-                self.found(member, parent);
+                self.count_ack(member);
+                attempts.into_iter().for_each(|a| self.merge_attempt(a));
+                self.record_parent(member, parent);
             }
             Some(Reply::Kept { usage }) => {
-                self.used(usage);
-                self.count(member);
+                self.merge_usage(usage);
+                self.count_ack(member);
             }
             Some(Reply::Usage(usage)) => {
-                self.used(Some(usage));
-                self.count(member);
+                self.merge_usage(Some(usage));
+                self.count_ack(member);
             }
             Some(Reply::Starting) => {
-                self.idle += 1;
+                self.not_executed += 1;
                 self.starting = true;
             }
             Some(Reply::Busy(pressure)) => {
                 self.pressures.push(pressure);
-                self.idle += 1;
+                self.not_executed += 1;
                 self.busy = true;
             }
             Some(Reply::Failed(error)) => {
@@ -130,12 +142,12 @@
         }
     }
 
-    fn used(&mut self, told: Option<Total>) {
+    fn merge_usage(&mut self, reported: Option<Total>) {
         let known = self.usage.unwrap_or_default();
-        self.usage = told.map(|t| t.max(known)).or(self.usage);
+        self.usage = reported.map(|t| t.max(known)).or(self.usage);
     }
 
-    fn found(&mut self, member: &Member, parent: Option<Found>) {
+    fn record_parent(&mut self, member: &Member, parent: Option<Found>) {
         match parent {
             Some(Found::Whole(chain)) => self.chain = Some(chain),
             Some(Found::Here) => self.holder = Some(member.clone()),
@@ -144,15 +156,16 @@
         }
     }
 
-    fn merge(&mut self, attempt: Attempt) {
+    /// Adds an attempt; a settled one replaces its reservation.
+    fn merge_attempt(&mut self, attempt: Attempt) {
         let known = self.attempts.get(&attempt.request);
         if known.is_none_or(|k| attempt.settled && !k.settled) {
             self.attempts.insert(attempt.request.clone(), attempt);
         }
     }
 
-    /// Whether the budget has room for the reservation beside all others.
-    pub(super) fn afford(&self, reserved: &Reserved, budget: u64) -> Result<(), Refusal> {
+    /// Checks that the budget has room for the reservation in addition to all other attempts.
+    pub(super) fn check_budget(&self, reserved: &Reserved, budget: u64) -> Result<(), Refusal> {
         let others = self.attempts.values();
         let others = others.filter(|a| a.request != reserved.request);
         let used: u64 = others.map(|a| u64::from(a.tokens)).sum();
--- a/crates/gradedyke-turns/src/quorum/keep.rs
+++ b/crates/gradedyke-turns/src/quorum/keep.rs
@@ -1,4 +1,4 @@
-//! How records are kept, and sums of use asked for.
+//! Writes records to a majority and reads usage totals.
 
 use std::time::Duration;
 
@@ -6,33 +6,33 @@
 use gradedyke_base::retry::Backoff;
 use tokio::time::Instant;
 
-use super::gathered::Gathered;
+use super::gathered::CollectedReplies;
 use super::{Quorum, Refusal};
 use crate::message::{self, Reply, Request};
 use crate::record::Record;
 use crate::usage::{self, Total};
 use crate::view::View;
 
-/// Wait before a record is brought to a majority again, the first time: a few syncs of a
-/// slow disk.
-const KEPT_AGAIN: Duration = Duration::from_millis(50);
-/// The longest such wait: callers are held meanwhile, for 2 s at most.
-const LONGEST: Duration = Duration::from_millis(1_000);
+/// First delay before a failed write is retried: a few syncs of a slow disk.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Longest delay between retries. Short, as callers wait meanwhile.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(1_000);
 
 impl Quorum {
-    /// Keeps a record; returns once a majority has it on disk, with the sum of use that
-    /// `usage` asks for.
+    /// Writes a record; returns once a majority has it on disk. If `usage` is given, reports
+    /// that usage and returns the client account's total.
     ///
     /// # Errors
     ///
-    /// [`Refusal::NoQuorum`]; the record may be kept all the same.
+    /// [`Refusal::NoQuorum`] if no majority acknowledged by `until`; replicas may have stored
+    /// the record nevertheless.
     pub async fn keep(
         &self,
         record: &Record,
         usage: Option<&usage::Report>,
         until: Instant,
     ) -> Result<Option<Total>, Refusal> {
-        let mut backoff = Backoff::endless(KEPT_AGAIN, LONGEST);
+        let mut backoff = Backoff::endless(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
         loop {
             let view = self.view();
             let request = message::encode(&Request::Keep {
@@ -41,7 +41,7 @@
                 usage: usage.cloned(),
             });
             metrics::counter!("gradedyke_kept_tries_total").increment(1);
-            match self.tell(&view, request, until).await {
+            match self.send_to_quorum(&view, request, until).await {
                 Some(Err(_)) if Instant::now() < until => {
                     tokio::time::sleep(backoff.step(rand::random())).await;
                 }
@@ -51,11 +51,13 @@
         }
     }
 
-    /// Tells what was let through for client accounts, and asks a majority for a sum.
+    /// Reports usage admitted for client accounts to all members and returns the largest total
+    /// that a majority knows.
     ///
     /// # Errors
     ///
-    /// [`Refusal::NoQuorum`].
+    /// [`Refusal::NoQuorum`] if no majority answered by `until`, [`Refusal::Unsure`] if the
+    /// view was stale.
     pub async fn used(
         &self,
         report: &usage::Report,
@@ -63,35 +65,35 @@
     ) -> Result<Option<Total>, Refusal> {
         let request = message::encode(&Request::Usage(report.clone()));
         let view = self.view();
-        let told = self.tell(&view, request, until).await;
-        told.unwrap_or(Err(Refusal::Unsure))
+        let result = self.send_to_quorum(&view, request, until).await;
+        result.unwrap_or(Err(Refusal::Unsure))
     }
 
-    /// Sends a request to all members and waits for a majority; `None` when the view
-    /// turned out to be old.
-    pub(super) async fn tell(
+    /// Sends a request to all members and waits for a majority; `None` if a replica reported
+    /// that `view` is stale.
+    pub(super) async fn send_to_quorum(
         &self,
         view: &View,
         request: Bytes,
         until: Instant,
     ) -> Option<Result<Option<Total>, Refusal>> {
-        let mut gathered = Gathered::new(view);
-        let mut answers = self.ask(view, |_| request.clone());
-        while !gathered.has_quorum() {
-            let next = tokio::time::timeout_at(until, answers.receiver.recv()).await;
+        let mut collected = CollectedReplies::new(view);
+        let mut replies = self.send_to_all(view, |_| request.clone());
+        while !collected.has_quorum() {
+            let next = tokio::time::timeout_at(until, replies.receiver.recv()).await;
             let Ok(Some((member, reply))) = next else {
                 break;
             };
             if let Some(Reply::Stale(view)) = &reply {
-                self.learn(view);
+                self.update_view(view);
                 return None;
             }
-            gathered.take(&member, reply);
+            collected.add(&member, reply);
         }
-        if gathered.has_quorum() {
-            return Some(Ok(gathered.usage));
+        if collected.has_quorum() {
+            return Some(Ok(collected.usage));
         }
-        let (answered, needed) = (gathered.answered, gathered.needed);
+        let (answered, needed) = (collected.answered, collected.needed);
         Some(Err(Refusal::NoQuorum { answered, needed }))
     }
 }
--- a/crates/gradedyke-turns/src/quorum/settle.rs
+++ b/crates/gradedyke-turns/src/quorum/settle.rs
@@ -1,10 +1,9 @@
-//! Settlements on their way to the replicas.
+//! Sends settlements to the replicas in the background.
 //!
-//! An attempt that was refused or broke off may have left a reservation, which counts
-//! against its program's budget until it is settled. That is done behind the caller's
-//! back: everything that waits is told in one exchange, one exchange at a time, with
-//! waits that double while no majority answers. Refused work then costs replicas that
-//! have fallen behind less than served work, and they catch up.
+//! An attempt that was refused or aborted may have left a reservation, which counts against
+//! its program's budget until it is settled. Pending settlements are sent in batches, one
+//! batch at a time, with exponential backoff while no majority answers. Batching keeps the
+//! cost of refused attempts low for replicas that are overloaded.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, MutexGuard, PoisonError};
@@ -13,115 +12,124 @@
 use gradedyke_base::retry::Backoff;
 use tokio::time::Instant;
 
-use super::{CALL, Quorum, Refusal};
+use super::{CALL_TIMEOUT, Quorum, Refusal};
 use crate::message::{self, Request};
 use crate::record::{Record, Settled};
 
-/// For how long an attempt is tried to be settled: as long as replicas may take to be back
-/// after all of them were lost, and what waits costs a hundred bytes.
-const SETTLE: Duration = Duration::from_secs(30);
-/// Settlements that may wait, a few hundred kB. The oldest go first beyond that.
-const WAITING: usize = 4_096;
-/// Settlements told in one exchange: about 20 kB.
-const TOGETHER: usize = 256;
-/// Wait after an exchange that failed, the first time: a few syncs of a slow disk.
-const FIRST: Duration = Duration::from_millis(50);
-/// The longest such wait.
-const LONGEST: Duration = Duration::from_secs(2);
+/// How long a settlement is retried; long enough for all replicas to restart.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Most pending settlements, a few hundred kB of memory. Beyond that the oldest are dropped.
+const MAX_QUEUE_LEN: usize = 4_096;
+/// Most settlements in one request, about 20 kB.
+const MAX_BATCH_LEN: usize = 256;
+/// First delay after a failed request: a few syncs of a slow disk.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Longest delay between retries.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
 
-struct Waiting {
+/// A settlement that no majority has acknowledged, and when to give up on it.
+struct PendingSettlement {
     settled: Settled,
-    until: Instant,
+    deadline: Instant,
 }
 
-/// Settlements that have not been told.
+/// Pending settlements, oldest first.
 #[derive(Default)]
 pub(super) struct Queue {
-    waiting: VecDeque<Waiting>,
-    /// Whether a task tells them.
-    told: bool,
+    pending: VecDeque<PendingSettlement>,
+    /// Whether a task is sending them.
+    is_sending: bool,
 }
 
 impl Queue {
-    /// Puts one in. Returns whether a task is to be started for it.
-    fn put(&mut self, settled: Settled, until: Instant) -> bool {
-        self.waiting.push_back(Waiting { settled, until });
-        if self.waiting.len() > WAITING {
-            self.drop_first(1);
+    /// Adds a settlement. Returns whether the caller must start the sending task.
+    fn push(&mut self, settled: Settled, deadline: Instant) -> bool {
+        self.pending
+            .push_back(PendingSettlement { settled, deadline });
+        if self.pending.len() > MAX_QUEUE_LEN {
+            self.drop_oldest(1);
         }
-        !std::mem::replace(&mut self.told, true)
+        !std::mem::replace(&mut self.is_sending, true)
     }
 
-    fn drop_first(&mut self, count: usize) {
-        let dropped = self.waiting.drain(..count);
-        let first = dropped.map(|w| w.settled.request).next();
+    /// Drops the `count` oldest settlements and logs that.
+    fn drop_oldest(&mut self, count: usize) {
+        let dropped = self.pending.drain(..count);
+        let first = dropped.map(|p| p.settled.request).next();
         let first = first.map_or_else(String::new, |request| request.to_string());
-        // They stay reserved, which only makes the budgets smaller.
+        // Their reservations remain, so the programs can use less of their budgets.
         tracing::warn!(
             event = "not_settled",
             count,
             first,
-            remedy = "see why the keepers do not answer"
+            remedy = "check why the replicas do not answer"
         );
     }
 
-    /// The next to be told; none when nothing waits, and then the task ends.
-    fn next(&mut self, now: Instant) -> Vec<Settled> {
-        let late = self.waiting.iter().take_while(|w| w.until <= now).count();
-        if late > 0 {
-            self.drop_first(late);
+    /// Drops expired settlements and returns the next batch. An empty batch ends the sending
+    /// task.
+    fn next_batch(&mut self, now: Instant) -> Vec<Settled> {
+        let expired = self
+            .pending
+            .iter()
+            .take_while(|p| p.deadline <= now)
+            .count();
+        if expired > 0 {
+            self.drop_oldest(expired);
         }
-        let next = self.waiting.iter().take(TOGETHER);
-        let next: Vec<Settled> = next.map(|w| w.settled.clone()).collect();
-        self.told = !next.is_empty();
-        next
+        let batch = self.pending.iter().take(MAX_BATCH_LEN);
+        let batch: Vec<Settled> = batch.map(|p| p.settled.clone()).collect();
+        self.is_sending = !batch.is_empty();
+        batch
     }
 
-    /// Forgets the first ones, which have been told.
-    fn forget(&mut self, told: &[Settled]) {
-        // Some of them may have been dropped meanwhile, the oldest.
-        let last = told.last().map(|t| &t.request);
-        let place = self
-            .waiting
+    /// Removes an acknowledged batch from the front of the queue.
+    fn remove_sent(&mut self, sent: &[Settled]) {
+        // The oldest of the batch may have been dropped meanwhile, so find its last.
+        let last = sent.last().map(|s| &s.request);
+        let last_index = self
+            .pending
             .iter()
-            .position(|w| Some(&w.settled.request) == last);
-        self.waiting.drain(..place.map_or(0, |p| p + 1));
+            .position(|p| Some(&p.settled.request) == last);
+        self.pending.drain(..last_index.map_or(0, |i| i + 1));
     }
 }
 
 impl Quorum {
-    fn settlements(&self) -> MutexGuard<'_, Queue> {
-        self.settlements
+    fn lock_queue(&self) -> MutexGuard<'_, Queue> {
+        self.settlement_queue
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Settles what an attempt used, in the background.
+    /// Sends a settlement to the replicas in the background, with retries.
     pub fn settle(&self, settled: Settled) {
-        let until = Instant::now() + SETTLE;
-        let start = self.settlements().put(settled, until);
-        if start && let Some(quorum) = self.own_handle.upgrade() {
-            tokio::spawn(quorum.settle_all());
+        let deadline = Instant::now() + SETTLE_TIMEOUT;
+        let start_task = self.lock_queue().push(settled, deadline);
+        if start_task && let Some(quorum) = self.weak_self.upgrade() {
+            tokio::spawn(quorum.send_pending());
         }
     }
 
-    async fn settle_all(self: Arc<Self>) {
-        let mut backoff = Backoff::endless(FIRST, LONGEST);
+    /// Sends all pending settlements; returns when none is left.
+    async fn send_pending(self: Arc<Self>) {
+        let mut backoff = Backoff::endless(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
         loop {
-            let next = self.settlements().next(Instant::now());
-            if next.is_empty() {
+            let batch = self.lock_queue().next_batch(Instant::now());
+            if batch.is_empty() {
                 return;
             }
-            if self.keep_all(&next).await.is_ok() {
-                self.settlements().forget(&next);
-                backoff = Backoff::endless(FIRST, LONGEST);
+            if self.send_batch(&batch).await.is_ok() {
+                self.lock_queue().remove_sent(&batch);
+                backoff = Backoff::endless(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
                 continue;
             }
             tokio::time::sleep(backoff.step(rand::random())).await;
         }
     }
 
-    async fn keep_all(&self, settled: &[Settled]) -> Result<(), Refusal> {
+    /// Writes one batch to a majority.
+    async fn send_batch(&self, settled: &[Settled]) -> Result<(), Refusal> {
         let records: Vec<Record> = settled.iter().cloned().map(Record::Settled).collect();
         loop {
             let view = self.view();
@@ -129,8 +137,8 @@
                 view: view.version,
                 records: records.clone(),
             });
-            let until = Instant::now() + CALL;
-            if let Some(result) = self.tell(&view, request, until).await {
+            let until = Instant::now() + CALL_TIMEOUT;
+            if let Some(result) = self.send_to_quorum(&view, request, until).await {
                 return result.map(|_| ());
             }
         }
--- a/crates/gradedyke-turns/src/tally.rs
+++ b/crates/gradedyke-turns/src/tally.rs
@@ -1,8 +1,7 @@
-//! What a replica is asked, told once a second while it falls behind.
+//! Request statistics of a replica, logged about once a second while it is overloaded.
 //!
-//! A replica that has more to do than it can answers late, and what it is asked then is
-//! largely what was asked before. Neither side sees that alone: the line tells by kind how
-//! much was asked, how long it lay unread, and how long the answers took.
+//! The statistics cover the number of requests of each kind, how long requests waited to be read, and how
+//! long responses took.
 
 use std::time::Duration;
 
@@ -10,117 +9,117 @@
 
 use crate::message::Request;
 
-/// How often a line is written at most, and over which time it counts.
-const SPAN: Duration = Duration::from_secs(1);
-/// Time that a request lies unread in a replica above which it falls behind: twenty times
-/// what an exchange with a sync takes.
-const BEHIND: Duration = Duration::from_millis(50);
+/// Minimum length of a window.
+const MIN_WINDOW: Duration = Duration::from_secs(1);
+/// Queue delay of a request from which on the replica counts as overloaded.
+const OVERLOAD_QUEUE_DELAY: Duration = Duration::from_millis(50);
 
-/// What a request wants.
+/// What a request asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
-    /// To begin an attempt.
+pub enum RequestKind {
+    /// Begin an attempt.
     Begin,
-    /// To keep a turn, or what an attempt used.
+    /// Store records.
     Keep,
-    /// Something to be read.
+    /// Anything else, mostly reads.
     Read,
 }
 
-impl Kind {
-    /// The kind of a request.
+impl RequestKind {
+    /// Returns the kind of a request.
     pub fn of(request: &Request) -> Self {
         match request {
-            Request::Begin(_) => Kind::Begin,
-            Request::Keep { .. } | Request::KeepAll { .. } => Kind::Keep,
-            _ => Kind::Read,
+            Request::Begin(_) => RequestKind::Begin,
+            Request::Keep { .. } | Request::KeepAll { .. } => RequestKind::Keep,
+            _ => RequestKind::Read,
         }
     }
 
-    /// Its name in metrics.
+    /// Returns the label value used in metrics.
     pub fn name(self) -> &'static str {
         match self {
-            Kind::Begin => "begin",
-            Kind::Keep => "keep",
-            Kind::Read => "read",
+            RequestKind::Begin => "begin",
+            RequestKind::Keep => "keep",
+            RequestKind::Read => "read",
         }
     }
 }
 
-/// What was asked in one span of time.
+/// Statistics of one window.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Span {
-    /// Attempts to begin.
+pub struct WindowStats {
+    /// Requests to begin an attempt.
     pub begins: u32,
-    /// Records to keep.
+    /// Requests to store records.
     pub keeps: u32,
-    /// Everything else.
+    /// All other requests.
     pub reads: u32,
-    /// Requests that were turned away.
-    pub refused: u32,
-    /// Longest time for which one lay unread.
-    pub unread: Duration,
-    /// Longest time from then to its answer.
-    pub took: Duration,
+    /// Requests that were rejected.
+    pub rejected: u32,
+    /// Longest time that a request waited to be read.
+    pub max_queue_delay: Duration,
+    /// Longest time from reading a request to its response.
+    pub max_response_time: Duration,
 }
 
-/// The tally of the present span.
+/// Collects the statistics of the current window.
 #[derive(Debug)]
-pub struct Tally {
-    since: Instant,
-    span: Span,
+pub struct RequestStats {
+    window_start: Instant,
+    window: WindowStats,
 }
 
-impl Tally {
-    /// An empty tally.
+impl RequestStats {
+    /// Starts the first window.
     pub fn new(now: Instant) -> Self {
         Self {
-            since: now,
-            span: Span::default(),
+            window_start: now,
+            window: WindowStats::default(),
         }
     }
 
-    /// Counts a request that lay `unread` before it was looked at.
-    pub fn count(&mut self, kind: Kind, unread: Duration) {
-        let asked = match kind {
-            Kind::Begin => &mut self.span.begins,
-            Kind::Keep => &mut self.span.keeps,
-            Kind::Read => &mut self.span.reads,
+    /// Counts a request that waited `queue_delay` to be read.
+    pub fn record_request(&mut self, kind: RequestKind, queue_delay: Duration) {
+        let count = match kind {
+            RequestKind::Begin => &mut self.window.begins,
+            RequestKind::Keep => &mut self.window.keeps,
+            RequestKind::Read => &mut self.window.reads,
         };
-        *asked += 1;
-        self.span.unread = self.span.unread.max(unread);
+        *count += 1;
+        self.window.max_queue_delay = self.window.max_queue_delay.max(queue_delay);
     }
 
-    /// Counts a request that was turned away.
-    pub fn refuse(&mut self) {
-        self.span.refused += 1;
+    /// Counts a request that was rejected.
+    pub fn record_rejection(&mut self) {
+        self.window.rejected += 1;
     }
 
-    /// Takes in how long the answer to a request took that does not wait for news.
-    pub fn answered(&mut self, took: Duration) {
-        self.span.took = self.span.took.max(took);
+    /// Records the response time of a request. Long polls are not recorded.
+    pub fn record_response_time(&mut self, elapsed: Duration) {
+        self.window.max_response_time = self.window.max_response_time.max(elapsed);
     }
 
-    /// The span that is over at `now`, if the replica fell behind in it. A new one begins.
+    /// Ends the current window if it is long enough, and starts a new one. Returns the ended
+    /// window if the replica was overloaded in it.
     ///
     /// ```
-    /// use gradedyke_turns::tally::{Kind, Tally};
+    /// use gradedyke_turns::tally::{RequestKind, RequestStats};
     /// use std::time::Duration;
     /// use tokio::time::Instant;
     ///
     /// let start = Instant::now();
-    /// let mut tally = Tally::new(start);
-    /// tally.count(Kind::Begin, Duration::from_millis(80));
-    /// assert_eq!(tally.over(start), None);
-    /// let span = tally.over(start + Duration::from_secs(1)).unwrap();
-    /// assert_eq!(span.begins, 1);
+    /// let mut stats = RequestStats::new(start);
+    /// stats.record_request(RequestKind::Begin, Duration::from_millis(80));
+    /// assert_eq!(stats.finish_window(start), None);
+    /// let window = stats.finish_window(start + Duration::from_secs(1)).unwrap();
+    /// assert_eq!(window.begins, 1);
     /// ```
-    pub fn over(&mut self, now: Instant) -> Option<Span> {
-        if now.saturating_duration_since(self.since) < SPAN {
+    pub fn finish_window(&mut self, now: Instant) -> Option<WindowStats> {
+        if now.saturating_duration_since(self.window_start) < MIN_WINDOW {
             return None;
         }
-        self.since = now;
-        let span = std::mem::take(&mut self.span);
-        (span.refused > 0 || span.unread >= BEHIND).then_some(span)
+        self.window_start = now;
+        let window = std::mem::take(&mut self.window);
+        (window.rejected > 0 || window.max_queue_delay >= OVERLOAD_QUEUE_DELAY).then_some(window)
     }
 }
--- a/crates/gradedyke-turns/tests/quorum/arrivals.rs
+++ b/crates/gradedyke-turns/tests/quorum/arrivals.rs
@@ -1,4 +1,4 @@
-//! Replicas that follow each other, start, or have too much to do.
+//! Replicas that synchronise with each other, start up, or are overloaded.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,7 +22,7 @@
 use super::{Group, Node, id};
 
 #[tokio::test]
-async fn arrivals_are_told_together_unless_they_fill_a_page() {
+async fn keys_request_waits_for_more_records_unless_a_page_is_full() {
     let group = Group::start(1).await;
     let replica = group.nodes[0].replica.clone();
     let record = |n: usize| {
@@ -40,71 +40,71 @@
         boot: 0,
         from: 0,
     });
-    let page = 512;
-    // Records that are there, and whether more are waited for.
-    for (count, waits) in [(1, true), (page, false)] {
-        let kept = (0..count).map(|n| {
+    let page_len = 512;
+    // Number of stored records, and whether the request waits for more.
+    for (count, should_wait) in [(1, true), (page_len, false)] {
+        let writes = (0..count).map(|n| {
             let replica = replica.clone();
             async move { replica.keep(&record(n)).await.unwrap() }
         });
-        futures_util::future::join_all(kept).await;
+        futures_util::future::join_all(writes).await;
         tokio::time::pause();
-        let began = Instant::now();
+        let started = Instant::now();
         let reply = desk.handle(keys.clone(), Instant::now()).await;
-        let waited = began.elapsed();
+        let waited = started.elapsed();
         tokio::time::resume();
         let Some(Reply::Keys(keys)) = message::decode(&reply) else {
-            panic!("no keys");
+            panic!("the reply is not Reply::Keys");
         };
         assert_eq!((keys.keys.len(), keys.all), (count, true));
-        assert_eq!(waited > Duration::ZERO, waits, "{count}");
+        assert_eq!(waited > Duration::ZERO, should_wait, "{count} records");
     }
 }
 
 #[tokio::test]
-async fn an_attempt_waits_for_replicas_that_read_their_disks() {
+async fn begin_retries_while_replicas_recover_from_disk() {
     let mut group = Group::start(3).await;
     group.keep("a", None).await.unwrap();
-    let mut opened = Vec::new();
-    // All three come back at once, and none has read its disk yet.
+    let mut restarted = Vec::new();
+    // All three restart at once, and none has recovered from its disk yet.
     for node in &mut group.nodes {
         node.stop.cancel();
-        let (open, replica) = watch::channel(None);
+        let (replica_sender, replica) = watch::channel(None);
         let desk = Arc::new(Desk::new(Mirror::new(&[""]), replica));
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         node.member.address = listener.local_addr().unwrap();
         let stop = CancellationToken::new();
         let serving = gradedyke_peer::server::serve(listener, desk.clone(), stop);
         group.tasks.spawn(serving);
-        opened.push((open, desk, node.replica.clone()));
+        restarted.push((replica_sender, desk, node.replica.clone()));
     }
     group.publish(2);
     let hello = message::encode(&Request::Hello);
-    let reading = async {
-        for (open, desk, replica) in opened {
+    let recovery = async {
+        for (replica_sender, desk, replica) in restarted {
             let reply = desk.handle(hello.clone(), Instant::now());
             let reply = tokio::time::timeout(Duration::from_secs(5), reply).await;
-            let reply = reply.expect("a replica that starts says nothing");
+            let reply = reply.expect("a starting replica did not reply in 5 s");
             assert!(matches!(message::decode(&reply), Some(Reply::Starting)));
-            open.send_replace(Some(replica));
+            replica_sender.send_replace(Some(replica));
         }
     };
-    let (chain, ()) = tokio::join!(group.chain("a"), reading);
+    let (chain, ()) = tokio::join!(group.chain("a"), recovery);
     assert_eq!(chain.unwrap().unwrap(), "a?a!");
 }
 
 #[tokio::test]
-async fn a_newcomer_fetches_each_record_once() {
+async fn new_replica_fetches_each_record_once() {
     let mut group = Group::start(2).await;
     for n in 0..40 {
         group.keep(&format!("t{n}"), None).await.unwrap();
     }
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().to_owned();
-    let mut newcomer = Node::start(folder, "n2", &mut group.tasks).await;
-    newcomer.member.active = false;
-    let replica = newcomer.replica.clone();
-    group.nodes.push(newcomer);
+    let mut new_node = Node::start(folder, "n2", &mut group.tasks).await;
+    new_node.member.active = false;
+    let replica = new_node.replica.clone();
+    group.nodes.push(new_node);
     group.publish(2);
     let stop = CancellationToken::new();
     for node in &group.nodes[..2] {
@@ -112,9 +112,12 @@
         let (disk, address) = (node.member.disk, node.member.address);
         let follower = Follower::new(replica.clone(), disk, address, sender);
         group.tasks.spawn(follower.run(stop.clone()));
-        let level = progress.wait_for(|p| p.level.is_some());
-        let level = tokio::time::timeout(Duration::from_secs(10), level).await;
-        assert!(level.is_ok(), "it does not become level");
+        let caught_up = progress.wait_for(|p| p.level.is_some());
+        let caught_up = tokio::time::timeout(Duration::from_secs(10), caught_up).await;
+        assert!(
+            caught_up.is_ok(),
+            "the new replica did not catch up in 10 s"
+        );
     }
     stop.cancel();
     group.tasks.shutdown().await;
@@ -125,7 +128,7 @@
 }
 
 #[tokio::test]
-async fn a_replica_with_too_much_to_do_begins_nothing_more_and_ends_what_was_begun() {
+async fn overloaded_replica_rejects_begins_and_accepts_settlements() {
     let group = Group::start(1).await;
     let (_, ready) = watch::channel(Some(group.nodes[0].replica.clone()));
     let desk = Desk::new(Mirror::new(&[""]), ready);
@@ -150,7 +153,7 @@
     let mut begins: FuturesUnordered<_> = (0..count)
         .map(|n| desk.handle(begin(n), Instant::now()))
         .collect();
-    // All have come before any is written.
+    // Polling the first result submits all requests before any reservation is written.
     let first = begins.next().await.unwrap();
     let settled = message::encode(&Request::Keep {
         usage: None,
@@ -170,8 +173,8 @@
         .iter()
         .filter(|r| matches!(message::decode(r), Some(Reply::Busy(_))));
     let busy = busy.count();
-    assert!(busy > count / 2, "{busy} of {count}");
-    // There is room again.
+    assert!(busy > count / 2, "{busy} of {count} rejected");
+    // Once the others have completed, a request is admitted again.
     let reply = desk.handle(begin(count), Instant::now()).await;
     assert!(matches!(message::decode(&reply), Some(Reply::Began { .. })));
 }
--- a/crates/gradedyke-turns/tests/quorum/main.rs
+++ b/crates/gradedyke-turns/tests/quorum/main.rs
@@ -1,7 +1,7 @@
-//! Attempts and records with real replicas over loopback, some of them lost.
+//! Attempts and records with real replicas over loopback, some of which fail.
 //!
-//! - `arrivals`: replicas that follow each other, start or have too much to do.
-//! - `ways`: around a cut between an entry and the replicas.
+//! - `arrivals`: replicas that synchronise with each other, start up, or are overloaded.
+//! - `ways`: gateways that reach replicas through other gateways.
 
 mod arrivals;
 mod ways;
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Tells the asking side, and the replicas, of the members.
+    /// Publishes the current members, in a view of this version, to the client and the replicas.
     fn publish(&self, version: u64) {
         let view = self.view(version);
         let item = Item {
@@ -128,7 +128,7 @@
             load: Report::default(),
             usage: None,
             time: Duration::from_secs(1),
-            until: soon(),
+            until: near_deadline(),
         };
         self.quorum.begin(&ask).await.map(|_| ())
     }
@@ -140,7 +140,10 @@
             tokens,
             keep_ms: 60_000,
         });
-        self.quorum.keep(&record, None, soon()).await.unwrap();
+        self.quorum
+            .keep(&record, None, near_deadline())
+            .await
+            .unwrap();
     }
 
     async fn keep(&self, request: &str, parent: Option<&str>) -> Result<(), Refusal> {
@@ -154,7 +157,10 @@
             tokens: 1,
             keep_ms: 60_000,
         });
-        self.quorum.keep(&record, None, soon()).await.map(|_| ())
+        self.quorum
+            .keep(&record, None, near_deadline())
+            .await
+            .map(|_| ())
     }
 
     async fn chain(&self, parent: &str) -> Result<Option<Bytes>, Refusal> {
@@ -165,32 +171,32 @@
             load: Report::default(),
             usage: None,
             time: Duration::from_secs(1),
-            until: soon(),
+            until: near_deadline(),
         };
         let chain = self.quorum.begin(&ask).await;
         chain.map(|c| c.chain.map(|c| c.body))
     }
 }
 
-/// Far enough off that only a missing majority takes so long.
-fn soon() -> Instant {
+/// A deadline that only passes if a majority is missing.
+fn near_deadline() -> Instant {
     Instant::now() + Duration::from_secs(2)
 }
 
 #[tokio::test]
-async fn a_kept_turn_is_told_whoever_is_lost() {
+async fn turn_is_readable_after_loss_of_any_one_replica() {
     for lost in 0..3 {
         let group = Group::start(3).await;
         group.keep("a", None).await.unwrap();
         group.keep("b", Some("a")).await.unwrap();
         group.stop(lost);
         let body = group.chain("b").await.unwrap().unwrap();
-        assert_eq!(body, "a?a!b?b!", "without {lost}");
+        assert_eq!(body, "a?a!b?b!", "without replica {lost}");
     }
 }
 
 #[tokio::test]
-async fn without_a_majority_nothing_is_kept_and_nothing_denied() {
+async fn writes_and_reads_without_majority_fail_with_no_quorum() {
     let group = Group::start(3).await;
     group.stop(0);
     group.keep("a", None).await.unwrap();
@@ -202,28 +208,28 @@
 }
 
 #[tokio::test]
-async fn one_that_has_everything_and_a_newcomer_keep_what_two_disks_hold() {
+async fn complete_and_new_replica_store_records_on_both_disks() {
     let mut group = Group::start(2).await;
     group.keep("a", None).await.unwrap();
-    // The second has lost its disk and is not level again.
+    // The second replica has lost its disk and has not caught up yet.
     let node = group.nodes.remove(1);
     node.stop.cancel();
     let empty = tempfile::tempdir().unwrap();
-    let mut newcomer = Node::start(empty, "n1", &mut group.tasks).await;
-    newcomer.member.active = false;
-    group.nodes.push(newcomer);
+    let mut new_node = Node::start(empty, "n1", &mut group.tasks).await;
+    new_node.member.active = false;
+    group.nodes.push(new_node);
     group.publish(2);
     assert!(group.quorum.reachable());
     group.keep("b", Some("a")).await.unwrap();
     assert_eq!(group.chain("b").await.unwrap().unwrap(), "a?a!b?b!");
-    // One disk is not enough, whichever it is.
+    // A single replica is not enough.
     group.stop(1);
     let refused = group.keep("c", Some("b")).await.unwrap_err();
     assert!(matches!(refused, Refusal::NoQuorum { .. }), "{refused:?}");
 }
 
 #[tokio::test]
-async fn a_turn_is_denied_only_when_all_say_so() {
+async fn missing_turn_is_reported_only_if_all_replicas_answer() {
     let group = Group::start(3).await;
     assert_eq!(group.chain("no").await, Err(Refusal::NoTurn));
     group.stop(2);
@@ -231,7 +237,7 @@
 }
 
 #[tokio::test]
-async fn a_budget_holds_through_losses_and_restarts() {
+async fn budget_holds_across_replica_restarts() {
     let mut group = Group::start(3).await;
     group.reserve("a", 40, 100).await.unwrap();
     group.settle("a", 30).await;
@@ -243,7 +249,7 @@
     };
     assert_eq!(group.reserve("c", 40, 100).await, Err(spent.clone()));
     group.settle("c", 0).await;
-    // Each replica in turn is killed and comes back with its disk.
+    // Restart each replica in turn with its disk.
     for number in 0..3 {
         let node = group.nodes.remove(number);
         node.stop.cancel();
@@ -260,7 +266,7 @@
 }
 
 #[tokio::test]
-async fn of_attempts_at_the_same_time_no_more_are_let_in_than_the_budget_holds() {
+async fn concurrent_reservations_do_not_exceed_budget() {
     let group = Group::start(3).await;
     let names: Vec<String> = (0..8).map(|n| format!("r{n}")).collect();
     let attempts = names.iter().map(|name| group.reserve(name, 30, 100));
@@ -270,10 +276,10 @@
 }
 
 #[tokio::test]
-async fn a_replica_refuses_what_was_sent_under_an_old_view() {
+async fn request_with_stale_view_is_rejected_and_retried() {
     let group = Group::start(3).await;
     group.keep("a", None).await.unwrap();
-    // The replicas know a later view than the asking side, which learns it.
+    // The replicas have a newer view than the client, which gets it from them.
     let later = group.view(7);
     group.nodes.iter().for_each(|n| n.replica.learn(&later));
     group.keep("b", Some("a")).await.unwrap();
@@ -281,7 +287,7 @@
 }
 
 #[tokio::test]
-async fn entries_learn_what_the_others_have_in_progress() {
+async fn gateways_receive_load_of_other_gateways() {
     let group = Group::start(3).await;
     let ask = |entry, requests| Ask {
         usage: None,
@@ -302,17 +308,18 @@
             }],
         },
         time: Duration::from_secs(1),
-        until: soon(),
+        until: near_deadline(),
     };
-    let alone = group.quorum.begin(&ask(1, 2)).await.unwrap().load;
-    assert!(alone.is_none_or(|l| l.is_empty()));
-    // The nearest replica may answer after the majority has; it tells next time.
-    let mut told = None;
+    let first_load = group.quorum.begin(&ask(1, 2)).await.unwrap().load;
+    assert!(first_load.is_none_or(|l| l.is_empty()));
+    // The nearest replica may answer after the majority has; its load then comes with a later
+    // attempt.
+    let mut last_load = None;
     for _ in 0..100 {
-        told = group.quorum.begin(&ask(2, 3)).await.unwrap().load;
-        if told.as_ref().is_some_and(|l| !l.is_empty()) {
+        last_load = group.quorum.begin(&ask(2, 3)).await.unwrap().load;
+        if last_load.as_ref().is_some_and(|l| !l.is_empty()) {
             break;
         }
     }
-    assert_eq!(told.unwrap()[0].requests, 2);
+    assert_eq!(last_load.unwrap()[0].requests, 2);
 }
--- a/crates/gradedyke-turns/tests/settle.rs
+++ b/crates/gradedyke-turns/tests/settle.rs
@@ -1,4 +1,4 @@
-//! Settlements on their way to replicas that have too much to do for a while.
+//! Settlements sent to replicas that are overloaded for a while.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -20,17 +20,17 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-const REPLICAS: u64 = 3;
-/// Exchanges that each replica refuses before it keeps up.
-const REFUSED: usize = 3;
-const SETTLED: usize = 300;
-/// Longest wait for what is to come; only a fault takes so long.
-const LIMIT: Duration = Duration::from_secs(20);
+const REPLICA_COUNT: u64 = 3;
+/// Requests that each replica rejects before it accepts any.
+const REJECTED_REQUESTS: usize = 3;
+const SETTLEMENT_COUNT: usize = 300;
+/// How long to wait until a replica has received all settlements; ample.
+const RECEIVE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A replica that refuses at first, and notes what it is told then.
+/// A replica that first rejects requests, then records the settlements it receives.
 struct Replica {
-    asked: Arc<AtomicUsize>,
-    kept: watch::Sender<BTreeSet<String>>,
+    request_count: Arc<AtomicUsize>,
+    stored: watch::Sender<BTreeSet<String>>,
 }
 
 #[async_trait]
@@ -39,12 +39,12 @@
         let Some(Request::KeepAll { records, .. }) = message::decode(&request) else {
             return message::encode(&Reply::Hello);
         };
-        let asked = self.asked.fetch_add(1, Ordering::Relaxed);
-        if asked < REFUSED {
+        let earlier_requests = self.request_count.fetch_add(1, Ordering::Relaxed);
+        if earlier_requests < REJECTED_REQUESTS {
             return message::encode(&Reply::Busy(Pressure::default()));
         }
-        self.kept.send_modify(|kept| {
-            kept.extend(records.iter().map(|r| r.key().request.to_string()));
+        self.stored.send_modify(|stored| {
+            stored.extend(records.iter().map(|r| r.key().request.to_string()));
         });
         message::encode(&Reply::Kept { usage: None })
     }
@@ -55,17 +55,17 @@
 }
 
 #[tokio::test]
-async fn settlements_wait_for_replicas_and_are_told_together() {
+async fn settlements_are_retried_and_sent_in_batches() {
     let stop = CancellationToken::new();
     let mut tasks = JoinSet::new();
-    let asked = Arc::new(AtomicUsize::new(0));
-    let mut told = Vec::new();
+    let request_count = Arc::new(AtomicUsize::new(0));
+    let mut received = Vec::new();
     let mut view = View {
         version: 1,
         tolerate: 1,
         members: Vec::new(),
     };
-    for number in 0..REPLICAS {
+    for number in 0..REPLICA_COUNT {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         view.members.push(Member {
             name: format!("replica{number}"),
@@ -74,15 +74,15 @@
             data_centre: "here".to_owned(),
             active: true,
         });
-        let (kept, receiver) = watch::channel(BTreeSet::new());
-        told.push(receiver);
+        let (stored, receiver) = watch::channel(BTreeSet::new());
+        received.push(receiver);
         let replica = Arc::new(Replica {
-            asked: if number == 0 {
-                asked.clone()
+            request_count: if number == 0 {
+                request_count.clone()
             } else {
                 Arc::default()
             },
-            kept,
+            stored,
         });
         tasks.spawn(gradedyke_peer::server::serve(
             listener,
@@ -99,7 +99,7 @@
     };
     mirror.put(vec![item], Instant::now());
     let quorum = Quorum::new(mirror, "here", None);
-    for number in 0..SETTLED {
+    for number in 0..SETTLEMENT_COUNT {
         quorum.settle(Settled {
             program: id("p"),
             request: id(&format!("r{number}")),
@@ -107,14 +107,19 @@
             keep_ms: 60_000,
         });
     }
-    for receiver in &mut told {
-        let all = receiver.wait_for(|kept| kept.len() == SETTLED);
-        assert!(tokio::time::timeout(LIMIT, all).await.unwrap().is_ok());
+    for receiver in &mut received {
+        let all = receiver.wait_for(|stored| stored.len() == SETTLEMENT_COUNT);
+        assert!(
+            tokio::time::timeout(RECEIVE_TIMEOUT, all)
+                .await
+                .unwrap()
+                .is_ok()
+        );
     }
-    // The refused ones, and as few as hold so many.
-    let asked = asked.load(Ordering::Relaxed);
+    // The rejected requests, plus at most three batches.
+    let request_count = request_count.load(Ordering::Relaxed);
     assert!(
-        asked <= REFUSED + 3,
-        "{asked} exchanges for {SETTLED} settlements"
+        request_count <= REJECTED_REQUESTS + 3,
+        "{request_count} requests for {SETTLEMENT_COUNT} settlements"
     );
 }
