--- a/crates/gradedyke-turns/src/desk.rs
+++ b/crates/gradedyke-turns/src/desk.rs
@@ -51,8 +51,8 @@
 pub struct Desk {
     mirror: Arc<Mirror>,
     replica: watch::Receiver<Option<Arc<Replica>>>,
-    begins: AtomicUsize,
-    others: AtomicUsize,
+    begins_in_flight: AtomicUsize,
+    others_in_flight: AtomicUsize,
     backlog: Backlog,
     gauge: Mutex<Gauge>,
     stats: Mutex<RequestStats>,
@@ -65,8 +65,8 @@
         Self {
             mirror,
             replica,
-            begins: AtomicUsize::new(0),
-            others: AtomicUsize::new(0),
+            begins_in_flight: AtomicUsize::new(0),
+            others_in_flight: AtomicUsize::new(0),
             backlog: Backlog::default(),
             gauge: Mutex::default(),
             stats: Mutex::new(RequestStats::new(Instant::now())),
@@ -108,9 +108,9 @@
                 None
             }
             Request::Begin(_) => {
-                ConcurrencyPermit::try_acquire(&self.begins, MAX_CONCURRENT_BEGINS)
+                ConcurrencyPermit::try_acquire(&self.begins_in_flight, MAX_CONCURRENT_BEGINS)
             }
-            _ => ConcurrencyPermit::try_acquire(&self.others, MAX_CONCURRENT_OTHERS),
+            _ => ConcurrencyPermit::try_acquire(&self.others_in_flight, MAX_CONCURRENT_OTHERS),
         }
     }
 
--- a/crates/gradedyke-turns/src/load.rs
+++ b/crates/gradedyke-turns/src/load.rs
@@ -2,7 +2,8 @@
 //!
 //! A single gateway sees only its own requests, so several could pick the same server at once
 //! without noticing. Each gateway therefore reports its requests in flight to the replicas
-//! when it begins a turn, and the nearest replica replies with the sum over the other gateways.
+//! when it begins an attempt, and the nearest replica replies with the sum over the other
+//! gateways.
 
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -98,7 +99,7 @@
         chosen
     }
 
-    /// Returns the load of each server, summed over all gateways but `entry`.
+    /// Returns the load of each server, summed over all gateways but `gateway`.
     ///
     /// ```
     /// use gradedyke_turns::load::{Board, Busy, Report};
@@ -110,13 +111,13 @@
     /// board.put(Report { entry: 2, address: None, busy: busy(3) }, now);
     /// assert_eq!(board.others(1, now), busy(3));
     /// ```
-    pub fn others(&self, entry: u64, now: Instant) -> Vec<Busy> {
+    pub fn others(&self, gateway: u64, now: Instant) -> Vec<Busy> {
         let mut sums: HashMap<Server, Busy> = HashMap::new();
         let is_fresh = |at: Instant| now.saturating_duration_since(at) < REPORT_TTL;
         let others = self
             .reports
             .iter()
-            .filter(|(e, (at, _))| **e != entry && is_fresh(*at));
+            .filter(|(id, (at, _))| **id != gateway && is_fresh(*at));
         for busy in others.flat_map(|(_, (_, busy))| busy) {
             let sum = sums.entry(busy.server).or_default();
             sum.server = busy.server;
--- a/crates/gradedyke-turns/src/quorum.rs
+++ b/crates/gradedyke-turns/src/quorum.rs
@@ -34,8 +34,8 @@
 use crate::usage::{self, Total};
 use crate::view::{Disk, Member, View};
 
-/// Timeout of a call to a replica: several syncs of a slow disk. Replicas that miss a
-/// record get it from each other.
+/// Timeout of a call to a replica: several disk syncs, even on a slow disk. Replicas that
+/// missed a record get it from each other.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Why an operation on the replicas failed. An attempt that fails to begin has sent nothing
@@ -148,7 +148,7 @@
 }
 
 /// Load that arrived too late for the attempt that requested it; the next attempt uses it.
-/// Only the nearest replica reports load, and it is not always among the first to answer.
+/// Only the nearest replica reports load, and a majority may answer before it does.
 #[derive(Default)]
 struct LateLoad(Mutex<Option<Vec<Busy>>>);
 
--- a/crates/gradedyke-turns/src/quorum/begin.rs
+++ b/crates/gradedyke-turns/src/quorum/begin.rs
@@ -36,12 +36,12 @@
     ///
     /// Any [`Refusal`]. A reservation that replicas may have stored is settled as unused in
     /// the background.
-    pub async fn begin(&self, ask: &Ask) -> Result<BeginResponse, Refusal> {
+    pub async fn begin(&self, params: &Ask) -> Result<BeginResponse, Refusal> {
         let mut maybe_reserved = false;
-        let result = self.begin_with_retries(ask, &mut maybe_reserved).await;
+        let result = self.begin_with_retries(params, &mut maybe_reserved).await;
         if result.is_err()
             && maybe_reserved
-            && let Some((reserved, _)) = &ask.reserve
+            && let Some((reserved, _)) = &params.reserve
         {
             self.settle(Settled::unused(reserved));
         }
@@ -51,16 +51,16 @@
     /// Begins with retries; sets `maybe_reserved` if a replica may have stored the reservation.
     async fn begin_with_retries(
         &self,
-        ask: &Ask,
+        params: &Ask,
         maybe_reserved: &mut bool,
     ) -> Result<BeginResponse, Refusal> {
-        let try_deadline = ask.until.min(Instant::now() + ask.time);
+        let try_deadline = params.until.min(Instant::now() + params.time);
         let mut has_retried_busy = false;
         let mut backoff = Backoff::endless(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
         loop {
             let view = self.view();
             let started = Instant::now();
-            let Some(result) = self.try_begin(&view, ask, maybe_reserved).await else {
+            let Some(result) = self.try_begin(&view, params, maybe_reserved).await else {
                 continue;
             };
             let is_starting = matches!(result, Err(Refusal::Starting));
@@ -77,7 +77,7 @@
             // No retry while a majority is reachable but slow: that would add to its load.
             let is_unreachable = is_starting || !self.reachable();
             let should_retry = no_quorum && is_unreachable && self.mark_quorum_lost(now);
-            if should_retry && now + MIN_RETRY_DELAY < ask.until {
+            if should_retry && now + MIN_RETRY_DELAY < params.until {
                 tokio::time::sleep(backoff.step(rand::random())).await;
                 continue;
             }
@@ -124,28 +124,28 @@
     async fn try_begin(
         &self,
         view: &View,
-        ask: &Ask,
+        params: &Ask,
         maybe_reserved: &mut bool,
     ) -> Option<Result<BeginResponse, Refusal>> {
         let nearest = self.nearest_member(view).map(|m| m.disk);
-        let patience_ms = u32::try_from(ask.time.as_millis()).unwrap_or(u32::MAX);
+        let patience_ms = u32::try_from(params.time.as_millis()).unwrap_or(u32::MAX);
         let request = |member: &Member| {
             message::encode(&Request::Begin(Begin {
                 view: view.version,
-                reserve: ask.reserve.as_ref().map(|(r, _)| r.clone()),
-                parent: ask.parent.clone(),
+                reserve: params.reserve.as_ref().map(|(r, _)| r.clone()),
+                parent: params.parent.clone(),
                 nearest: Some(member.disk) == nearest,
-                load: ask.load.clone(),
-                usage: ask.usage.clone(),
-                first: ask.first,
+                load: params.load.clone(),
+                usage: params.usage.clone(),
+                first: params.first,
                 patience_ms,
             }))
         };
         let mut collected = CollectedReplies::new(view);
         let mut replies = self.send_to_all(view, request);
-        let deadline = ask.until.min(Instant::now() + ask.time);
+        let deadline = params.until.min(Instant::now() + params.time);
         let mut conversation_deadline = None;
-        while !collected.is_complete(ask) {
+        while !collected.is_complete(params) {
             let until = conversation_deadline.unwrap_or(deadline);
             let Ok(Some((member, reply))) =
                 tokio::time::timeout_at(until, replies.receiver.recv()).await
@@ -168,14 +168,14 @@
         replies.close(&self.late_load);
         *maybe_reserved |= collected.may_have_executed();
         self.record_pressure(collected.pressure(), Instant::now());
-        Some(self.evaluate(collected, ask, replies.member_count).await)
+        Some(self.evaluate(collected, params, replies.member_count).await)
     }
 
     /// Turns the collected replies into the result of the try.
     async fn evaluate(
         &self,
         collected: CollectedReplies,
-        ask: &Ask,
+        params: &Ask,
         member_count: usize,
     ) -> Result<BeginResponse, Refusal> {
         let (answered, needed) = (collected.answered, collected.needed);
@@ -188,13 +188,13 @@
         if !collected.has_quorum() {
             return Err(Refusal::NoQuorum { answered, needed });
         }
-        if let Some((reserved, budget)) = &ask.reserve {
+        if let Some((reserved, budget)) = &params.reserve {
             collected.check_budget(reserved, *budget)?;
         }
         let late_load = self.late_load.take();
         let load = collected.load.or(late_load);
         let usage = collected.usage;
-        if ask.parent.is_none() {
+        if params.parent.is_none() {
             return Ok(BeginResponse {
                 load,
                 usage,
@@ -204,7 +204,7 @@
         let chain = match (collected.chain, collected.holder) {
             (Some(chain), _) => Ok(chain),
             (None, Some(holder)) => self
-                .fetch_conversation(&holder, ask)
+                .fetch_conversation(&holder, params)
                 .await
                 .ok_or(Refusal::Unsure),
             (None, None) if collected.missing == member_count && member_count >= needed => {
@@ -221,11 +221,11 @@
     }
 
     /// Reads the conversation from a member that has it.
-    async fn fetch_conversation(&self, holder: &Member, ask: &Ask) -> Option<Chain> {
-        let request = Request::Chain(ask.parent.clone()?);
+    async fn fetch_conversation(&self, holder: &Member, params: &Ask) -> Option<Chain> {
+        let request = Request::Chain(params.parent.clone()?);
         let client = self.replica_client(&self.view(), holder.address);
         let call = client.call(message::encode(&request), CALL_TIMEOUT);
-        let reply = tokio::time::timeout(ask.time, call).await.ok()?;
+        let reply = tokio::time::timeout(params.time, call).await.ok()?;
         match message::decode(&reply?)? {
             Reply::Chain(chain) => chain,
             _ => None,
--- a/crates/gradedyke-turns/src/quorum/gathered.rs
+++ b/crates/gradedyke-turns/src/quorum/gathered.rs
@@ -95,8 +95,8 @@
     }
 
     /// Returns whether no further reply is needed or expected.
-    pub(super) fn is_complete(&self, ask: &Ask) -> bool {
-        let has_parent = ask.parent.is_none() || self.chain.is_some();
+    pub(super) fn is_complete(&self, params: &Ask) -> bool {
+        let has_parent = params.parent.is_none() || self.chain.is_some();
         self.has_quorum() && has_parent || self.finished == self.member_count
     }
 
--- a/crates/gradedyke-turns/src/quorum/keep.rs
+++ b/crates/gradedyke-turns/src/quorum/keep.rs
@@ -13,7 +13,7 @@
 use crate::usage::{self, Total};
 use crate::view::View;
 
-/// First delay before a failed write is retried: a few syncs of a slow disk.
+/// First delay before a failed write is retried: a few disk syncs, even on a slow disk.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Longest delay between retries. Short, as callers wait meanwhile.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(1_000);
--- a/crates/gradedyke-turns/src/quorum/settle.rs
+++ b/crates/gradedyke-turns/src/quorum/settle.rs
@@ -22,7 +22,7 @@
 const MAX_QUEUE_LEN: usize = 4_096;
 /// Most settlements in one request, about 20 kB.
 const MAX_BATCH_LEN: usize = 256;
-/// First delay after a failed request: a few syncs of a slow disk.
+/// First delay after a failed request: a few disk syncs, even on a slow disk.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Longest delay between retries.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
--- a/crates/gradedyke-turns/tests/quorum/main.rs
+++ b/crates/gradedyke-turns/tests/quorum/main.rs
@@ -121,7 +121,7 @@
             tokens,
             keep_ms: 60_000,
         };
-        let ask = Ask {
+        let params = Ask {
             reserve: Some((reserved, budget)),
             parent: None,
             first: false,
@@ -130,7 +130,7 @@
             time: Duration::from_secs(1),
             until: near_deadline(),
         };
-        self.quorum.begin(&ask).await.map(|_| ())
+        self.quorum.begin(&params).await.map(|_| ())
     }
 
     async fn settle(&self, request: &str, tokens: u32) {
@@ -164,7 +164,7 @@
     }
 
     async fn chain(&self, parent: &str) -> Result<Option<Bytes>, Refusal> {
-        let ask = Ask {
+        let params = Ask {
             reserve: None,
             parent: Some(id(parent)),
             first: false,
@@ -173,7 +173,7 @@
             time: Duration::from_secs(1),
             until: near_deadline(),
         };
-        let chain = self.quorum.begin(&ask).await;
+        let chain = self.quorum.begin(&params).await;
         chain.map(|c| c.chain.map(|c| c.body))
     }
 }
@@ -289,7 +289,7 @@
 #[tokio::test]
 async fn gateways_receive_load_of_other_gateways() {
     let group = Group::start(3).await;
-    let ask = |entry, requests| Ask {
+    let params = |entry, requests| Ask {
         usage: None,
         reserve: None,
         parent: None,
@@ -310,13 +310,13 @@
         time: Duration::from_secs(1),
         until: near_deadline(),
     };
-    let first_load = group.quorum.begin(&ask(1, 2)).await.unwrap().load;
+    let first_load = group.quorum.begin(&params(1, 2)).await.unwrap().load;
     assert!(first_load.is_none_or(|l| l.is_empty()));
     // The nearest replica may answer after the majority has; its load then comes with a later
     // attempt.
     let mut last_load = None;
     for _ in 0..100 {
-        last_load = group.quorum.begin(&ask(2, 3)).await.unwrap().load;
+        last_load = group.quorum.begin(&params(2, 3)).await.unwrap().load;
         if last_load.as_ref().is_some_and(|l| !l.is_empty()) {
             break;
         }
