--- a/crates/gradedyke-turns/src/quorum/gathered.rs
+++ b/crates/gradedyke-turns/src/quorum/gathered.rs
@@ -26,7 +26,7 @@
     not_executed: usize,
     /// Active members that acknowledged.
     pub(super) answered: usize,
-    /// Members that acknowledged and so have the record on disk.
+    /// Members that acknowledged and so have the request's record, if any, on disk.
     stored: usize,
     /// All known attempts of the program.
     attempts: HashMap<Id, Attempt>,
--- a/crates/gradedyke-turns/tests/quorum/arrivals.rs
+++ b/crates/gradedyke-turns/tests/quorum/arrivals.rs
@@ -153,7 +153,7 @@
     let mut begins: FuturesUnordered<_> = (0..count)
         .map(|n| desk.handle(begin(n), Instant::now()))
         .collect();
-    // Polling the first result submits all requests before any reservation is written.
+    // All requests are submitted at once.
     let first = begins.next().await.unwrap();
     let settled = message::encode(&Request::Keep {
         usage: None,
