--- a/crates/gradedyke-gateway/src/demand.rs
+++ b/crates/gradedyke-gateway/src/demand.rs
@@ -1,4 +1,4 @@
-//! How many requests a program needs, learned from those that were let through.
+//! Estimates how many requests a program will make, from recently admitted requests.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -7,58 +7,62 @@
 use gradedyke_turns::decay::Count;
 use tokio::time::Instant;
 
-/// Time in which what was seen counts half: several times what a program takes, and
-/// short enough to follow work that changes with the hour.
-const HALF: Duration = Duration::from_secs(20);
-/// Programs that must have been seen before a number is told. An entry sees one or two
-/// a second.
-const SEEN: f64 = 4.0;
+/// Half-life of the counts: several times the duration of a program, and short enough to
+/// follow changes of the workload.
+const HALF_LIFE: Duration = Duration::from_secs(20);
+/// Lowest count of programs and of turns from which an estimate is made.
+const MIN_COUNT: f64 = 4.0;
 
 #[derive(Debug, Default)]
-struct Route {
-    begun: Count,
+struct RouteCounts {
+    /// Programs that started.
+    started: Count,
     turns: Count,
 }
 
 #[derive(Debug, Default)]
-struct Seen {
-    routes: HashMap<String, Route>,
+struct Counts {
+    routes: HashMap<String, RouteCounts>,
+    /// Turns of all routes.
     turns: Count,
+    /// Tool calls of all programs.
     calls: Count,
 }
 
-/// What was seen.
+/// Recent turns and tool calls, from which the requests of a program are estimated.
 #[derive(Debug, Default)]
-pub struct Demand(Mutex<Seen>);
+pub struct Demand(Mutex<Counts>);
 
 impl Demand {
-    fn lock(&self) -> MutexGuard<'_, Seen> {
+    fn lock(&self) -> MutexGuard<'_, Counts> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes a turn; whether it `begins` a program.
+    /// Records a turn. `begins` says whether it is the first of its program.
     pub fn turn(&self, route: &str, begins: bool, now: Instant) {
-        let mut seen = self.lock();
-        seen.turns.add(HALF, now);
-        if !seen.routes.contains_key(route) {
-            seen.routes.insert(route.to_owned(), Route::default());
+        let mut counts = self.lock();
+        counts.turns.add(HALF_LIFE, now);
+        if !counts.routes.contains_key(route) {
+            counts
+                .routes
+                .insert(route.to_owned(), RouteCounts::default());
         }
-        let Some(route) = seen.routes.get_mut(route) else {
+        let Some(route) = counts.routes.get_mut(route) else {
             return;
         };
-        route.turns.add(HALF, now);
+        route.turns.add(HALF_LIFE, now);
         if begins {
-            route.begun.add(HALF, now);
+            route.started.add(HALF_LIFE, now);
         }
     }
 
-    /// Notes a call of a program's tool.
+    /// Records a tool call of a program.
     pub fn call(&self, now: Instant) {
-        self.lock().calls.add(HALF, now);
+        self.lock().calls.add(HALF_LIFE, now);
     }
 
-    /// Requests that a program of a route is expected to need, its calls too; 1 where too
-    /// little has been seen.
+    /// Expected number of requests of a program on a route, including its tool calls; 1 if
+    /// there are too few observations.
     ///
     /// ```
     /// use gradedyke_gateway::demand::Demand;
@@ -74,17 +78,17 @@
     /// ```
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     pub fn requests(&self, route: &str, now: Instant) -> u32 {
-        let seen = self.lock();
-        let Some(route) = seen.routes.get(route) else {
+        let counts = self.lock();
+        let Some(route) = counts.routes.get(route) else {
             return 1;
         };
-        let begun = route.begun.at(HALF, now);
-        let turns = seen.turns.at(HALF, now);
-        if begun < SEEN || turns < SEEN {
+        let started = route.started.at(HALF_LIFE, now);
+        let turns = counts.turns.at(HALF_LIFE, now);
+        if started < MIN_COUNT || turns < MIN_COUNT {
             return 1;
         }
-        let calls = seen.calls.at(HALF, now) / turns;
-        let requests = route.turns.at(HALF, now) / begun * (1.0 + calls);
+        let calls_per_turn = counts.calls.at(HALF_LIFE, now) / turns;
+        let requests = route.turns.at(HALF_LIFE, now) / started * (1.0 + calls_per_turn);
         requests.round().clamp(1.0, f64::from(u32::MAX)) as u32
     }
 }
--- a/crates/gradedyke-gateway/src/estimate.rs
+++ b/crates/gradedyke-gateway/src/estimate.rs
@@ -1,123 +1,122 @@
-//! Times that are learned from answers: of a service, and how much slower one of
-//! its servers is.
+//! Estimates of response times, learned from observed responses: for a service, and for
+//! one of its servers relative to the service.
 //!
-//! Each estimate begins with a stated value that counts as a few observations and
-//! follows what is observed from there; older observations fade. So a deployment
-//! with other engines or services is learned within some tens of answers, and
-//! nothing here has to be set.
+//! Each estimate starts at a prior, which counts as a few observations. The weight of
+//! observations decays exponentially, so the estimate adapts within some tens of
+//! responses and needs no configuration.
 
 use std::ops::Add;
 
-/// Share of its weight that an observation keeps when another comes: a hundred
-/// count, which an entry sees within seconds under load.
-const FADE: f64 = 0.99;
+/// Factor by which the weight of earlier observations shrinks with each new one. The
+/// total weight converges to 100.
+const DECAY_FACTOR: f64 = 0.99;
 
-/// A straight line through pairs of numbers, by least squares. While the pairs say
-/// little of its slope, that stays near the first one.
+/// A least-squares line through weighted points. The slope stays near its prior until the
+/// `x` values of the points are spread widely enough to determine it.
 #[derive(Clone, Copy, Debug)]
-pub struct Line {
+pub struct LinearFit {
     weight: f64,
-    x: f64,
-    y: f64,
-    xx: f64,
-    xy: f64,
-    /// The first slope.
-    prior: f64,
-    /// The spread of `x` that has the pairs count as much as the first slope.
-    trust: f64,
+    sum_x: f64,
+    sum_y: f64,
+    sum_xx: f64,
+    sum_xy: f64,
+    prior_slope: f64,
+    /// Weight of the prior slope, as a sum of squared deviations of `x`.
+    prior_spread: f64,
 }
 
-impl Line {
-    /// A line that begins as `intercept + slope * x`, which counts as `weight`
-    /// pairs spread evenly at both ends of `0..=span`.
+impl LinearFit {
+    /// Creates a fit with the prior `intercept + slope * x`. The prior slope counts as
+    /// `weight` points, half of them at each end of `0..=span`.
     ///
     /// ```
-    /// use gradedyke_gateway::estimate::Line;
+    /// use gradedyke_gateway::estimate::LinearFit;
     ///
-    /// let mut line = Line::new(10.0, 0.5, 100.0, 10.0);
-    /// assert!((line.at(100.0) - 60.0).abs() < 1e-6);
+    /// let mut fit = LinearFit::new(10.0, 0.5, 100.0, 10.0);
+    /// assert!((fit.predict(100.0) - 60.0).abs() < 1e-6);
     /// for x in 0..1_000 {
     ///     let x = f64::from(x % 100);
-    ///     line.add(x, 20.0 + x);
+    ///     fit.add(x, 20.0 + x);
     /// }
-    /// assert!((line.slope() - 1.0).abs() < 0.2);
-    /// // Pairs at one place say nothing of the slope.
-    /// let mut line = Line::new(10.0, 0.5, 100.0, 10.0);
+    /// assert!((fit.slope() - 1.0).abs() < 0.2);
+    /// // Points with equal `x` do not change the slope.
+    /// let mut fit = LinearFit::new(10.0, 0.5, 100.0, 10.0);
     /// for _ in 0..1_000 {
-    ///     line.add(4.0, 50.0);
+    ///     fit.add(4.0, 50.0);
     /// }
-    /// assert!((line.slope() - 0.5).abs() < 0.01);
-    /// assert!((line.at(4.0) - 50.0).abs() < 0.1);
+    /// assert!((fit.slope() - 0.5).abs() < 0.01);
+    /// assert!((fit.predict(4.0) - 50.0).abs() < 0.1);
     /// ```
     pub fn new(intercept: f64, slope: f64, span: f64, weight: f64) -> Self {
-        let mut line = Self {
+        let mut fit = Self {
             weight: 0.0,
-            x: 0.0,
-            y: 0.0,
-            xx: 0.0,
-            xy: 0.0,
-            prior: slope,
-            trust: weight * span * span / 4.0,
+            sum_x: 0.0,
+            sum_y: 0.0,
+            sum_xx: 0.0,
+            sum_xy: 0.0,
+            prior_slope: slope,
+            prior_spread: weight * span * span / 4.0,
         };
-        line.put(0.0, intercept, weight);
-        line
+        fit.add_weighted(0.0, intercept, weight);
+        fit
     }
 
-    fn put(&mut self, x: f64, y: f64, weight: f64) {
+    fn add_weighted(&mut self, x: f64, y: f64, weight: f64) {
         self.weight += weight;
-        self.x += weight * x;
-        self.y += weight * y;
-        self.xx += weight * x * x;
-        self.xy += weight * x * y;
+        self.sum_x += weight * x;
+        self.sum_y += weight * y;
+        self.sum_xx += weight * x * x;
+        self.sum_xy += weight * x * y;
     }
 
-    /// Takes a pair in.
+    /// Adds a point.
     pub fn add(&mut self, x: f64, y: f64) {
         for sum in [
             &mut self.weight,
-            &mut self.x,
-            &mut self.y,
-            &mut self.xx,
-            &mut self.xy,
+            &mut self.sum_x,
+            &mut self.sum_y,
+            &mut self.sum_xx,
+            &mut self.sum_xy,
         ] {
-            *sum *= FADE;
+            *sum *= DECAY_FACTOR;
         }
-        self.put(x, y, 1.0);
+        self.add_weighted(x, y, 1.0);
     }
 
-    /// How much `y` rises with `x`; never less than nothing.
+    /// The slope of the line, at least 0.
     pub fn slope(&self) -> f64 {
-        let spread = self.xx - self.x * self.x / self.weight;
-        let common = self.xy - self.x * self.y / self.weight;
-        let slope = (common + self.trust * self.prior) / (spread + self.trust);
+        let spread_x = self.sum_xx - self.sum_x * self.sum_x / self.weight;
+        let spread_xy = self.sum_xy - self.sum_x * self.sum_y / self.weight;
+        let slope =
+            (spread_xy + self.prior_spread * self.prior_slope) / (spread_x + self.prior_spread);
         slope.max(0.0)
     }
 
-    /// What is expected at `x`.
-    pub fn at(&self, x: f64) -> f64 {
-        let mean = self.x / self.weight;
-        self.y / self.weight + self.slope() * (x - mean)
+    /// The value of the line at `x`.
+    pub fn predict(&self, x: f64) -> f64 {
+        let mean_x = self.sum_x / self.weight;
+        self.sum_y / self.weight + self.slope() * (x - mean_x)
     }
 }
 
-/// An average over late observations.
+/// An exponentially decaying average.
 #[derive(Clone, Copy, Debug)]
-pub struct Mean {
+pub struct DecayingMean {
     weight: f64,
     sum: f64,
 }
 
-impl Mean {
-    /// An average that begins as `value` and counts as `weight` observations.
+impl DecayingMean {
+    /// Creates an average that starts at `value`, which counts as `weight` observations.
     ///
     /// ```
-    /// use gradedyke_gateway::estimate::Mean;
+    /// use gradedyke_gateway::estimate::DecayingMean;
     ///
-    /// let mut mean = Mean::new(100.0, 4.0);
+    /// let mut mean = DecayingMean::new(100.0, 4.0);
     /// for _ in 0..1_000 {
     ///     mean.add(20.0);
     /// }
-    /// assert!((mean.get() - 20.0).abs() < 0.1);
+    /// assert!((mean.value() - 20.0).abs() < 0.1);
     /// ```
     pub fn new(value: f64, weight: f64) -> Self {
         Self {
@@ -126,212 +125,225 @@
         }
     }
 
-    /// Takes an observation in.
+    /// Adds an observation.
     pub fn add(&mut self, value: f64) {
-        self.weight = self.weight * FADE + 1.0;
-        self.sum = self.sum * FADE + value;
+        self.weight = self.weight * DECAY_FACTOR + 1.0;
+        self.sum = self.sum * DECAY_FACTOR + value;
     }
 
-    /// The average.
-    pub fn get(&self) -> f64 {
+    /// The current average.
+    pub fn value(&self) -> f64 {
         self.sum / self.weight
     }
 }
 
-/// How long answers of a server took relative to what was expected, added up.
+/// Sum of the response times of a server, each divided by the expected time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Pace {
-    /// Answers.
-    pub answers: u32,
-    /// Their times relative to what was expected, in hundredths.
+pub struct LatencyRatioSum {
+    /// Number of responses.
+    pub responses: u32,
+    /// Sum of the ratios of observed to expected time, in hundredths.
     pub hundredths: u32,
 }
 
-impl Add for Pace {
+impl Add for LatencyRatioSum {
     type Output = Self;
 
     fn add(self, other: Self) -> Self {
         Self {
-            answers: self.answers + other.answers,
+            responses: self.responses + other.responses,
             hundredths: self.hundredths + other.hundredths,
         }
     }
 }
 
-/// Answers as expected that count besides those that were seen, so that a single one
-/// does not make a server slow.
-const AS_EXPECTED: f64 = 8.0;
-/// The most that one answer counts, relative to what was expected.
-const SLOWEST: f64 = 20.0;
+/// Number of responses with a ratio of 1 that are added to the observed ones, so that a
+/// single slow response has little effect.
+const PRIOR_RESPONSES: f64 = 8.0;
+/// Upper limit on the ratio of a single response.
+const MAX_LATENCY_RATIO: f64 = 20.0;
 
-impl Pace {
-    /// One answer that took `ratio` times as long as expected.
-    pub fn of(ratio: f64) -> Self {
+impl LatencyRatioSum {
+    /// A single response that took `ratio` times as long as expected.
+    pub fn from_ratio(ratio: f64) -> Self {
         Self {
-            answers: 1,
-            hundredths: (ratio.clamp(0.0, SLOWEST) * 100.0) as u32,
+            responses: 1,
+            hundredths: (ratio.clamp(0.0, MAX_LATENCY_RATIO) * 100.0) as u32,
         }
     }
 
-    /// How slow the server is; 1 is as expected.
+    /// The average ratio of observed to expected time, shrunk towards 1.
     ///
     /// ```
-    /// use gradedyke_gateway::estimate::Pace;
+    /// use gradedyke_gateway::estimate::LatencyRatioSum;
     ///
-    /// let pace = Pace::of(5.0) + Pace::of(5.0);
-    /// assert_eq!(pace.slowness(), 1.8);
-    /// assert_eq!(Pace::default().slowness(), 1.0);
+    /// let sum = LatencyRatioSum::from_ratio(5.0) + LatencyRatioSum::from_ratio(5.0);
+    /// assert_eq!(sum.slowness(), 1.8);
+    /// assert_eq!(LatencyRatioSum::default().slowness(), 1.0);
     /// ```
     pub fn slowness(self) -> f64 {
         let sum = f64::from(self.hundredths) / 100.0;
-        (sum + AS_EXPECTED) / (f64::from(self.answers) + AS_EXPECTED)
+        (sum + PRIOR_RESPONSES) / (f64::from(self.responses) + PRIOR_RESPONSES)
     }
 }
 
-/// Usual times at a service, in milliseconds, as a policy weighs them.
+/// Expected times at a service, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Times {
-    /// An answer, without waiting and without the reading of its prompt.
+    /// Total time of a response, without queueing and without reading the prompt.
     pub answer_ms: f64,
-    /// To the first event of an answer; 0 at a plain service.
+    /// Time to the first event, without queueing and without reading the prompt; 0 for a
+    /// plain service.
     pub first_ms: f64,
-    /// From one event to the next, with nothing beside it; 0 at a plain service.
+    /// Time between events if no other requests run there; 0 for a plain service.
     pub gap_ms: f64,
-    /// What each request that runs beside it adds to that.
-    pub gap_beside_ms: f64,
-    /// Events of an answer after its first.
+    /// Increase of the time between events with each concurrent request.
+    pub gap_per_concurrent_ms: f64,
+    /// Number of events of a response after the first.
     pub events: f64,
-    /// Reading a token of a prompt.
+    /// Time to read one token of a prompt.
     pub read_ms: f64,
 }
 
 impl Times {
-    /// From one event to the next, with `beside` others there, in milliseconds.
-    pub fn gap_ms(&self, beside: u32) -> f64 {
-        self.gap_ms + f64::from(beside) * self.gap_beside_ms
+    /// Time between events with `concurrent` other requests running, in milliseconds.
+    pub fn gap_ms(&self, concurrent: u32) -> f64 {
+        self.gap_ms + f64::from(concurrent) * self.gap_per_concurrent_ms
     }
 
-    /// An answer with `beside` others there, in milliseconds.
-    pub fn answer_ms(&self, beside: u32) -> f64 {
-        self.answer_ms + self.events * f64::from(beside) * self.gap_beside_ms
+    /// Total time of a response with `concurrent` other requests running, in milliseconds.
+    pub fn answer_ms(&self, concurrent: u32) -> f64 {
+        self.answer_ms + self.events * f64::from(concurrent) * self.gap_per_concurrent_ms
     }
 }
 
-/// What was observed of an answer of a model engine.
+/// Observed times of a streamed response of a model engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Stream {
-    /// Other requests that were in progress there when it was sent.
+    /// Number of other requests in flight there when it was sent.
     pub beside: u32,
-    /// Requests that the engine runs at a time.
+    /// Number of requests that the engine runs concurrently.
     pub slots: u32,
-    /// Tokens of its prompt that had to be read.
+    /// Number of prompt tokens that were not cached.
     pub unread: u64,
     /// Time to the first event, in milliseconds.
     pub first_ms: f64,
     /// Time from the first event to the last, in milliseconds.
     pub rest_ms: f64,
-    /// Events after the first.
+    /// Number of events after the first.
     pub events: u32,
 }
 
-/// Reading a token at first: the slower of the engines met so far reads 38 in a
-/// millisecond.
-const READ_MS: f64 = 1.0 / 38.0;
-/// Time to the first event with nothing to read, at first: the way, and a step.
-const FIRST_MS: f64 = 15.0;
-/// Time between two events at first, alone: eight steps of 4 ms.
-const GAP_MS: f64 = 32.0;
-/// What each request beside it adds to that at first: its share of the others' reading
-/// is learned, and a little is right for engines that are hardly used.
-const GAP_BESIDE_MS: f64 = 0.3;
-/// Events of an answer at first.
-const EVENTS: f64 = 8.0;
-/// Time of a call at a plain service at first: those met so far take 26 to 312 ms.
-const CALL_MS: f64 = 200.0;
-/// Least time that is expected of anything.
-const LEAST_MS: f64 = 0.1;
-/// Observations for which a first value counts.
-const PRIOR: f64 = 10.0;
-/// Prompt tokens over which the first value of reading holds.
-const READ_SPAN: f64 = 2_000.0;
-/// Requests side by side over which the first value of gaps holds.
-const GAP_SPAN: f64 = 16.0;
+/// Prior for the time to read one prompt token.
+const PRIOR_READ_MS_PER_TOKEN: f64 = 1.0 / 38.0;
+/// Prior for the time to the first event of a fully cached prompt: the network round trip
+/// and one generation step.
+const PRIOR_FIRST_EVENT_MS: f64 = 15.0;
+/// Prior for the time between events without concurrent requests: eight generation steps
+/// of 4 ms.
+const PRIOR_GAP_MS: f64 = 32.0;
+/// Prior for the increase of the time between events with each concurrent request. Low,
+/// as for a lightly loaded engine.
+const PRIOR_GAP_PER_CONCURRENT_MS: f64 = 0.3;
+/// Prior for the number of events after the first.
+const PRIOR_EVENTS_PER_RESPONSE: f64 = 8.0;
+/// Prior for the time of a call to a plain service.
+const PRIOR_CALL_MS: f64 = 200.0;
+/// Lower limit on expected times, so that ratios stay finite.
+const MIN_EXPECTED_MS: f64 = 0.1;
+/// Number of observations that a prior counts as.
+const PRIOR_WEIGHT: f64 = 10.0;
+/// Range of prompt tokens that sets the weight of the prior reading time.
+const READ_SPAN_TOKENS: f64 = 2_000.0;
+/// Range of concurrent requests that sets the weight of the prior for gaps.
+const GAP_SPAN_REQUESTS: f64 = 16.0;
 
-/// What was learned of a service.
+/// Learned times of a service.
 #[derive(Clone, Copy, Debug)]
-pub struct Service {
-    /// Time to the first event over the tokens that had to be read.
-    read: Line,
-    /// Time between events over the requests beside it.
-    gap: Line,
-    events: Mean,
-    /// Time to the head of a plain service's answer.
-    call: Mean,
+pub struct ServiceEstimate {
+    /// Time to the first event as a function of the tokens to read, in milliseconds.
+    first_event: LinearFit,
+    /// Time between events as a function of the concurrent requests, in milliseconds.
+    gap: LinearFit,
+    /// Number of events after the first.
+    events: DecayingMean,
+    /// Time to the response head of a plain service, in milliseconds.
+    call: DecayingMean,
 }
 
-impl Default for Service {
+impl Default for ServiceEstimate {
     fn default() -> Self {
         Self {
-            read: Line::new(FIRST_MS, READ_MS, READ_SPAN, PRIOR),
-            gap: Line::new(GAP_MS, GAP_BESIDE_MS, GAP_SPAN, PRIOR),
-            events: Mean::new(EVENTS, PRIOR),
-            call: Mean::new(CALL_MS, PRIOR),
+            first_event: LinearFit::new(
+                PRIOR_FIRST_EVENT_MS,
+                PRIOR_READ_MS_PER_TOKEN,
+                READ_SPAN_TOKENS,
+                PRIOR_WEIGHT,
+            ),
+            gap: LinearFit::new(
+                PRIOR_GAP_MS,
+                PRIOR_GAP_PER_CONCURRENT_MS,
+                GAP_SPAN_REQUESTS,
+                PRIOR_WEIGHT,
+            ),
+            events: DecayingMean::new(PRIOR_EVENTS_PER_RESPONSE, PRIOR_WEIGHT),
+            call: DecayingMean::new(PRIOR_CALL_MS, PRIOR_WEIGHT),
         }
     }
 }
 
-impl Service {
-    /// How long the time between two events of an engine is relative to what is
-    /// expected with `beside` others there.
-    pub fn ratio(&self, beside: u32, slots: u32, gap_ms: f64) -> f64 {
-        let expected = self.gap.at(f64::from(beside.min(slots)));
-        gap_ms / expected.max(LEAST_MS)
+impl ServiceEstimate {
+    /// Ratio of an observed time between events to the time expected with `concurrent`
+    /// other requests in flight.
+    pub fn gap_ratio(&self, concurrent: u32, slots: u32, gap_ms: f64) -> f64 {
+        let expected_ms = self.gap.predict(f64::from(concurrent.min(slots)));
+        gap_ms / expected_ms.max(MIN_EXPECTED_MS)
     }
 
-    /// Takes in an answer of an engine.
-    pub fn stream(&mut self, stream: &Stream) {
-        // What waited for a place says nothing of reading.
+    /// Records a streamed response of an engine.
+    pub fn record_stream(&mut self, stream: &Stream) {
+        // With more requests in flight, the time may include waiting for a slot.
         if stream.beside < stream.slots / 2 {
-            self.read.add(stream.unread as f64, stream.first_ms);
+            self.first_event.add(stream.unread as f64, stream.first_ms);
         }
         self.events.add(f64::from(stream.events));
         if stream.events > 0 {
-            let beside = f64::from(stream.beside.min(stream.slots));
-            let gap = stream.rest_ms / f64::from(stream.events);
-            self.gap.add(beside, gap);
+            let concurrent = f64::from(stream.beside.min(stream.slots));
+            let gap_ms = stream.rest_ms / f64::from(stream.events);
+            self.gap.add(concurrent, gap_ms);
         }
     }
 
-    /// Takes in an answer of a plain service. Returns how long it took relative to
-    /// what was expected.
-    pub fn call(&mut self, ms: f64) -> f64 {
-        let expected = self.call.get();
-        self.call.add(ms);
-        ms / expected.max(LEAST_MS)
+    /// Records a response of a plain service, and returns the ratio of its time to the
+    /// previously expected time.
+    pub fn record_call(&mut self, elapsed_ms: f64) -> f64 {
+        let expected_ms = self.call.value();
+        self.call.add(elapsed_ms);
+        elapsed_ms / expected_ms.max(MIN_EXPECTED_MS)
     }
 
-    /// Usual times at the service.
+    /// Expected times at the service. `engine` says whether it runs models.
     pub fn times(&self, engine: bool) -> Times {
         if !engine {
             return Times {
-                answer_ms: self.call.get(),
+                answer_ms: self.call.value(),
                 first_ms: 0.0,
                 gap_ms: 0.0,
-                gap_beside_ms: 0.0,
+                gap_per_concurrent_ms: 0.0,
                 events: 0.0,
                 read_ms: 0.0,
             };
         }
-        let events = self.events.get();
-        let first_ms = self.read.at(0.0).max(0.0);
-        let gap_ms = self.gap.at(0.0).max(0.0);
+        let events = self.events.value();
+        let first_ms = self.first_event.predict(0.0).max(0.0);
+        let gap_ms = self.gap.predict(0.0).max(0.0);
         Times {
             answer_ms: first_ms + events * gap_ms,
             first_ms,
             gap_ms,
-            gap_beside_ms: self.gap.slope(),
+            gap_per_concurrent_ms: self.gap.slope(),
             events,
-            read_ms: self.read.slope(),
+            read_ms: self.first_event.slope(),
         }
     }
 }
--- a/crates/gradedyke-gateway/src/fleet/location.rs
+++ b/crates/gradedyke-gateway/src/fleet/location.rs
@@ -1,13 +1,13 @@
-//! Where an entry and the backend servers stand.
+//! Data centres and regions.
 
 use std::collections::HashMap;
 
-/// An entry's data centre, and the region of each data centre.
+/// The data centre of this instance and the region of each data centre.
 #[derive(Clone, Debug, Default)]
 pub struct Location {
-    /// The entry's data centre.
+    /// The data centre of this instance.
     pub data_centre: String,
-    /// The region of each data centre, by its name.
+    /// Maps the name of a data centre to its region.
     pub regions: HashMap<String, String>,
 }
 
@@ -21,8 +21,8 @@
 }
 
 impl Location {
-    /// Whether a data centre stands in one of the `allowed` regions. One whose region is not
-    /// known stands in none.
+    /// Whether a data centre is in one of the `allowed` regions; `None` allows all. A data
+    /// centre whose region is unknown is in none.
     ///
     /// ```
     /// use gradedyke_gateway::fleet::Location;
--- a/crates/gradedyke-gateway/src/fleet/mod.rs
+++ b/crates/gradedyke-gateway/src/fleet/mod.rs
@@ -1,18 +1,18 @@
-//! The backend servers, with what is known and learned of them.
+//! Tracks the backend servers and chooses one for each request.
 //!
-//! The directory tells which there are; it may be away, and then what was known
-//! stays in use. A server whose item vanished while the directory was away is
-//! kept as a last resort for the time in which living servers come back; one
-//! whose item vanished in calm times has gone.
+//! The directory in the platform's key-value service lists the servers. While it is
+//! unavailable, the last known servers stay in use. A server whose record was deleted
+//! remains a fallback for a short time, or, after an outage of the directory, until
+//! running servers have had time to renew their records.
 //!
-//! `registry` holds the servers there are, `known` what is believed of one, `location`
-//! where they stand. `sample` says which of very many are weighed for a request, and
-//! [`slow_start`] which of those that warm up may run it.
+//! `registry` indexes the servers, `server_state` holds the state of one, and `location`
+//! maps data centres to regions. `sample` selects the servers to compare if there are
+//! very many, and [`slow_start`] limits the rate of those that are warming up.
 
-mod known;
 mod location;
 mod registry;
 mod sample;
+mod server_state;
 pub mod slow_start;
 
 use std::net::SocketAddr;
@@ -27,50 +27,50 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::dialect::Dialect;
-use crate::estimate::{self, Pace, Stream, Times};
+use crate::estimate::{self, LatencyRatioSum, Stream, Times};
 use crate::health::Fault;
 use crate::link::Pool;
 use crate::mechanism::{Enabled, Mechanism};
 use crate::placement::{self, Candidate, Policy};
 use crate::prefix::Part;
-use known::Known;
 pub use location::Location;
-use registry::Servers;
+use registry::Registry;
+use server_state::ServerState;
 
 new_key_type! {
-    /// A backend server in the fleet.
+    /// Identifies a process of a backend server within a [`Fleet`].
     pub struct Key;
 }
 
-/// How long what other entries told counts: several requests' time.
-const TOLD: Duration = Duration::from_millis(1_500);
+/// How long the load reported by other instances is used.
+const PEER_LOAD_TTL: Duration = Duration::from_millis(1_500);
 
-/// A backend server as the directory lists it.
+/// The directory record of a backend server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Server {
-    /// Its identity. It may start again under it.
+    /// Its ID, which it keeps when it restarts.
     pub id: Id,
-    /// When its process started, in Unix milliseconds, if the directory says so. It tells
-    /// processes of one server apart, and nothing else: clocks may be set back.
+    /// When its process started, in Unix milliseconds, if recorded. Only distinguishes
+    /// processes of the same server; clocks may be set back, so it defines no order.
     pub started_ms: Option<u64>,
     /// The service it belongs to.
     pub service: String,
-    /// Where it listens.
+    /// The address it listens on.
     pub address: SocketAddr,
     /// Its data centre.
     pub data_centre: String,
-    /// Requests it runs at a time.
+    /// Number of requests it runs concurrently.
     pub slots: u32,
-    /// It finishes what it has and takes nothing new.
+    /// Whether it is draining: it completes its requests and accepts no new ones.
     pub leaving: bool,
-    /// For how much longer it warms up after its entry was written; it bears few requests
-    /// until then.
+    /// Remaining warm-up time when the record was written. Until it has passed, the server
+    /// handles only a low request rate.
     pub warm_up: Duration,
 }
 
 impl Server {
-    /// The name of its process. Whatever is learned of a server is learned of that: one
-    /// that started again holds nothing of before.
+    /// Identifies its current process. State is kept for each process, because a restarted
+    /// server has lost its cache and its requests.
     ///
     /// ```
     /// use gradedyke_gateway::fleet::Server;
@@ -86,93 +86,93 @@
     ///     leaving: false,
     ///     warm_up: std::time::Duration::ZERO,
     /// };
-    /// assert_eq!(server(None).process().as_str(), "s");
-    /// assert_ne!(server(Some(1)).process(), server(Some(2)).process());
+    /// assert_eq!(server(None).process_id().as_str(), "s");
+    /// assert_ne!(server(Some(1)).process_id(), server(Some(2)).process_id());
     /// ```
-    pub fn process(&self) -> Id {
+    pub fn process_id(&self) -> Id {
         let started = self.started_ms.map(|ms| format!("{}/{ms}", self.id));
-        let process = started.as_deref().and_then(Id::parse);
-        process.unwrap_or_else(|| self.id.clone())
+        let process_id = started.as_deref().and_then(Id::parse);
+        process_id.unwrap_or_else(|| self.id.clone())
     }
 }
 
-/// What is asked of the fleet.
+/// The parameters for choosing a server.
 #[derive(Clone, Debug)]
 pub struct Question<'a> {
-    /// The service.
+    /// Name of the service.
     pub service: &'a str,
-    /// The request's name, which breaks ties.
+    /// The request ID. Its hash breaks ties and draws samples.
     pub request: &'a Id,
-    /// Servers that have had this request already.
+    /// Servers to which this request has been sent already; they are excluded.
     pub tried: &'a [Key],
-    /// The process of the server whose cache holds the conversation.
+    /// Process ID of the server whose cache holds the conversation.
     pub holder: Option<&'a Id>,
-    /// Tokens of the prompt, 0 for a plain service.
+    /// Number of tokens of the prompt; 0 for a plain service.
     pub prompt_tokens: u64,
-    /// Tokens of the prompt that the holder need not read.
+    /// Number of tokens of the prompt that the holder has cached.
     pub held_tokens: u64,
-    /// The parts of the prompt, as far as they are named.
+    /// The identified parts of the prompt; empty if there are none.
     pub parts: &'a [Part],
     /// Whether the service runs models.
     pub engine: bool,
-    /// Tokens that the memory of one of its servers holds; 0 if it has none.
+    /// Capacity of a server's prompt cache in tokens; 0 if it has none.
     pub room: u64,
-    /// Whether the request may be repeated.
+    /// Whether the request may be run more than once.
     pub repeatable: bool,
-    /// Requests a second that one of the service's servers bears while it warms up, from
-    /// all entries together; `None` where there is no such bound.
+    /// Limit on the request rate of a warming server, in requests per second over all
+    /// instances; `None` for no limit.
     pub warm_up_rate: Option<f64>,
     /// The regions in which the request may run; `None` for all.
     pub regions: Option<&'a [String]>,
-    /// The present time.
+    /// The current time.
     pub now: Instant,
 }
 
-/// A chosen server. The request counts as in progress until this is dropped.
+/// A chosen server. The request counts as in flight there until this is dropped.
 pub struct Choice {
     fleet: Arc<Fleet>,
-    /// Its key.
+    /// The key for reports to the [`Fleet`].
     pub key: Key,
-    /// Its identity.
+    /// The server's ID.
     pub id: Id,
-    /// The name of its process.
+    /// ID of the server's process.
     pub process: Id,
-    /// Cancelled when it is known that this process has gone.
+    /// Cancelled when the process is known to have been replaced.
     pub gone: CancellationToken,
-    /// Connections to it.
+    /// Connections to the server.
     pub pool: Arc<Pool>,
-    /// When it was chosen.
+    /// When the server was chosen.
     pub since: Instant,
-    /// What was known of it then.
+    /// The candidate as the policy saw it.
     pub view: Candidate,
 }
 
 impl Drop for Choice {
     fn drop(&mut self) {
-        if let Some(known) = self.fleet.lock().servers.get_mut(self.key) {
-            known.in_flight = known.in_flight.saturating_sub(1);
+        if let Some(state) = self.fleet.lock().servers.get_mut(self.key) {
+            state.in_flight = state.in_flight.saturating_sub(1);
         }
     }
 }
 
-/// The backend servers as this entry sees them.
+/// The backend servers as this instance sees them.
 pub struct Fleet {
     location: Location,
     policy: Arc<dyn Policy>,
     enabled: Enabled,
-    /// Tells this entry's reports from those of others.
-    boot: u64,
-    /// Where this entry passes requests of others on.
-    own: Option<SocketAddr>,
-    servers: Mutex<Servers>,
+    /// Random ID of this process in load reports.
+    report_id: u64,
+    /// Address at which this instance relays requests for others.
+    relay_address: Option<SocketAddr>,
+    registry: Mutex<Registry>,
 }
 
 impl Fleet {
-    /// An empty fleet as seen from a location, by the entry that passes
-    /// requests of others on at `own`.
+    /// Creates an empty fleet for an instance at `location`, which relays requests for
+    /// other instances at `relay_address`.
     pub fn new(
         location: impl Into<Location>,
-        own: Option<SocketAddr>,
+        relay_address: Option<SocketAddr>,
         policy: Arc<dyn Policy>,
         enabled: Enabled,
     ) -> Arc<Self> {
@@ -180,232 +180,244 @@
             location: location.into(),
             policy,
             enabled,
-            boot: rand::random(),
-            own,
-            servers: Mutex::default(),
+            report_id: rand::random(),
+            relay_address,
+            registry: Mutex::default(),
         })
     }
 
-    fn lock(&self) -> MutexGuard<'_, Servers> {
-        self.servers.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Registry> {
+        self.registry.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// How many servers are listed.
+    /// Number of servers that the directory lists.
     pub fn listed(&self) -> usize {
         self.lock().listed()
     }
 
-    /// Whether the directory has told of any server yet.
+    /// Whether any server is known.
     pub fn known(&self) -> bool {
         !self.lock().servers.is_empty()
     }
 
-    /// Takes in that a server is listed, which was learned then.
+    /// Inserts or updates a server whose record was read at `learned`.
     pub fn list(&self, server: Server, learned: Instant) {
-        self.lock().list(server, learned);
+        self.lock().upsert(server, learned);
     }
 
-    /// Takes in whether a data centre is evacuated. Nothing new is sent to the servers of
-    /// one that is; what they have in progress ends there.
-    pub fn evacuate(&self, data_centre: &str, evacuated: bool) {
-        self.lock().evacuate(data_centre, evacuated);
+    /// Sets whether a data centre is being evacuated. Its servers then get no new requests
+    /// but complete those in flight.
+    pub fn set_evacuated(&self, data_centre: &str, evacuated: bool) {
+        self.lock().set_evacuated(data_centre, evacuated);
     }
 
-    /// Whether a data centre is evacuated.
-    pub fn evacuated(&self, data_centre: &str) -> bool {
+    /// Whether a data centre is being evacuated.
+    pub fn is_evacuated(&self, data_centre: &str) -> bool {
         self.lock().evacuated.contains(data_centre)
     }
 
-    /// Takes in an item of the directory that changed, which was learned then.
+    /// Applies a directory change that was read at `learned`.
     pub fn apply(&self, item: &Item, learned: Instant, dialect: &dyn Dialect) {
         self.lock().apply(item, learned, dialect);
     }
 
-    /// Takes in items of the directory that changed, each with the time at which that was
-    /// learned: all of them before the next request is placed.
+    /// Applies directory changes, each with the time at which it was read, as one atomic
+    /// update.
     pub fn apply_all(&self, items: &[(Item, Instant)], dialect: &dyn Dialect) {
         self.lock().apply_all(items, dialect);
     }
 
-    /// Forgets servers that vanished long enough ago. The directory has answered
-    /// since `steady` without a break.
-    pub fn expire(&self, steady: Option<Instant>, now: Instant) {
-        let mut servers = self.lock();
-        let gone = servers.servers.values().filter(|k| k.gone(steady, now));
-        let gone: Vec<Id> = gone.map(|k| k.server.id.clone()).collect();
-        for id in gone {
-            servers.remove(&id);
+    /// Removes servers whose records were deleted and whose grace period has passed.
+    /// `available_since` is when the directory became available; `None` if it is not.
+    pub fn expire(&self, available_since: Option<Instant>, now: Instant) {
+        let mut registry = self.lock();
+        let expired = registry
+            .servers
+            .values()
+            .filter(|s| s.is_expired(available_since, now));
+        let expired: Vec<Id> = expired.map(|s| s.server.id.clone()).collect();
+        for id in expired {
+            registry.remove(&id);
         }
     }
 
-    /// Chooses a server and counts the request as in progress there.
+    /// Chooses a server and counts the request as in flight there.
     pub fn choose(self: &Arc<Self>, question: &Question<'_>) -> Option<Choice> {
-        let mut servers = self.lock();
-        if servers.told.is_some_and(|at| question.now - at > TOLD) {
-            servers.forget_others();
+        let mut registry = self.lock();
+        if registry
+            .peer_load_received
+            .is_some_and(|at| question.now - at > PEER_LOAD_TTL)
+        {
+            registry.clear_peer_load();
         }
-        let rests = self.enabled.has(Mechanism::Rests);
-        let keys = servers.able(question, &self.location, rests);
+        let use_backoff = self.enabled.has(Mechanism::Rests);
+        let keys = registry.eligible(question, &self.location, use_backoff);
         if question.warm_up_rate.is_some() {
-            servers.count(question, keys.is_empty());
+            registry.count_request(question, keys.is_empty());
         }
         let times = if self.enabled.has(Mechanism::LearnedTimes) {
-            servers.times(question.service, question.engine)
+            registry.times(question.service, question.engine)
         } else {
-            estimate::Service::default().times(question.engine)
+            estimate::ServiceEstimate::default().times(question.engine)
         };
         let candidates: Vec<Candidate> = keys
             .iter()
-            .map(|key| self.candidate(&servers.servers[*key], question, times))
+            .map(|key| self.candidate(&registry.servers[*key], question, times))
             .collect();
-        let place = self.policy.choose(&candidates)?;
-        let (key, view) = (keys[place], candidates[place]);
-        let known = servers.servers.get_mut(key)?;
-        known.in_flight += 1;
-        let room = known.own_share(question.now) * question.room as f64;
+        let index = self.policy.choose(&candidates)?;
+        let (key, view) = (keys[index], candidates[index]);
+        let state = registry.servers.get_mut(key)?;
+        state.in_flight += 1;
+        let capacity = state.own_share(question.now) * question.room as f64;
         if self.enabled.has(Mechanism::Prefixes) {
-            known.cache.keep(question.parts, 0, room as u64);
+            state.cache.keep(question.parts, 0, capacity as u64);
         }
         let choice = Choice {
             fleet: self.clone(),
             key,
-            id: known.server.id.clone(),
-            process: known.process.clone(),
-            gone: known.ended.clone(),
-            pool: known.pool.clone(),
+            id: state.server.id.clone(),
+            process: state.process_id.clone(),
+            gone: state.process_ended.clone(),
+            pool: state.pool.clone(),
             since: question.now,
             view,
         };
-        servers.used(key);
+        registry.mark_used(key);
         Some(choice)
     }
 
-    /// In how long one of a service's servers is expected to have a place.
+    /// Expected time until one of a service's servers has a free slot.
     pub fn drain(&self, service: &str, engine: bool, now: Instant) -> Duration {
-        let servers = self.lock();
-        let times = servers.times(service, engine);
-        let keys = servers.by_service.get(service).into_iter().flatten();
-        let known = keys.map(|key| &servers.servers[*key]);
-        let open = known.filter(|k| !k.server.leaving && !k.resting(now));
-        let open = open.filter(|k| !servers.evacuated.contains(&k.server.data_centre));
-        let waits = open.map(|k| placement::wait_ms(k.taken(), k.server.slots, &times));
-        let least = waits.min_by(f64::total_cmp).unwrap_or_default();
-        Duration::from_secs_f64(least.max(0.0) / 1e3)
+        let registry = self.lock();
+        let times = registry.times(service, engine);
+        let keys = registry.by_service.get(service).into_iter().flatten();
+        let states = keys.map(|key| &registry.servers[*key]);
+        let usable = states.filter(|s| !s.server.leaving && !s.is_backing_off(now));
+        let usable = usable.filter(|s| !registry.evacuated.contains(&s.server.data_centre));
+        let waits = usable.map(|s| placement::wait_ms(s.total_in_flight(), s.server.slots, &times));
+        let min_wait_ms = waits.min_by(f64::total_cmp).unwrap_or_default();
+        Duration::from_secs_f64(min_wait_ms.max(0.0) / 1e3)
     }
 
-    /// What this entry has in progress, and where requests failed lately.
+    /// Returns this instance's requests in flight and recent failures, for other instances.
     pub fn report(&self, now: Instant) -> Report {
         Report {
-            entry: self.boot,
-            address: self.own,
+            entry: self.report_id,
+            address: self.relay_address,
             busy: self.lock().report(now),
         }
     }
 
-    /// Takes in what other entries have in progress.
+    /// Replaces the load reported by other instances.
     pub fn learn(&self, load: &[Busy], now: Instant) {
         if self.enabled.has(Mechanism::SharedLoad) {
-            self.lock().learn(load, now);
+            self.lock().set_peer_load(load, now);
         }
     }
 
-    fn candidate(&self, known: &Known, question: &Question<'_>, times: Times) -> Candidate {
-        let holds = question.holder == Some(&known.process);
-        let held = if holds { question.held_tokens } else { 0 };
-        let unread = question.prompt_tokens.saturating_sub(held);
+    fn candidate(&self, state: &ServerState, question: &Question<'_>, times: Times) -> Candidate {
+        let is_holder = question.holder == Some(&state.process_id);
+        let cached_tokens = if is_holder { question.held_tokens } else { 0 };
+        let unread = question.prompt_tokens.saturating_sub(cached_tokens);
         let unread = match question.parts {
             [] => unread,
-            parts => unread.min(known.cache.unread(parts)),
+            parts => unread.min(state.cache.unread(parts)),
         };
         Candidate {
-            in_flight: known.taken(),
-            slots: known.server.slots,
-            near: known.server.data_centre == self.location.data_centre,
+            in_flight: state.total_in_flight(),
+            slots: state.server.slots,
+            is_local: state.server.data_centre == self.location.data_centre,
             unread_tokens: unread,
-            engine: question.engine,
-            warm: known.pool.warm(question.repeatable, question.now),
+            is_engine: question.engine,
+            has_idle_connection: state.pool.warm(question.repeatable, question.now),
             times,
-            slowness: known.slowness(question.now),
+            slowness: state.slowness(question.now),
             repeatable: question.repeatable,
-            risk: known.risk(question.now),
-            draw: draw(question.request, &known.server.id),
+            failure_rate: state.failure_rate(question.now),
+            hash: request_hash(question.request, &state.server.id),
         }
     }
 
-    /// Takes in that a server answered, `time` after the request was sent. Without
-    /// a `time`, how long it takes is told by [`Fleet::streamed`].
+    /// Records that a server responded, `time` after the request was sent. `time` is
+    /// `None` for an engine, whose times are recorded by [`Fleet::streamed`].
     pub fn answered(&self, key: Key, time: Option<Duration>, now: Instant) {
-        let mut servers = self.lock();
-        let Some(known) = servers.servers.get_mut(key) else {
+        let mut registry = self.lock();
+        let Some(state) = registry.servers.get_mut(key) else {
             return;
         };
-        known.health.answered(now);
-        let service = known.server.service.clone();
-        servers.touch(key);
+        state.health.record_success(now);
+        let service = state.server.service.clone();
+        registry.mark_reportable(key);
         if let Some(time) = time {
-            let learned = servers.learned.entry(service).or_default();
-            let ratio = learned.call(time.as_secs_f64() * 1e3);
-            servers.servers[key].pace.add(Pace::of(ratio), now);
+            let estimate = registry.estimates.entry(service).or_default();
+            let ratio = estimate.record_call(time.as_secs_f64() * 1e3);
+            registry.servers[key]
+                .latency
+                .add(LatencyRatioSum::from_ratio(ratio), now);
         }
     }
 
-    /// Takes in that an engine answered a prompt of these parts with `tokens`.
+    /// Records the times of an engine's response of `tokens` tokens to a prompt of `parts`.
     pub fn streamed(&self, key: Key, parts: &[Part], tokens: u64, stream: &Stream) {
-        let mut servers = self.lock();
-        let Some(known) = servers.servers.get_mut(key) else {
+        let mut registry = self.lock();
+        let Some(state) = registry.servers.get_mut(key) else {
             return;
         };
         if self.enabled.has(Mechanism::Prefixes) {
-            known.cache.grow(parts, tokens);
+            state.cache.append_response(parts, tokens);
         }
-        let service = known.server.service.clone();
-        let learned = servers.learned.entry(service).or_default();
-        learned.stream(stream);
+        let service = state.server.service.clone();
+        let estimate = registry.estimates.entry(service).or_default();
+        estimate.record_stream(stream);
     }
 
-    /// Takes in the time between two events of an engine's answer that has begun, with
-    /// `beside` others there.
-    pub fn paced(&self, key: Key, beside: u32, gap: Duration, now: Instant) {
-        let mut servers = self.lock();
-        let Some(known) = servers.servers.get(key) else {
+    /// Records the time between two events of an engine's response, with `concurrent` other
+    /// requests in flight there.
+    pub fn paced(&self, key: Key, concurrent: u32, gap: Duration, now: Instant) {
+        let mut registry = self.lock();
+        let Some(state) = registry.servers.get(key) else {
             return;
         };
-        let learned = servers.learned.get(&known.server.service).copied();
+        let estimate = registry.estimates.get(&state.server.service).copied();
         let gap_ms = gap.as_secs_f64() * 1e3;
-        let learned = learned.unwrap_or_default();
-        let ratio = learned.ratio(beside, known.server.slots, gap_ms);
-        servers.servers[key].pace.add(Pace::of(ratio), now);
-        servers.touch(key);
+        let estimate = estimate.unwrap_or_default();
+        let ratio = estimate.gap_ratio(concurrent, state.server.slots, gap_ms);
+        registry.servers[key]
+            .latency
+            .add(LatencyRatioSum::from_ratio(ratio), now);
+        registry.mark_reportable(key);
     }
 
-    /// Takes in that a request failed by a server's fault.
+    /// Records a request that failed because of the server.
     pub fn failed(&self, key: Key, fault: Fault, now: Instant) {
-        let mut servers = self.lock();
-        let Some(known) = servers.servers.get_mut(key) else {
+        let mut registry = self.lock();
+        let Some(state) = registry.servers.get_mut(key) else {
             return;
         };
-        let rest = known.health.fault(fault, now);
-        if rest.is_some() {
-            known.pool.clear();
+        let backoff = state.health.record_failure(fault, now);
+        if backoff.is_some() {
+            state.pool.clear();
         }
-        tracing::info!(event = "server_failed", server = %known.server.id,
-            fault = fault.name(), rest_ms = rest.map(|r| r.as_millis()),
-            risk = known.risk(now));
-        servers.touch(key);
+        tracing::info!(event = "server_failed", server = %state.server.id,
+            fault = fault.name(), rest_ms = backoff.map(|b| b.as_millis()),
+            risk = state.failure_rate(now));
+        registry.mark_reportable(key);
     }
 
-    /// Takes in that another server has its address: it has gone.
+    /// Records that another server answered at a server's address, so the expected one no
+    /// longer exists.
     pub fn misdirected(&self, key: Key) {
-        let mut servers = self.lock();
-        if let Some(known) = servers.servers.get_mut(key) {
-            tracing::info!(event = "server_replaced", server = %known.server.id);
-            known.replaced = true;
-            known.pool.clear();
+        let mut registry = self.lock();
+        if let Some(state) = registry.servers.get_mut(key) {
+            tracing::info!(event = "server_replaced", server = %state.server.id);
+            state.is_replaced = true;
+            state.pool.clear();
         }
     }
 }
 
-fn draw(request: &Id, server: &Id) -> u64 {
+/// A hash of the request and server IDs, used to break ties and as a random number.
+fn request_hash(request: &Id, server: &Id) -> u64 {
     use std::hash::{DefaultHasher, Hash, Hasher};
     let mut hasher = DefaultHasher::new();
     request.hash(&mut hasher);
--- a/crates/gradedyke-gateway/src/fleet/registry.rs
+++ b/crates/gradedyke-gateway/src/fleet/registry.rs
@@ -1,4 +1,4 @@
-//! The servers there are, by identity and by service.
+//! Index of the backend servers by ID, process and service.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -9,160 +9,161 @@
 use slotmap::SlotMap;
 use tokio::time::Instant;
 
-use super::known::{Known, State};
-use super::sample::{self, Recent};
+use super::sample::{self, RecentServers};
+use super::server_state::{DirectoryState, ServerState};
 use super::slow_start;
-use super::{Key, Location, Question, Server, draw};
+use super::{Key, Location, Question, Server, request_hash};
 use crate::dialect::{Dialect, Invalid};
 use crate::estimate::{self, Times};
 use crate::health::Counts;
 use crate::link::Pool;
 use crate::window::Window;
 
-/// Items that change at a time up to which each has a line in the log. A listing of thousands
-/// of servers would keep a small instance busy with nothing else.
-const LOGGED: usize = 64;
-/// Unreadable entries of unknown servers that are remembered, for one log line each.
-const UNREAD: usize = 1_024;
+/// Largest number of directory changes in a batch that are logged one by one. Larger
+/// batches get a single log line, so that listing thousands of servers stays cheap.
+const MAX_LOGGED_CHANGES: usize = 64;
+/// Number of unreadable records of unknown servers that are remembered, so that each is
+/// logged once.
+const MAX_UNREADABLE_RECORDS: usize = 1_024;
 
-/// Says that an entry lacks the start that its server has always told.
-fn unsigned(id: &Id) -> Invalid {
+/// The error for a record without a start time whose server had one before.
+fn missing_start_time(id: &Id) -> Invalid {
     Invalid {
         what: id.to_string(),
-        cause: "it does not say when the server started, as before".to_owned(),
+        cause: "the record has no start time, but earlier records of the server had".to_owned(),
     }
 }
 
-/// The servers, and what was learned of their services.
+/// The servers and the estimates for their services.
 #[derive(Default)]
-pub(super) struct Servers {
-    pub(super) servers: SlotMap<Key, Known>,
+pub(super) struct Registry {
+    pub(super) servers: SlotMap<Key, ServerState>,
     pub(super) by_id: HashMap<Id, Key>,
     pub(super) by_service: HashMap<String, Vec<Key>>,
     by_process: HashMap<Id, Key>,
-    /// By the short name under which entries tell each other of one.
-    by_short: HashMap<load::Server, Key>,
-    /// The servers of each service that were used last.
-    recent: HashMap<String, Recent>,
-    /// Servers of which this entry may have something to tell others.
-    active: HashSet<Key>,
-    /// Servers of which others told something.
-    told_of: Vec<Key>,
-    /// What was learned of each service.
-    pub(super) learned: HashMap<String, estimate::Service>,
-    /// Entries that cannot be read and whose server was never known.
-    unread: HashSet<Id>,
-    /// When it was last told what other entries have in progress.
-    pub(super) told: Option<Instant>,
-    /// Requests of late of each service whose servers warm up, and how many of these found
-    /// no server.
-    asked: HashMap<String, Window<Counts>>,
-    /// Whether changes of servers are left out of the log.
-    quiet: bool,
-    /// The data centres that are evacuated.
+    /// By the hashed ID that load reports use.
+    by_load_id: HashMap<load::Server, Key>,
+    /// Recently used servers of each service.
+    recent: HashMap<String, RecentServers>,
+    /// Servers that may have to be included in this instance's load report.
+    reportable: HashSet<Key>,
+    /// Servers with load reported by other instances.
+    with_peer_load: Vec<Key>,
+    /// Learned times of each service.
+    pub(super) estimates: HashMap<String, estimate::ServiceEstimate>,
+    /// IDs of unknown servers whose records could not be parsed.
+    unreadable: HashSet<Id>,
+    /// When load from other instances was last received.
+    pub(super) peer_load_received: Option<Instant>,
+    /// Recent requests to each service that has a warm-up limit; those that found no
+    /// server count as failures.
+    recent_requests: HashMap<String, Window<Counts>>,
+    /// Whether changes of single servers are left out of the log.
+    is_bulk_change: bool,
+    /// Data centres that are being evacuated.
     pub(super) evacuated: HashSet<String>,
 }
 
-impl Servers {
-    /// Usual times at a service, as learned so far.
+impl Registry {
+    /// Expected times at a service.
     pub(super) fn times(&self, service: &str, engine: bool) -> Times {
-        let learned = self.learned.get(service).copied();
-        learned.unwrap_or_default().times(engine)
+        let estimate = self.estimates.get(service).copied();
+        estimate.unwrap_or_default().times(engine)
     }
 
-    /// Drops what other entries told: it is too old.
-    pub(super) fn forget_others(&mut self) {
-        self.told = None;
-        for key in std::mem::take(&mut self.told_of) {
-            if let Some(known) = self.servers.get_mut(key) {
-                known.others = Busy::default();
+    /// Discards the load reported by other instances.
+    pub(super) fn clear_peer_load(&mut self) {
+        self.peer_load_received = None;
+        for key in std::mem::take(&mut self.with_peer_load) {
+            if let Some(state) = self.servers.get_mut(key) {
+                state.peer_load = Busy::default();
             }
         }
     }
 
-    /// Takes in what other entries have in progress, in place of what they told before.
-    pub(super) fn learn(&mut self, load: &[Busy], now: Instant) {
-        self.forget_others();
-        self.told = Some(now);
+    /// Replaces the load reported by other instances.
+    pub(super) fn set_peer_load(&mut self, load: &[Busy], now: Instant) {
+        self.clear_peer_load();
+        self.peer_load_received = Some(now);
         for busy in load {
-            let key = self.by_short.get(&busy.server).copied();
-            let Some(known) = key.and_then(|key| self.servers.get_mut(key)) else {
+            let key = self.by_load_id.get(&busy.server).copied();
+            let Some(state) = key.and_then(|key| self.servers.get_mut(key)) else {
                 continue;
             };
-            known.others = *busy;
-            self.told_of.extend(key);
+            state.peer_load = *busy;
+            self.with_peer_load.extend(key);
         }
     }
 
-    /// What this entry has to tell of its servers.
+    /// The load that this instance reports to others.
     pub(super) fn report(&mut self, now: Instant) -> Vec<Busy> {
         let mut report = Vec::new();
         let servers = &self.servers;
-        self.active.retain(|key| {
-            let Some(known) = servers.get(*key) else {
+        self.reportable.retain(|key| {
+            let Some(state) = servers.get(*key) else {
                 return false;
             };
-            let busy = known.report(now);
-            let told = busy.requests + busy.failures + busy.unreached + busy.paced > 0;
-            if told {
+            let busy = state.report(now);
+            let is_reported = busy.requests + busy.failures + busy.unreached + busy.paced > 0;
+            if is_reported {
                 report.push(busy);
             }
-            told || busy.ended > 0
+            is_reported || busy.ended > 0
         });
         report
     }
 
-    /// Takes in that a server is used, or that something was learned of it.
-    pub(super) fn touch(&mut self, key: Key) {
-        self.active.insert(key);
+    /// Marks a server as one that may have to be included in load reports.
+    pub(super) fn mark_reportable(&mut self, key: Key) {
+        self.reportable.insert(key);
     }
 
-    /// Takes in that a request is sent to a server.
-    pub(super) fn used(&mut self, key: Key) {
-        self.touch(key);
-        let Some(known) = self.servers.get(key) else {
+    /// Marks a server as recently used.
+    pub(super) fn mark_used(&mut self, key: Key) {
+        self.mark_reportable(key);
+        let Some(state) = self.servers.get(key) else {
             return;
         };
-        if let Some(recent) = self.recent.get_mut(&known.server.service) {
+        if let Some(recent) = self.recent.get_mut(&state.server.service) {
             recent.add(key);
             return;
         }
-        let recent = self.recent.entry(known.server.service.clone());
+        let recent = self.recent.entry(state.server.service.clone());
         recent.or_default().add(key);
     }
 
-    fn insert(&mut self, known: Known) {
-        let (id, process) = (known.server.id.clone(), known.process.clone());
-        let service = known.server.service.clone();
-        let key = self.servers.insert(known);
+    fn insert(&mut self, state: ServerState) {
+        let (id, process_id) = (state.server.id.clone(), state.process_id.clone());
+        let service = state.server.service.clone();
+        let key = self.servers.insert(state);
         self.by_id.insert(id, key);
-        self.by_short.insert(load::server(&process), key);
-        self.by_process.insert(process, key);
+        self.by_load_id.insert(load::server(&process_id), key);
+        self.by_process.insert(process_id, key);
         self.by_service.entry(service).or_default().push(key);
     }
 
-    /// Takes a server out, but for its name.
-    fn take(&mut self, key: Key) -> Option<Known> {
-        let known = self.servers.remove(key)?;
-        known.pool.clear();
-        self.by_process.remove(&known.process);
-        let short = load::server(&known.process);
-        // Two servers may share a short name.
-        if self.by_short.get(&short) == Some(&key) {
-            self.by_short.remove(&short);
+    /// Removes a server from all indexes except `by_id`.
+    fn detach(&mut self, key: Key) -> Option<ServerState> {
+        let state = self.servers.remove(key)?;
+        state.pool.clear();
+        self.by_process.remove(&state.process_id);
+        let load_id = load::server(&state.process_id);
+        // Hashed IDs may collide, so the entry may belong to another server.
+        if self.by_load_id.get(&load_id) == Some(&key) {
+            self.by_load_id.remove(&load_id);
         }
-        let service = &known.server.service;
+        let service = &state.server.service;
         if let Some(keys) = self.by_service.get_mut(service) {
             keys.retain(|k| *k != key);
         }
         if let Some(recent) = self.recent.get_mut(service) {
             recent.remove(key);
         }
-        Some(known)
+        Some(state)
     }
 
-    /// Takes in whether a data centre is evacuated.
-    pub(super) fn evacuate(&mut self, data_centre: &str, evacuated: bool) {
+    /// Sets whether a data centre is being evacuated.
+    pub(super) fn set_evacuated(&mut self, data_centre: &str, evacuated: bool) {
         let changed = match evacuated {
             true => self.evacuated.insert(data_centre.to_owned()),
             false => self.evacuated.remove(data_centre),
@@ -173,121 +174,125 @@
         }
     }
 
-    /// Takes in items of the directory that changed, each with the time at which that was
-    /// learned. Many at a time get one line in the log together.
+    /// Applies a batch of directory changes, each with the time at which it was read. A
+    /// large batch gets a single log line.
     pub(super) fn apply_all(&mut self, items: &[(Item, Instant)], dialect: &dyn Dialect) {
-        self.quiet = items.len() > LOGGED;
+        self.is_bulk_change = items.len() > MAX_LOGGED_CHANGES;
         for (item, learned) in items {
             self.apply(item, *learned, dialect);
         }
-        if std::mem::take(&mut self.quiet) {
+        if std::mem::take(&mut self.is_bulk_change) {
             let (items, listed) = (items.len(), self.listed());
             tracing::info!(event = "directory_changed", items, listed);
         }
     }
 
-    /// How many servers are listed.
+    /// Number of servers that the directory lists.
     pub(super) fn listed(&self) -> usize {
-        let listed = |k: &&Known| k.state == State::Listed;
+        let listed = |s: &&ServerState| s.directory_state == DirectoryState::Listed;
         self.servers.values().filter(listed).count()
     }
 
-    /// Takes in an item of the directory that changed, which was learned then.
+    /// Applies a directory change that was read at `learned`.
     pub(super) fn apply(&mut self, item: &Item, learned: Instant, dialect: &dyn Dialect) {
         if let Some(data_centre) = item.key.strip_prefix(dialect.evacuation_prefix()) {
-            return self.evacuate(data_centre, item.value.is_some());
+            return self.set_evacuated(data_centre, item.value.is_some());
         }
         let name = item.key.strip_prefix(dialect.server_prefix());
         let Some(id) = name.and_then(Id::parse) else {
             return;
         };
         let Some(value) = &item.value else {
-            return self.vanish(&id, learned);
+            return self.mark_unlisted(&id, learned);
         };
         match dialect.server(&item.key, value) {
-            Ok(server) => self.list(server, learned),
+            Ok(server) => self.upsert(server, learned),
             Err(error) => {
                 metrics::counter!("gradedyke_servers_not_read_total").increment(1);
-                self.unread(&id, &error);
+                self.mark_unreadable(&id, &error);
             }
         }
     }
 
-    pub(super) fn list(&mut self, server: Server, learned: Instant) {
-        self.unread.remove(&server.id);
+    /// Inserts or updates a server whose record was read at `learned`.
+    pub(super) fn upsert(&mut self, server: Server, learned: Instant) {
+        self.unreadable.remove(&server.id);
         if let Some(key) = self.by_id.get(&server.id).copied() {
-            let known = &mut self.servers[key];
-            if known.replaced_before(&server) {
+            let state = &mut self.servers[key];
+            if state.is_from_previous_process(&server) {
                 return;
             }
-            if known.server.started_ms.is_some() && server.started_ms.is_none() {
-                return self.unread(&server.id, &unsigned(&server.id));
+            if state.server.started_ms.is_some() && server.started_ms.is_none() {
+                return self.mark_unreadable(&server.id, &missing_start_time(&server.id));
             }
-            if known.another(&server) {
-                return self.restart(key, server, learned);
+            if state.is_different_process(&server) {
+                return self.replace_process(key, server, learned);
             }
-            if known.unread {
+            if state.is_unreadable {
                 tracing::info!(event = "server_read", server = %server.id);
-                known.unread = false;
+                state.is_unreadable = false;
             }
-            if known.server.address != server.address {
-                known.pool.clear();
-                known.pool = Arc::new(Pool::new(server.address));
+            if state.server.address != server.address {
+                state.pool.clear();
+                state.pool = Arc::new(Pool::new(server.address));
             }
-            if known.server.leaving != server.leaving && !self.quiet {
+            if state.server.leaving != server.leaving && !self.is_bulk_change {
                 tracing::info!(event = "server_changed", server = %server.id,
                     leaving = server.leaving);
             }
-            known.state = State::Listed;
-            known.warm_at = Known::warm_at(&server, learned);
-            known.server = server;
+            state.directory_state = DirectoryState::Listed;
+            state.warm_up_end = ServerState::warm_up_end(&server, learned);
+            state.server = server;
             return;
         }
-        if !self.quiet {
+        if !self.is_bulk_change {
             tracing::info!(event = "server_listed", server = %server.id, service = server.service,
                 address = %server.address, leaving = server.leaving);
         }
-        self.insert(Known::new(server, learned));
+        self.insert(ServerState::new(server, learned));
     }
 
-    /// Puts a new process in the place of one that has ended. Nothing of what was learned
-    /// of that one holds for it.
-    fn restart(&mut self, former: Key, server: Server, learned: Instant) {
-        let Some(known) = self.take(former) else {
+    /// Replaces the state of a process that has ended by that of its successor. Load,
+    /// health and cache contents start anew.
+    fn replace_process(&mut self, previous: Key, server: Server, learned: Instant) {
+        let Some(state) = self.detach(previous) else {
             return;
         };
         tracing::info!(event = "server_restarted", server = %server.id,
             address = %server.address, started_ms = server.started_ms,
-            former_ms = known.server.started_ms);
-        known.ended.cancel();
-        self.insert(known.successor(server, learned));
+            former_ms = state.server.started_ms);
+        state.process_ended.cancel();
+        self.insert(state.successor(server, learned));
     }
 
-    /// Takes in that an entry cannot be read. Its server gets nothing new, and what is in
-    /// progress there may end. One line tells of it until the entry can be read again.
-    pub(super) fn unread(&mut self, id: &Id, error: &Invalid) {
-        let known = self.by_id.get(id).copied();
-        let first = match known.and_then(|key| self.servers.get_mut(key)) {
-            Some(known) => !std::mem::replace(&mut known.unread, true),
-            None => self.unread.len() < UNREAD && self.unread.insert(id.clone()),
+    /// Marks a server whose record cannot be parsed. It gets no new requests; those in
+    /// flight may complete. Logged once until the record can be parsed again.
+    pub(super) fn mark_unreadable(&mut self, id: &Id, error: &Invalid) {
+        let key = self.by_id.get(id).copied();
+        let is_first = match key.and_then(|key| self.servers.get_mut(key)) {
+            Some(state) => !std::mem::replace(&mut state.is_unreadable, true),
+            None => {
+                self.unreadable.len() < MAX_UNREADABLE_RECORDS && self.unreadable.insert(id.clone())
+            }
         };
-        if first {
+        if is_first {
             tracing::warn!(event = "server_not_read", server = %id, %error);
         }
     }
 
-    pub(super) fn vanish(&mut self, id: &Id, learned: Instant) {
-        self.unread.remove(id);
-        let Some(known) = self.by_id.get(id).copied() else {
+    /// Marks a server whose record was seen to be deleted at `learned`.
+    pub(super) fn mark_unlisted(&mut self, id: &Id, learned: Instant) {
+        self.unreadable.remove(id);
+        let Some(key) = self.by_id.get(id).copied() else {
             return;
         };
-        let quiet = self.quiet;
-        let known = &mut self.servers[known];
-        if known.state == State::Listed {
-            if !quiet {
+        let is_bulk_change = self.is_bulk_change;
+        let state = &mut self.servers[key];
+        if state.directory_state == DirectoryState::Listed {
+            if !is_bulk_change {
                 tracing::info!(event = "server_vanished", server = %id);
             }
-            known.state = State::Vanished(learned);
+            state.directory_state = DirectoryState::Unlisted(learned);
         }
     }
 
@@ -295,116 +300,141 @@
         let Some(key) = self.by_id.remove(id) else {
             return;
         };
-        if self.take(key).is_some() {
+        if self.detach(key).is_some() {
             tracing::info!(event = "server_gone", server = %id);
         }
     }
 
-    /// The servers that may run the request: of the best kind there are.
-    pub(super) fn able(&self, question: &Question<'_>, from: &Location, rests: bool) -> Vec<Key> {
+    /// The servers that may run the request. Unlisted servers and servers that are
+    /// backing off are returned only if there are no others.
+    pub(super) fn eligible(
+        &self,
+        question: &Question<'_>,
+        location: &Location,
+        use_backoff: bool,
+    ) -> Vec<Key> {
         let rank = |key: &Key| {
-            let known = &self.servers[*key];
-            let vanished = known.state != State::Listed;
-            (vanished, rests && known.resting(question.now))
+            let state = &self.servers[*key];
+            let is_unlisted = state.directory_state != DirectoryState::Listed;
+            (
+                is_unlisted,
+                use_backoff && state.is_backing_off(question.now),
+            )
         };
-        let open = self.warmed(question, from, self.open(question, from));
-        let best = open.iter().map(rank).min();
-        open.into_iter().filter(|k| Some(rank(k)) == best).collect()
+        let servers = self.limit_warming(question, location, self.preselect(question, location));
+        let best = servers.iter().map(rank).min();
+        servers
+            .into_iter()
+            .filter(|k| Some(rank(k)) == best)
+            .collect()
     }
 
-    /// Whether a server may be sent the request, however busy it is.
-    fn may(&self, key: Key, question: &Question<'_>, from: &Location) -> bool {
-        let known = &self.servers[key];
-        let data_centre = &known.server.data_centre;
-        !known.server.leaving
-            && !known.unread
-            && !known.replaced
+    /// Whether a server can be sent the request, regardless of its load.
+    fn can_run(&self, key: Key, question: &Question<'_>, location: &Location) -> bool {
+        let state = &self.servers[key];
+        let data_centre = &state.server.data_centre;
+        !state.server.leaving
+            && !state.is_unreadable
+            && !state.is_replaced
             && !question.tried.contains(&key)
             && !self.evacuated.contains(data_centre)
-            && from.allows(question.regions, data_centre)
+            && location.allows(question.regions, data_centre)
     }
 
-    /// The servers that may be sent the request: all, or of very many those that are worth
-    /// weighing.
-    fn open(&self, question: &Question<'_>, from: &Location) -> Vec<Key> {
+    /// The servers to compare: all that can run the request or, if the service has very
+    /// many, a sample of them with the recently used ones and the holder of the
+    /// conversation.
+    fn preselect(&self, question: &Question<'_>, location: &Location) -> Vec<Key> {
         let Some(keys) = self.by_service.get(question.service) else {
             return Vec::new();
         };
-        let may = |key: Key| self.may(key, question, from);
-        if keys.len() <= sample::ALL {
-            return keys.iter().copied().filter(|k| may(*k)).collect();
+        let can_run = |key: Key| self.can_run(key, question, location);
+        if keys.len() <= sample::MAX_UNSAMPLED_SERVERS {
+            return keys.iter().copied().filter(|k| can_run(*k)).collect();
         }
-        let near = |key: Key| self.servers[key].server.data_centre == from.data_centre;
-        let mut weighed = sample::draw(keys, question.request, may, near);
+        let is_local = |key: Key| self.servers[key].server.data_centre == location.data_centre;
+        let mut selected = sample::sample(keys, question.request, can_run, is_local);
         let recent = self.recent.get(question.service).into_iter();
-        let recent = recent.flat_map(Recent::keys);
+        let recent = recent.flat_map(RecentServers::keys);
         let holder = question.holder.and_then(|h| self.by_process.get(h));
         for key in recent.chain(holder.copied()) {
-            if may(key) && !weighed.contains(&key) {
-                weighed.push(key);
+            if can_run(key) && !selected.contains(&key) {
+                selected.push(key);
             }
         }
-        weighed
+        selected
     }
 
-    /// Leaves out those of `open` that warm up and have their share of the requests.
-    fn warmed(&self, question: &Question<'_>, from: &Location, open: Vec<Key>) -> Vec<Key> {
+    /// Removes warming servers from `servers`, except those whose rate limit allows the
+    /// request.
+    fn limit_warming(
+        &self,
+        question: &Question<'_>,
+        location: &Location,
+        servers: Vec<Key>,
+    ) -> Vec<Key> {
         let Some(rate) = question.warm_up_rate else {
-            return open;
+            return servers;
         };
-        let warm = |key: &Key| self.servers[*key].warm(question.now);
-        let (mut able, cold): (Vec<Key>, Vec<Key>) = open.into_iter().partition(warm);
-        if cold.is_empty() {
-            return able;
+        let is_warm = |key: &Key| self.servers[*key].is_warm(question.now);
+        let (mut allowed, warming): (Vec<Key>, Vec<Key>) = servers.into_iter().partition(is_warm);
+        if warming.is_empty() {
+            return allowed;
         }
-        let load = self.load(question, from);
-        let candidates = cold.iter().map(|key| {
-            let known = &self.servers[*key];
+        let load = self.service_load(question, location);
+        let candidates = warming.iter().map(|key| {
+            let state = &self.servers[*key];
             slow_start::Candidate {
-                in_flight: known.taken(),
-                draw: draw(question.request, &known.server.id),
+                in_flight: state.total_in_flight(),
+                hash: request_hash(question.request, &state.server.id),
             }
         });
         let candidates: Vec<_> = candidates.collect();
-        let chosen = slow_start::choose(&candidates, rate, &load, !able.is_empty());
-        able.extend(chosen.into_iter().map(|place| cold[place]));
-        able
+        let chosen = slow_start::choose(&candidates, rate, &load, !allowed.is_empty());
+        allowed.extend(chosen.into_iter().map(|index| warming[index]));
+        allowed
     }
 
-    /// Counts a request to a service whose servers warm up.
-    pub(super) fn count(&mut self, question: &Question<'_>, refused: bool) {
+    /// Counts a request to a service that has a warm-up limit. `found_none` says that no
+    /// server was eligible.
+    pub(super) fn count_request(&mut self, question: &Question<'_>, found_none: bool) {
         let counts = Counts {
-            failures: u32::from(refused),
+            failures: u32::from(found_none),
             requests: 1,
         };
         let service = question.service;
-        if !self.asked.contains_key(service) {
-            self.asked.insert(service.to_owned(), Window::default());
+        if !self.recent_requests.contains_key(service) {
+            self.recent_requests
+                .insert(service.to_owned(), Window::default());
         }
-        if let Some(asked) = self.asked.get_mut(service) {
-            asked.add(counts, question.now);
+        if let Some(requests) = self.recent_requests.get_mut(service) {
+            requests.add(counts, question.now);
         }
     }
 
-    /// The load of a service, as far as entries tell each other.
-    fn load(&self, question: &Question<'_>, from: &Location) -> slow_start::Load {
+    /// The load of a service, over all instances whose load is known.
+    fn service_load(
+        &self,
+        question: &Question<'_>,
+        location: &Location,
+    ) -> slow_start::ServiceLoad {
         let times = self.times(question.service, question.engine);
-        let asked = self.asked.get(question.service);
-        let mut load = slow_start::Load {
-            asked: asked.map_or(Counts::default(), |a| a.sum(question.now)),
-            shared: self.told.is_some(),
+        let requests = self.recent_requests.get(question.service);
+        let mut load = slow_start::ServiceLoad {
+            recent_requests: requests.map_or(Counts::default(), |r| r.sum(question.now)),
+            has_peer_load: self.peer_load_received.is_some(),
             in_flight: 0,
-            ended_lately: 0,
+            recently_ended: 0,
             answer_ms: times.answer_ms,
-            warming: 0,
+            warming_servers: 0,
         };
         let keys = self.by_service.get(question.service).into_iter().flatten();
         for key in keys {
-            let known = &self.servers[*key];
-            load.in_flight += known.taken();
-            load.ended_lately += known.ended_lately(question.now);
-            let warms = !known.warm(question.now) && self.may(*key, question, from);
-            load.warming += u32::from(warms);
+            let state = &self.servers[*key];
+            load.in_flight += state.total_in_flight();
+            load.recently_ended += state.recently_ended(question.now);
+            let is_warming = !state.is_warm(question.now) && self.can_run(*key, question, location);
+            load.warming_servers += u32::from(is_warming);
         }
         load
     }
--- a/crates/gradedyke-gateway/src/fleet/sample.rs
+++ b/crates/gradedyke-gateway/src/fleet/sample.rs
@@ -1,9 +1,8 @@
-//! Which of very many servers are weighed for a request.
+//! Selects a sample of servers for services with very many of them.
 //!
-//! Weighing all of thousands takes a small instance longer than the way to the server. Those
-//! that this entry used lately, and the one that holds the conversation, have its
-//! connections and prompts; of the others a few are as good as all, another few for each
-//! request.
+//! Comparing thousands of servers for each request would take longer than the request's
+//! network round trip. The sample is drawn anew for each request; recently used servers
+//! and the one that caches the conversation are added by the caller.
 
 use std::collections::VecDeque;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -12,24 +11,24 @@
 
 use super::Key;
 
-/// Servers of a service up to which all are weighed.
-pub(super) const ALL: usize = 128;
-/// Servers that an entry remembers to have used, of each service.
-const RECENT: usize = 64;
-/// Servers of the entry's own data centre in a sample, if there are so many.
-const NEAR: usize = 16;
-/// Other servers in a sample.
-const FAR: usize = 16;
+/// Largest number of servers of a service that are all compared without sampling.
+pub(super) const MAX_UNSAMPLED_SERVERS: usize = 128;
+/// Number of recently used servers remembered for each service.
+const MAX_RECENT_SERVERS: usize = 64;
+/// Largest number of servers in a sample from the local data centre.
+const MAX_LOCAL_SERVERS: usize = 16;
+/// Largest number of servers in a sample from other data centres.
+const MAX_REMOTE_SERVERS: usize = 16;
 
-/// The servers of a service that were used last, the latest at the end.
+/// The most recently used servers of a service, newest last.
 #[derive(Debug, Default)]
-pub(super) struct Recent(VecDeque<Key>);
+pub(super) struct RecentServers(VecDeque<Key>);
 
-impl Recent {
-    /// Takes in that a server is used.
+impl RecentServers {
+    /// Marks a server as the most recently used.
     pub(super) fn add(&mut self, key: Key) {
         self.remove(key);
-        if self.0.len() >= RECENT {
+        if self.0.len() >= MAX_RECENT_SERVERS {
             self.0.pop_front();
         }
         self.0.push_back(key);
@@ -44,45 +43,45 @@
     }
 }
 
-/// The places of `count` servers in an order that follows from the request's name: a start,
-/// and steps of a size that has no divisor in common with `count`, so that each comes once.
-fn order(request: &Id, count: usize) -> impl Iterator<Item = usize> {
+/// A permutation of `0..count` that is determined by the request ID. It steps through the
+/// range with a stride coprime to `count`, so each index occurs once.
+fn permutation(request: &Id, count: usize) -> impl Iterator<Item = usize> {
     let mut hasher = DefaultHasher::new();
     request.hash(&mut hasher);
-    let drawn = usize::try_from(hasher.finish() >> 1).unwrap_or_default();
-    let start = drawn % count.max(1);
-    let mut step = drawn / count.max(1) % count.max(1);
-    while gcd(step, count) != 1 {
-        step += 1;
+    let hash = usize::try_from(hasher.finish() >> 1).unwrap_or_default();
+    let start = hash % count.max(1);
+    let mut stride = hash / count.max(1) % count.max(1);
+    while gcd(stride, count) != 1 {
+        stride += 1;
     }
-    (0..count).map(move |n| (start + n * step) % count)
+    (0..count).map(move |n| (start + n * stride) % count)
 }
 
 fn gcd(a: usize, b: usize) -> usize {
     if b == 0 { a } else { gcd(b, a % b) }
 }
 
-/// A sample of the servers that are `open`, near ones first: `near` tells whether one is.
-pub(super) fn draw(
+/// Draws a sample of the servers that satisfy `can_run`, local ones first.
+pub(super) fn sample(
     keys: &[Key],
     request: &Id,
-    open: impl Fn(Key) -> bool,
-    near: impl Fn(Key) -> bool,
+    can_run: impl Fn(Key) -> bool,
+    is_local: impl Fn(Key) -> bool,
 ) -> Vec<Key> {
-    let (mut close, mut far) = (Vec::new(), Vec::new());
-    for place in order(request, keys.len()) {
-        if close.len() >= NEAR && far.len() >= FAR {
+    let (mut local, mut remote) = (Vec::new(), Vec::new());
+    for index in permutation(request, keys.len()) {
+        if local.len() >= MAX_LOCAL_SERVERS && remote.len() >= MAX_REMOTE_SERVERS {
             break;
         }
-        let key = keys[place];
-        let (sample, most) = match near(key) {
-            true => (&mut close, NEAR),
-            false => (&mut far, FAR),
+        let key = keys[index];
+        let (sample, limit) = match is_local(key) {
+            true => (&mut local, MAX_LOCAL_SERVERS),
+            false => (&mut remote, MAX_REMOTE_SERVERS),
         };
-        if sample.len() < most && open(key) {
+        if sample.len() < limit && can_run(key) {
             sample.push(key);
         }
     }
-    close.extend(far);
-    close
+    local.extend(remote);
+    local
 }
--- /dev/null
+++ b/crates/gradedyke-gateway/src/fleet/server_state.rs
@@ -0,0 +1,203 @@
+//! The state of one backend server as this instance sees it.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use gradedyke_turns::load::{self, Busy};
+use gradedyke_turns::record::Id;
+use tokio::time::Instant;
+use tokio_util::sync::CancellationToken;
+
+use super::Server;
+use crate::estimate::LatencyRatioSum;
+use crate::health::{Counts, Health, HealthReport};
+use crate::link::Pool;
+use crate::prefix::Cache;
+use crate::window::Window;
+
+/// Number of other instances that must report a server as unreachable before it is
+/// avoided. More than one, because a single instance may be cut off itself.
+const MIN_UNREACHABLE_REPORTS: u32 = 2;
+/// Time that servers have to renew their records after the directory becomes available
+/// again: two heartbeats and the network delay.
+const DIRECTORY_RECOVERY_GRACE: Duration = Duration::from_millis(2_500);
+/// How long a server is kept as a fallback after its record was deleted while the
+/// directory was available. Requests to such a server must stop within 2 s.
+const UNLISTED_GRACE: Duration = Duration::from_millis(1_000);
+
+/// Number of previous processes of a server whose start times are remembered, to
+/// recognize records that arrive late.
+const MAX_PREVIOUS_STARTS: usize = 8;
+
+/// Whether the directory has a record of a server.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(super) enum DirectoryState {
+    Listed,
+    /// The record was seen to be deleted at this time. The server remains a fallback
+    /// for a while.
+    Unlisted(Instant),
+}
+
+/// A backend server with its connections, load and health.
+pub(super) struct ServerState {
+    pub(super) server: Server,
+    /// Identifies the server's current process.
+    pub(super) process_id: Id,
+    /// Start times of previous processes in Unix milliseconds, oldest first.
+    pub(super) previous_starts_ms: Vec<u64>,
+    /// Cancelled when the process has ended.
+    pub(super) process_ended: CancellationToken,
+    /// Whether its current record cannot be parsed. It then gets no new requests.
+    pub(super) is_unreadable: bool,
+    pub(super) directory_state: DirectoryState,
+    /// When its warm-up ends.
+    pub(super) warm_up_end: Instant,
+    pub(super) pool: Arc<Pool>,
+    /// Requests in flight from this instance.
+    pub(super) in_flight: u32,
+    /// Load from other instances, as last reported.
+    pub(super) peer_load: Busy,
+    pub(super) health: Health,
+    /// Recent latencies relative to those expected for the service.
+    pub(super) latency: Window<LatencyRatioSum>,
+    /// Estimated contents of its prompt cache, if it is an engine.
+    pub(super) cache: Cache,
+    /// Whether another server answers at its address, although its record still exists.
+    pub(super) is_replaced: bool,
+}
+
+impl ServerState {
+    /// Creates the state of a server whose record was read at `learned`.
+    pub(super) fn new(server: Server, learned: Instant) -> Self {
+        Self {
+            directory_state: DirectoryState::Listed,
+            warm_up_end: Self::warm_up_end(&server, learned),
+            process_id: server.process_id(),
+            previous_starts_ms: Vec::new(),
+            process_ended: CancellationToken::new(),
+            is_unreadable: false,
+            pool: Arc::new(Pool::new(server.address)),
+            in_flight: 0,
+            peer_load: Busy::default(),
+            health: Health::default(),
+            latency: Window::default(),
+            cache: Cache::default(),
+            is_replaced: false,
+            server,
+        }
+    }
+
+    /// When the warm-up of a server ends whose record was read at `learned`. The record
+    /// was written earlier, so the actual end is never later.
+    pub(super) fn warm_up_end(server: &Server, learned: Instant) -> Instant {
+        learned.checked_add(server.warm_up).unwrap_or(learned)
+    }
+
+    pub(super) fn is_warm(&self, now: Instant) -> bool {
+        now >= self.warm_up_end
+    }
+
+    /// Number of requests that ended there recently, over all instances.
+    pub(super) fn recently_ended(&self, now: Instant) -> u32 {
+        self.health.report(now).counts.requests + self.peer_load.ended
+    }
+
+    /// Whether a record was written by a previous process of this server and arrived
+    /// late. Neither the order of writes in the store nor the order of start times shows
+    /// that, because clocks may be set back.
+    pub(super) fn is_from_previous_process(&self, server: &Server) -> bool {
+        let started_ms = server.started_ms;
+        started_ms.is_some_and(|ms| self.previous_starts_ms.contains(&ms))
+    }
+
+    /// Whether a record was written by another process than the current one.
+    pub(super) fn is_different_process(&self, server: &Server) -> bool {
+        self.server.started_ms != server.started_ms
+    }
+
+    /// Creates the state of the process that replaces this one.
+    pub(super) fn successor(&self, server: Server, learned: Instant) -> Self {
+        let mut previous_starts_ms = self.previous_starts_ms.clone();
+        previous_starts_ms.extend(self.server.started_ms);
+        let excess = previous_starts_ms.len().saturating_sub(MAX_PREVIOUS_STARTS);
+        previous_starts_ms.drain(..excess);
+        Self {
+            previous_starts_ms,
+            ..Self::new(server, learned)
+        }
+    }
+
+    /// Whether an unlisted server is to be forgotten. `available_since` is when the
+    /// directory became available, or `None` if it is not: then no server expires. After
+    /// an outage, running servers get time to renew their records.
+    pub(super) fn is_expired(&self, available_since: Option<Instant>, now: Instant) -> bool {
+        let DirectoryState::Unlisted(unlisted) = self.directory_state else {
+            return false;
+        };
+        let expiry = unlisted + UNLISTED_GRACE;
+        match available_since {
+            None => false,
+            Some(since) if unlisted < since + DIRECTORY_RECOVERY_GRACE => {
+                now >= expiry.max(since + DIRECTORY_RECOVERY_GRACE)
+            }
+            Some(_) => now >= expiry,
+        }
+    }
+
+    /// The load and failures that this instance reports to others.
+    pub(super) fn report(&self, now: Instant) -> Busy {
+        let health = self.health.report(now);
+        let latency = self.latency.sum(now);
+        Busy {
+            server: load::server(&self.process_id),
+            requests: self.in_flight,
+            failures: health.counts.failures,
+            ended: health.counts.requests,
+            unreached: health.unreachable,
+            paced: latency.responses,
+            pace: latency.hundredths,
+        }
+    }
+
+    /// Known number of requests in flight there, over all instances.
+    pub(super) fn total_in_flight(&self) -> u32 {
+        self.in_flight + self.peer_load.requests
+    }
+
+    /// Recent latency relative to what is expected, over all instances; 1 is normal.
+    pub(super) fn slowness(&self, now: Instant) -> f64 {
+        let peer_latency = LatencyRatioSum {
+            responses: self.peer_load.paced,
+            hundredths: self.peer_load.pace,
+        };
+        (self.latency.sum(now) + peer_latency).slowness()
+    }
+
+    /// This instance's share of the server's recent requests, 0 to 1. Estimates how much
+    /// of the server's prompt cache this instance's requests occupy.
+    pub(super) fn own_share(&self, now: Instant) -> f64 {
+        let own = f64::from(self.health.report(now).counts.requests + 1);
+        own / (own + f64::from(self.peer_load.ended))
+    }
+
+    /// Health as reported by other instances.
+    pub(super) fn peer_health(&self) -> HealthReport {
+        HealthReport {
+            counts: Counts {
+                failures: self.peer_load.failures,
+                requests: self.peer_load.ended,
+            },
+            unreachable: self.peer_load.unreached,
+        }
+    }
+
+    /// Estimated share of requests that fail there, 0 to 1.
+    pub(super) fn failure_rate(&self, now: Instant) -> f64 {
+        self.health.failure_rate(self.peer_health(), now)
+    }
+
+    /// Whether the server is to be avoided while others are available.
+    pub(super) fn is_backing_off(&self, now: Instant) -> bool {
+        self.health.is_backing_off(now) || self.peer_load.unreached >= MIN_UNREACHABLE_REPORTS
+    }
+}
--- a/crates/gradedyke-gateway/src/fleet/slow_start.rs
+++ b/crates/gradedyke-gateway/src/fleet/slow_start.rs
@@ -1,99 +1,112 @@
-//! Which servers that warm up may run a request.
+//! Limits the request rate of servers that are warming up.
 //!
-//! A server that has just started bears few requests a second, from all entries together.
-//! Entries do not ask each other before each request. Each lets a server that warms up take
-//! part in a random share of the requests, so small that all entries together stay below
-//! what it bears, also where some of them know the load a few seconds late.
+//! A server that has just started can handle only a few requests per second, over all
+//! instances together. Instances do not coordinate each request. Instead, each one
+//! considers a warming server for a random fraction of its requests, chosen so that the
+//! total rate stays below the limit even if some instances have outdated load figures.
 
 use crate::health::Counts;
 use crate::window;
 
-/// Share of what a server bears while it warms up that it is sent on average. Requests come
-/// at random, and the sum over any one second must stay below what it bears.
-const USED: f64 = 0.6;
+/// Fraction of the permitted rate that is used on average. Requests arrive at random, and
+/// the rate over any single second must stay below the limit.
+const TARGET_UTILIZATION: f64 = 0.6;
 
-/// The load of a service, over all entries.
+/// The load of a service over all instances.
 #[derive(Clone, Copy, Debug)]
-pub struct Load {
-    /// Whether the other entries' load is known.
-    pub shared: bool,
-    /// Requests in progress.
+pub struct ServiceLoad {
+    /// Whether the load from other instances is known.
+    pub has_peer_load: bool,
+    /// Requests in flight.
     pub in_flight: u32,
-    /// Requests that ended in the last [`window::SPAN`] or a little longer.
-    pub ended_lately: u32,
-    /// Usual time of a request, in milliseconds.
+    /// Requests that ended within the [window](window::BUCKET_DURATION), which is up to
+    /// two buckets long.
+    pub recently_ended: u32,
+    /// Expected duration of a request, in milliseconds.
     pub answer_ms: f64,
-    /// Servers that warm up and may run the request, weighed for it or not.
-    pub warming: u32,
-    /// Requests of late at this entry, with those that found no server as failures.
-    pub asked: Counts,
+    /// Number of warming servers that could run the request, including those that are
+    /// not in its sample.
+    pub warming_servers: u32,
+    /// Recent requests at this instance; those that found no server count as failures.
+    pub recent_requests: Counts,
 }
 
-impl Load {
-    /// Requests a second: what ended lately, or what is in progress if that is more, as at
-    /// the beginning of a burst; and what found no server, if others fare as this entry.
-    fn per_second(&self) -> f64 {
-        let asked = f64::from(self.asked.requests.max(1));
-        let found = f64::from((self.asked.requests - self.asked.failures).max(1));
-        self.served_per_second() * asked / found
+impl ServiceLoad {
+    /// Arrival rate of requests, per second. Requests that found no server are included
+    /// on the assumption that other instances have the same share of them.
+    fn requests_per_s(&self) -> f64 {
+        let requests = f64::from(self.recent_requests.requests.max(1));
+        let placed =
+            f64::from((self.recent_requests.requests - self.recent_requests.failures).max(1));
+        self.served_per_s() * requests / placed
     }
 
-    fn served_per_second(&self) -> f64 {
-        let ended = f64::from(self.ended_lately) / window::SPAN.as_secs_f64();
+    /// Rate of requests that run, per second: the larger of the completion rate and the
+    /// rate implied by the requests in flight, which rises first in a burst.
+    fn served_per_s(&self) -> f64 {
+        let ended = f64::from(self.recently_ended) / window::BUCKET_DURATION.as_secs_f64();
         let started = f64::from(self.in_flight) * 1e3 / self.answer_ms.max(1.0);
         ended.max(started).max(1.0)
     }
 }
 
-/// A server that warms up.
+/// A server that is warming up.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
-    /// Requests in progress there.
+    /// Requests in flight there.
     pub in_flight: u32,
-    /// A random number that follows from the request's name and the server's.
-    pub draw: u64,
+    /// Hash of the request and server IDs, used as a random number.
+    pub hash: u64,
 }
 
-/// Whether a random number lies in the first `share` of all numbers.
-fn drawn(draw: u64, share: f64) -> bool {
-    (draw as f64) < share * u64::MAX as f64
+/// Whether a hash lies in the lowest `fraction` of all values.
+fn is_selected(hash: u64, fraction: f64) -> bool {
+    (hash as f64) < fraction * u64::MAX as f64
 }
 
-/// The places of the candidates that may run the request, where each bears `rate` requests a
-/// second. `warm` says whether there are servers that have warmed up.
+/// Indices of the candidates that may run the request, where each can handle `rate`
+/// requests per second. `has_warm_server` says whether a server that has warmed up is
+/// available.
 ///
 /// ```
-/// use gradedyke_gateway::fleet::slow_start::{Candidate, Load, choose};
+/// use gradedyke_gateway::fleet::slow_start::{Candidate, ServiceLoad, choose};
 /// use gradedyke_gateway::health::Counts;
 ///
-/// let asked = Counts::default();
-/// let load = Load {
-///     shared: true, in_flight: 60, ended_lately: 900, answer_ms: 200.0, warming: 1, asked,
+/// let recent_requests = Counts::default();
+/// let load = ServiceLoad {
+///     has_peer_load: true, in_flight: 60, recently_ended: 900, answer_ms: 200.0,
+///     warming_servers: 1, recent_requests,
 /// };
-/// let candidate = |draw| Candidate { in_flight: 0, draw };
-/// // 12 of 300 requests a second.
+/// let candidate = |hash| Candidate { in_flight: 0, hash };
+/// // The server gets 12 of 300 requests per second.
 /// assert_eq!(choose(&[candidate(u64::MAX / 30)], 20.0, &load, true), [0]);
 /// assert!(choose(&[candidate(u64::MAX / 20)], 20.0, &load, true).is_empty());
 /// ```
-pub fn choose(candidates: &[Candidate], rate: f64, load: &Load, warm: bool) -> Vec<usize> {
-    if warm && !load.shared {
+pub fn choose(
+    candidates: &[Candidate],
+    rate: f64,
+    load: &ServiceLoad,
+    has_warm_server: bool,
+) -> Vec<usize> {
+    if has_warm_server && !load.has_peer_load {
         return Vec::new();
     }
-    let share = (rate * USED / load.per_second()).min(1.0);
-    let most = (rate * USED * load.answer_ms / 1e3).max(1.0);
-    let room = |place: &usize| f64::from(candidates[*place].in_flight) < most;
-    let roomy: Vec<usize> = (0..candidates.len()).filter(room).collect();
-    let chosen = roomy.iter().copied();
-    let chosen: Vec<usize> = chosen
-        .filter(|place| drawn(candidates[*place].draw, share))
+    let fraction = (rate * TARGET_UTILIZATION / load.requests_per_s()).min(1.0);
+    let max_in_flight = (rate * TARGET_UTILIZATION * load.answer_ms / 1e3).max(1.0);
+    let has_room = |index: &usize| f64::from(candidates[*index].in_flight) < max_in_flight;
+    let with_room: Vec<usize> = (0..candidates.len()).filter(has_room).collect();
+    let selected = with_room.iter().copied();
+    let selected: Vec<usize> = selected
+        .filter(|index| is_selected(candidates[*index].hash, fraction))
         .collect();
-    let enough = share * f64::from(load.warming) >= 1.0;
-    if !chosen.is_empty() || warm || !enough {
-        return chosen;
+    let has_capacity = fraction * f64::from(load.warming_servers) >= 1.0;
+    if !selected.is_empty() || has_warm_server || !has_capacity {
+        return selected;
     }
-    // All servers warm up, and together they bear the load.
-    let least = roomy
+    // All servers are warming up and together can handle the load, so one of them must
+    // take the request.
+    let lowest = with_room
         .into_iter()
-        .min_by_key(|place| candidates[*place].draw);
-    least.into_iter().collect()
+        .min_by_key(|index| candidates[*index].hash);
+    lowest.into_iter().collect()
 }
--- a/crates/gradedyke-gateway/src/health.rs
+++ b/crates/gradedyke-gateway/src/health.rs
@@ -1,14 +1,10 @@
-//! What is learned of one backend server from requests that failed there.
+//! Health of one backend server, from the outcomes of its requests.
 //!
-//! Two things are kept apart. A server that cannot be reached, or that lost a
-//! request just now, *rests*: it gets nothing while others do. And the share of
-//! its requests that were lost, failed, turned away or left waiting far too long,
-//! over the last seconds and at all entries together, is its *risk*, which a
-//! policy weighs against what a failure costs. Given up: a fixed time without
-//! requests after each failure, which a success cut short, so that programs went
-//! on to lose calls at servers that lose one answer in thirty; and a risk that
-//! each failure raises by the same, which drove programs away from engines that
-//! held their prompts, made these slow by reading, and so raised it further.
+//! Two signals are kept. After a connection failure or a timeout, the server is in
+//! *backoff*: it gets no requests while others are available. Independently, the
+//! *failure rate* is the share of its requests over the last seconds and over all
+//! instances that failed, were rejected or took far too long. Placement policies weigh
+//! it against the cost of a failure.
 
 use std::ops::Add;
 use std::time::Duration;
@@ -17,36 +13,36 @@
 
 use crate::window::Window;
 
-/// How long a server that failed gets no work while others do, the first time.
-const REST_FIRST: Duration = Duration::from_millis(500);
-/// The longest such rest.
-const REST_LAST: Duration = Duration::from_secs(4);
-/// How long it is told to other entries that a server cannot be reached: one that
-/// comes back is seen by its next request.
-const UNREACHED: Duration = Duration::from_secs(2);
-/// Requests that count as good besides those that were counted, so that a single
-/// failure is not taken for a server that always fails.
-const PRIOR: f64 = 3.0;
-
-/// How a request failed by the server's fault.
+/// Backoff after the first failure; doubles with each further one.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(500);
+/// Upper limit on the backoff.
+const MAX_BACKOFF: Duration = Duration::from_secs(4);
+/// How long other instances are told that a server is unreachable. Short, because a server
+/// that recovers is noticed only when a request succeeds.
+const UNREACHABLE_REPORT_TTL: Duration = Duration::from_secs(2);
+/// Number of successes added to the observed requests, so that a single failure does not
+/// result in a failure rate of 1.
+const PRIOR_SUCCESSES: f64 = 3.0;
+
+/// A failure of a request that the server caused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// No connection; the request has not run.
+    /// The connection could not be opened, so the request has not run.
     Unreachable,
-    /// The connection broke, or what came was no answer.
+    /// The connection broke, or the response was malformed.
     Lost,
-    /// No answer within the request's whole time.
+    /// No response before the request's deadline.
     Silent,
-    /// No answer yet after far more than the usual time.
+    /// No response after several times the expected time.
     Slow,
-    /// The server answered that it failed.
+    /// The server responded with an error status.
     Failed,
-    /// The server turned the request away.
+    /// The server rejected the request without running it.
     Shed,
 }
 
 impl Fault {
-    /// Its name in logs.
+    /// Name in logs.
     pub fn name(self) -> &'static str {
         match self {
             Fault::Unreachable => "unreachable",
@@ -58,18 +54,18 @@
         }
     }
 
-    /// Whether the server gets nothing for a while.
-    fn rests(self) -> bool {
+    /// Whether the server is put into backoff.
+    fn triggers_backoff(self) -> bool {
         matches!(self, Fault::Unreachable | Fault::Lost | Fault::Silent)
     }
 }
 
-/// Requests of late.
+/// Numbers of recent requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Those that failed by the server's fault.
+    /// Requests that failed because of the server.
     pub failures: u32,
-    /// All.
+    /// All requests.
     pub requests: u32,
 }
 
@@ -85,100 +81,101 @@
 }
 
 impl Counts {
-    /// Estimated share that fails, 0 to 1.
+    /// Estimated share of requests that fail, 0 to 1.
     ///
     /// ```
     /// use gradedyke_gateway::health::Counts;
     ///
     /// let counts = Counts { failures: 2, requests: 47 };
-    /// assert_eq!(counts.risk(), 0.04);
+    /// assert_eq!(counts.failure_rate(), 0.04);
     /// ```
-    pub fn risk(self) -> f64 {
+    pub fn failure_rate(self) -> f64 {
         let requests = self.requests.max(self.failures);
-        f64::from(self.failures) / (f64::from(requests) + PRIOR)
+        f64::from(self.failures) / (f64::from(requests) + PRIOR_SUCCESSES)
     }
 }
 
-/// What one or several entries tell of a server.
+/// Health of a server as reported by one or more instances.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Told {
-    /// Their requests of late.
+pub struct HealthReport {
+    /// Recent requests.
     pub counts: Counts,
-    /// Entries that could not reach it lately.
-    pub unreached: u32,
+    /// Number of instances that recently failed to connect to the server.
+    pub unreachable: u32,
 }
 
-/// The health of one server as this entry sees it.
+/// Health of one server as this instance sees it.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
-    /// Rests in a row.
-    rests: u32,
-    until: Option<Instant>,
-    window: Window<Counts>,
-    unreached: Option<Instant>,
+    /// Number of consecutive failures that triggered a backoff.
+    backoffs: u32,
+    backoff_until: Option<Instant>,
+    recent: Window<Counts>,
+    /// When the last attempt to connect failed, if none has succeeded since.
+    unreachable_at: Option<Instant>,
 }
 
 impl Health {
-    /// Takes a failure in. Returns how long the server rests for it.
+    /// Records a failure. Returns the resulting backoff, if any.
     ///
     /// ```
-    /// use gradedyke_gateway::health::{Fault, Health, Told};
+    /// use gradedyke_gateway::health::{Fault, Health, HealthReport};
     ///
     /// let now = tokio::time::Instant::now();
     /// let mut health = Health::default();
-    /// assert!(health.fault(Fault::Lost, now).is_some());
-    /// assert!(health.resting(now));
-    /// assert!(health.risk(Told::default(), now) > 0.0);
+    /// assert!(health.record_failure(Fault::Lost, now).is_some());
+    /// assert!(health.is_backing_off(now));
+    /// assert!(health.failure_rate(HealthReport::default(), now) > 0.0);
     /// ```
-    pub fn fault(&mut self, fault: Fault, now: Instant) -> Option<Duration> {
+    pub fn record_failure(&mut self, fault: Fault, now: Instant) -> Option<Duration> {
         if fault == Fault::Unreachable {
-            self.unreached = Some(now);
+            self.unreachable_at = Some(now);
         } else {
             let failed = Counts {
                 failures: 1,
                 requests: 1,
             };
-            self.window.add(failed, now);
+            self.recent.add(failed, now);
         }
-        if !fault.rests() {
+        if !fault.triggers_backoff() {
             return None;
         }
-        let rest = REST_FIRST * 2_u32.saturating_pow(self.rests.min(10));
-        let rest = rest.min(REST_LAST);
-        self.rests += 1;
-        self.until = Some(now + rest);
-        Some(rest)
+        let backoff = INITIAL_BACKOFF * 2_u32.saturating_pow(self.backoffs.min(10));
+        let backoff = backoff.min(MAX_BACKOFF);
+        self.backoffs += 1;
+        self.backoff_until = Some(now + backoff);
+        Some(backoff)
     }
 
-    /// Takes a success in.
-    pub fn answered(&mut self, now: Instant) {
-        self.rests = 0;
-        self.until = None;
-        self.unreached = None;
-        let good = Counts {
+    /// Records a success, which ends any backoff.
+    pub fn record_success(&mut self, now: Instant) {
+        self.backoffs = 0;
+        self.backoff_until = None;
+        self.unreachable_at = None;
+        let succeeded = Counts {
             failures: 0,
             requests: 1,
         };
-        self.window.add(good, now);
+        self.recent.add(succeeded, now);
     }
 
-    /// Whether the server gets nothing while others do.
-    pub fn resting(&self, now: Instant) -> bool {
-        self.until.is_some_and(|until| until > now)
+    /// Whether the server is in backoff.
+    pub fn is_backing_off(&self, now: Instant) -> bool {
+        self.backoff_until.is_some_and(|until| until > now)
     }
 
-    /// Estimated share of requests that fail there, 0 to 1, with what other
-    /// entries told.
-    pub fn risk(&self, others: Told, now: Instant) -> f64 {
-        (self.window.sum(now) + others.counts).risk()
+    /// Estimated share of requests that fail there, 0 to 1, including the requests that
+    /// other instances reported.
+    pub fn failure_rate(&self, peers: HealthReport, now: Instant) -> f64 {
+        (self.recent.sum(now) + peers.counts).failure_rate()
     }
 
-    /// What other entries are to be told.
-    pub fn told(&self, now: Instant) -> Told {
-        let lately = |at: Instant| now.saturating_duration_since(at) < UNREACHED;
-        Told {
-            counts: self.window.sum(now),
-            unreached: u32::from(self.unreached.is_some_and(lately)),
+    /// The report for other instances.
+    pub fn report(&self, now: Instant) -> HealthReport {
+        let is_recent = |at: Instant| now.saturating_duration_since(at) < UNREACHABLE_REPORT_TTL;
+        HealthReport {
+            counts: self.recent.sum(now),
+            unreachable: u32::from(self.unreachable_at.is_some_and(is_recent)),
         }
     }
 }
--- a/crates/gradedyke-gateway/src/mechanism.rs
+++ b/crates/gradedyke-gateway/src/mechanism.rs
@@ -1,49 +1,50 @@
-//! The mechanisms of the decisions, each of which the settings can switch off.
+//! Feature flags for the parts of placement and admission decisions.
 //!
-//! That is for measuring what each is worth: the same day is played with and
-//! without one. In service all are on.
+//! The settings can disable each one, so that its effect can be measured by comparing runs
+//! with and without it. All are enabled by default.
 
 use serde::Deserialize;
 
-/// A mechanism that decides, or brings what decisions weigh.
+/// A part of the decisions that can be disabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Mechanism {
-    /// Placement weighs the time for which a request waits for a place.
+    /// Placement accounts for the time a request waits for a slot.
     Waiting,
-    /// Placement weighs the reading of a prompt by an engine.
+    /// Placement accounts for the time an engine takes to read the prompt.
     Reading,
-    /// Placement weighs the delay of others by that reading.
+    /// Placement accounts for the delay of other requests while the prompt is read.
     ReadingForOthers,
-    /// Placement prefers servers of the own data centre.
+    /// Placement prefers servers in the local data centre.
     Distance,
-    /// Placement prefers servers to which a connection rests.
+    /// Placement prefers servers with an idle connection.
     Warm,
-    /// Placement looks at a sample of the servers that hold nothing of a prompt.
+    /// Placement considers only a sample of the servers that have none of the prompt cached.
     Sample,
-    /// Placement weighs how slow a server is.
+    /// Placement accounts for servers that are slower than others.
     Slowness,
-    /// Placement weighs the share of requests that fail at a server.
+    /// Placement accounts for the failure rate of a server.
     Risk,
-    /// It is remembered which parts of prompts were sent where.
+    /// The prompt prefixes that each engine has cached are tracked.
     Prefixes,
-    /// Entries tell each other what they have in progress.
+    /// Instances report their requests in flight to each other.
     SharedLoad,
-    /// Usual times follow what is observed.
+    /// Expected times are learned from observed ones.
     LearnedTimes,
-    /// A server that lost a request gets nothing for a while.
+    /// A server that lost a request is avoided for a backoff time.
     Rests,
-    /// What may be repeated is sent beside an answer that is far too late.
+    /// A repeatable request whose response is late is also sent to another server (hedging).
     SentBeside,
-    /// Engines are told the rank of a request.
+    /// Requests carry a priority for the engine's queue.
     Urgency,
-    /// Programs that an account's allowance has no room for are refused at their first turn.
+    /// A program is rejected at its first turn if the client account's allowance does not
+    /// cover all of its expected requests.
     WholePrograms,
-    /// Fewer programs begin while keepers have more to do than they can.
+    /// Fewer new programs are admitted while keepers are overloaded.
     Throttle,
 }
 
-/// The mechanisms that are on.
+/// The set of enabled mechanisms.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Enabled(u32);
 
@@ -54,7 +55,7 @@
 }
 
 impl Enabled {
-    /// All but those in `off`.
+    /// Enables all mechanisms except those in `disabled`.
     ///
     /// ```
     /// use gradedyke_gateway::mechanism::{Enabled, Mechanism};
@@ -63,18 +64,18 @@
     /// assert!(!enabled.has(Mechanism::Warm));
     /// assert!(enabled.has(Mechanism::Risk));
     /// ```
-    pub fn without(off: &[Mechanism]) -> Self {
-        let bits = off.iter().fold(0, |bits, m| bits | bit(*m));
+    pub fn without(disabled: &[Mechanism]) -> Self {
+        let bits = disabled.iter().fold(0, |bits, m| bits | bit(*m));
         Self(!bits)
     }
 
-    /// Whether a mechanism is on.
+    /// Whether a mechanism is enabled.
     pub fn has(self, mechanism: Mechanism) -> bool {
         self.0 & bit(mechanism) != 0
     }
 
-    /// `value` if a mechanism is on, and nothing otherwise.
-    pub fn weigh(self, mechanism: Mechanism, value: f64) -> f64 {
+    /// Returns `value` if a mechanism is enabled, and 0 otherwise.
+    pub fn value_if_enabled(self, mechanism: Mechanism, value: f64) -> f64 {
         if self.has(mechanism) { value } else { 0.0 }
     }
 }
--- a/crates/gradedyke-gateway/src/placement/cost.rs
+++ b/crates/gradedyke-gateway/src/placement/cost.rs
@@ -1,126 +1,127 @@
-//! The policy in use: the least delay, in milliseconds, to the request and to those
-//! beside it.
+//! Default placement policy: minimizes the total delay, in milliseconds, of the
+//! request and of the requests that share its server.
 //!
-//! An engine reads a prompt between the tokens of the requests that run there, so
-//! each token that is read anew delays all of them. A policy that weighs only the
-//! request's own delay sends the turns of busy engines elsewhere, where their
-//! conversations are read again; the reading makes queues, and queues make it send
-//! more away. Counting the others' delay keeps conversations where they are unless
-//! the queue there costs more than everyone's reading.
+//! An engine interleaves reading a prompt with generating tokens for its running
+//! requests, so each prompt token that is not cached delays all of them. A policy that
+//! counts only the request's own delay moves conversations away from busy engines; the
+//! prompts then have to be read again, which makes other engines busy too. Counting the
+//! delay of other requests keeps a conversation on the engine that caches it unless the
+//! queue there costs more than reading the prompt elsewhere.
 
 use std::sync::Arc;
 
-use super::{Candidate, Plugin, Policy};
+use super::{Candidate, Policy, PolicyRegistration};
 use crate::mechanism::{Enabled, Mechanism};
 
-/// Weighs what a request waits against what it costs others, what may fail there,
-/// and the way.
+/// Chooses the server with the lowest estimated cost: waiting, work, expected failures
+/// and distance.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Cost {
-    /// The mechanisms that are on.
+    /// The terms that are included.
     pub enabled: Enabled,
 }
 
-/// What the way to another data centre costs: the time of a round trip, and the
-/// price of the bytes.
-const FAR_MS: f64 = 6.0;
-/// What a resting connection saves: opening one, and its price. Less than the
-/// work of a call at a plain service, so that it never outweighs a queue.
-const WARM_MS: f64 = 15.0;
+/// Cost of using another data centre: the round trip and the price of the traffic.
+const REMOTE_DATA_CENTRE_COST_MS: f64 = 6.0;
+/// Cost saved by reusing an idle connection. Less than the duration of a call to a
+/// plain service, so that it never outweighs a queue.
+const IDLE_CONNECTION_SAVING_MS: f64 = 15.0;
 
-/// Slowness up to which a server counts as one like the others: the average of its
-/// last answers, whose lengths differ, goes that far by chance. Without it there were
-/// 2,842 new connections to servers a day in place of 2,190 (one whole day each; what runs
-/// beside a request was weighed otherwise too).
-const DOUBT: f64 = 1.5;
+/// Slowness up to which a server is treated as normal: response lengths differ, so the
+/// average of a few responses varies by chance.
+const SLOWNESS_TOLERANCE_RATIO: f64 = 1.5;
 
-/// What it costs that a request which must not run twice is lost at a plain
-/// service, in milliseconds: its program, the shortest of which take 2 s.
-const LOST_ONCE_MS: f64 = 5_000.0;
-/// What it costs that a turn is lost: its caller sends it again after 0.1 to 0.4 s
-/// and has waited in vain, and a third loss ends its program. At an engine that
-/// loses one turn in twenty it stays below the reading of a prompt (100 ms).
-const LOST_TURN_MS: f64 = 1_500.0;
-/// What it costs that a request is lost that can be sent to another server.
-const LOST_MS: f64 = 200.0;
+/// Cost of losing a call to a plain service that cannot be repeated: its program fails.
+const NON_REPEATABLE_LOSS_MS: f64 = 5_000.0;
+/// Cost of losing a turn: the caller has waited in vain and has to send it again.
+const TURN_LOSS_MS: f64 = 1_500.0;
+/// Cost of losing a request that can be retried on another server.
+const REPEATABLE_LOSS_MS: f64 = 200.0;
 
-/// Engines that hold nothing of a prompt and are weighed for it all the same. What
-/// entries know of the load is as old as the last turn of each, so that all of them see
-/// the same few idle engines and send what has to be read there together. With 128
-/// engines and 259 entries, modelled, at a burst of nine tenths of what the engines can
-/// do: turns of the burst take 330 ms with a sample of 8 and 413 with all, 317 with 4
-/// and 325 with 6; with 10 engines nothing changes. In a deployment of that size a burst of
-/// three times the load left none of 2,100 programs late, and 438 without (one run each).
-const SAMPLE: usize = 8;
-/// Those of them that stand in the entry's own data centre, if there are so many: the
-/// way to others costs more.
-const NEAR: usize = 4;
+/// Number of engines without any of the prompt that are considered. Load reports are
+/// slightly out of date, so if all instances considered all engines, they would send
+/// new prompts to the same few idle engines at once.
+const MAX_SAMPLED_ENGINES: usize = 8;
+/// How many of the sampled engines are taken from the local data centre first, because
+/// remote ones cost more.
+const MAX_SAMPLED_LOCAL_ENGINES: usize = 4;
 
 impl Cost {
-    /// The places of the candidates that are weighed: all engines that hold some of the
-    /// prompt, and a sample of the others, another one for each request.
-    fn weighed(self, candidates: &[Candidate]) -> Vec<usize> {
-        let places = 0..candidates.len();
-        let engines = candidates.iter().all(|c| c.engine);
+    /// Indices of the candidates to compare: all engines that cache some of the prompt,
+    /// and a sample of the others that differs from request to request.
+    fn considered(self, candidates: &[Candidate]) -> Vec<usize> {
+        let indices = 0..candidates.len();
+        let engines = candidates.iter().all(|c| c.is_engine);
         if !engines || !self.enabled.has(Mechanism::Sample) {
-            return places.collect();
+            return indices.collect();
         }
-        let most = candidates.iter().map(|c| c.unread_tokens).max();
-        let holds = |place: &usize| Some(candidates[*place].unread_tokens) < most;
-        let (mut weighed, mut others): (Vec<usize>, Vec<usize>) = places.partition(holds);
-        others.sort_unstable_by_key(|place| candidates[*place].draw);
-        let near = others.iter().filter(|place| candidates[**place].near);
-        let near: Vec<usize> = near.copied().take(NEAR).collect();
-        others.retain(|place| !near.contains(place));
-        others.truncate(SAMPLE - near.len());
-        weighed.extend(near);
-        weighed.extend(others);
-        weighed
+        let max_unread = candidates.iter().map(|c| c.unread_tokens).max();
+        let is_cached = |index: &usize| Some(candidates[*index].unread_tokens) < max_unread;
+        let (mut considered, mut others): (Vec<usize>, Vec<usize>) = indices.partition(is_cached);
+        others.sort_unstable_by_key(|index| candidates[*index].hash);
+        let local = others.iter().filter(|index| candidates[**index].is_local);
+        let local: Vec<usize> = local.copied().take(MAX_SAMPLED_LOCAL_ENGINES).collect();
+        others.retain(|index| !local.contains(index));
+        others.truncate(MAX_SAMPLED_ENGINES - local.len());
+        considered.extend(local);
+        considered.extend(others);
+        considered
     }
 
-    /// What is expected to be lost by failures.
-    fn loss(candidate: &Candidate) -> f64 {
-        let loss = match (candidate.engine, candidate.repeatable) {
-            (true, _) => LOST_TURN_MS,
-            (false, false) => LOST_ONCE_MS,
-            (false, true) => LOST_MS,
+    /// Expected cost of a failure, in milliseconds.
+    fn expected_loss_ms(candidate: &Candidate) -> f64 {
+        let loss_ms = match (candidate.is_engine, candidate.repeatable) {
+            (true, _) => TURN_LOSS_MS,
+            (false, false) => NON_REPEATABLE_LOSS_MS,
+            (false, true) => REPEATABLE_LOSS_MS,
         };
-        candidate.risk * loss
+        candidate.failure_rate * loss_ms
     }
 
-    /// The delay by the work there, for this request and for those beside it.
-    fn work(self, candidate: &Candidate) -> f64 {
-        let weigh = |mechanism, value| self.enabled.weigh(mechanism, value);
+    /// Delay in milliseconds for this request and the requests that run beside it.
+    fn work_ms(self, candidate: &Candidate) -> f64 {
+        let term = |mechanism, value| self.enabled.value_if_enabled(mechanism, value);
         let times = &candidate.times;
-        let wait = weigh(Mechanism::Waiting, candidate.wait_ms());
-        // Nothing at a plain service.
-        let read = candidate.unread_tokens as f64 * times.read_ms;
-        let others = f64::from(candidate.running()) * read;
+        let wait_ms = term(Mechanism::Waiting, candidate.wait_ms());
+        // Zero for a plain service.
+        let read_ms = candidate.unread_tokens as f64 * times.read_ms;
+        let others_ms = f64::from(candidate.running()) * read_ms;
         times.answer_ms
-            + wait
-            + weigh(Mechanism::Reading, read)
-            + weigh(Mechanism::ReadingForOthers, others)
+            + wait_ms
+            + term(Mechanism::Reading, read_ms)
+            + term(Mechanism::ReadingForOthers, others_ms)
     }
 
-    fn of(self, candidate: &Candidate) -> f64 {
-        let when = |mechanism, holds: bool, value: f64| {
-            let value = if holds { value } else { 0.0 };
-            self.enabled.weigh(mechanism, value)
+    /// Total cost of sending the request to a candidate, in milliseconds.
+    fn total_ms(self, candidate: &Candidate) -> f64 {
+        let term_if = |mechanism, condition: bool, value: f64| {
+            let value = if condition { value } else { 0.0 };
+            self.enabled.value_if_enabled(mechanism, value)
         };
-        let far = when(Mechanism::Distance, !candidate.near, FAR_MS);
-        let warm = when(Mechanism::Warm, candidate.warm, WARM_MS);
-        let slow = (candidate.slowness / DOUBT).max(1.0) - 1.0;
-        let slow = 1.0 + self.enabled.weigh(Mechanism::Slowness, slow);
-        let loss = self.enabled.weigh(Mechanism::Risk, Self::loss(candidate));
-        loss + self.work(candidate) * slow + far - warm
+        let distance_ms = term_if(
+            Mechanism::Distance,
+            !candidate.is_local,
+            REMOTE_DATA_CENTRE_COST_MS,
+        );
+        let saving_ms = term_if(
+            Mechanism::Warm,
+            candidate.has_idle_connection,
+            IDLE_CONNECTION_SAVING_MS,
+        );
+        let excess = (candidate.slowness / SLOWNESS_TOLERANCE_RATIO).max(1.0) - 1.0;
+        let factor = 1.0 + self.enabled.value_if_enabled(Mechanism::Slowness, excess);
+        let loss_ms = self
+            .enabled
+            .value_if_enabled(Mechanism::Risk, Self::expected_loss_ms(candidate));
+        loss_ms + self.work_ms(candidate) * factor + distance_ms - saving_ms
     }
 }
 
 impl Policy for Cost {
     fn choose(&self, candidates: &[Candidate]) -> Option<usize> {
-        let key = |c: &Candidate| (self.of(c), c.draw);
-        let places = self.weighed(candidates).into_iter();
-        places.min_by(|a, b| {
+        let key = |c: &Candidate| (self.total_ms(c), c.hash);
+        let indices = self.considered(candidates).into_iter();
+        indices.min_by(|a, b| {
             let (a, b) = (key(&candidates[*a]), key(&candidates[*b]));
             a.0.total_cmp(&b.0).then(a.1.cmp(&b.1))
         })
@@ -128,7 +129,7 @@
 }
 
 inventory::submit! {
-    Plugin {
+    PolicyRegistration {
         name: "cost",
         build: |enabled| Arc::new(Cost { enabled }),
     }
--- a/crates/gradedyke-gateway/src/placement/least_loaded.rs
+++ b/crates/gradedyke-gateway/src/placement/least_loaded.rs
@@ -1,22 +1,22 @@
-//! The naive policy: fewest requests in progress.
+//! Baseline policy: the server with the fewest requests in flight.
 
 use std::sync::Arc;
 
-use super::{Candidate, Plugin, Policy};
+use super::{Candidate, Policy, PolicyRegistration};
 
-/// Chooses by the number of requests in progress alone.
+/// Chooses the server with the fewest requests in flight.
 pub struct LeastLoaded;
 
 impl Policy for LeastLoaded {
     fn choose(&self, candidates: &[Candidate]) -> Option<usize> {
-        let places = candidates.iter().enumerate();
-        let least = places.min_by_key(|(_, c)| (c.in_flight, c.draw));
-        least.map(|(place, _)| place)
+        let indexed = candidates.iter().enumerate();
+        let least = indexed.min_by_key(|(_, c)| (c.in_flight, c.hash));
+        least.map(|(index, _)| index)
     }
 }
 
 inventory::submit! {
-    Plugin {
+    PolicyRegistration {
         name: "least_loaded",
         build: |_| Arc::new(LeastLoaded),
     }
--- a/crates/gradedyke-gateway/src/placement/mod.rs
+++ b/crates/gradedyke-gateway/src/placement/mod.rs
@@ -1,11 +1,11 @@
-//! Which backend server runs a request.
+//! Placement policies: choose the backend server that runs a request.
 //!
-//! A policy sees numbers only, so that any two can be compared on the same
-//! inputs. Policies register themselves by name.
+//! A policy decides from the fields of [`Candidate`] alone, so that policies can be
+//! compared on the same inputs. Policies are registered by name at link time.
 //!
-//! - [`cost`]: weighs in milliseconds what a request waits and what it costs
-//!   others.
-//! - [`least_loaded`]: the naive policy, for comparison.
+//! - [`cost`]: minimizes the estimated delay of the request and of the requests that
+//!   share its server.
+//! - [`least_loaded`]: a simple baseline for comparison.
 
 pub mod cost;
 pub mod least_loaded;
@@ -16,92 +16,91 @@
 use crate::estimate::Times;
 use crate::mechanism::Enabled;
 
-/// What a policy knows of a server that could run the request.
+/// A server that could run the request, as a policy sees it.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
-    /// Requests in progress there: this entry's, and those that others told of.
+    /// Requests in flight there, from this instance and as reported by others.
     pub in_flight: u32,
-    /// Requests it runs at a time.
+    /// Number of requests it runs concurrently.
     pub slots: u32,
-    /// Whether it stands in this entry's data centre.
-    pub near: bool,
-    /// Tokens of the prompt that have to be read there; 0 for a service that
-    /// runs no model.
+    /// Whether it is in this instance's data centre.
+    pub is_local: bool,
+    /// Tokens of the prompt that are not in its cache; 0 for a service that runs no
+    /// model.
     pub unread_tokens: u64,
     /// Whether it is a model engine.
-    pub engine: bool,
-    /// Whether a connection to it rests that the request could use.
-    pub warm: bool,
-    /// Usual times at its service.
+    pub is_engine: bool,
+    /// Whether an idle connection to it is open that the request could use.
+    pub has_idle_connection: bool,
+    /// Expected times at its service.
     pub times: Times,
-    /// How long its answers take, relative to those of its service as a whole.
+    /// How long its responses take relative to the whole service; 1 is normal.
     pub slowness: f64,
-    /// Whether the request may be repeated.
+    /// Whether the request may be run more than once.
     pub repeatable: bool,
-    /// Share of requests that are expected to fail there, 0 to 1.
-    pub risk: f64,
-    /// A number that follows from the request's name and the server's.
-    pub draw: u64,
+    /// Expected share of requests that fail there, 0 to 1.
+    pub failure_rate: f64,
+    /// Hash of the request and server IDs, to break ties and draw samples.
+    pub hash: u64,
 }
 
 impl Candidate {
-    /// Time for which a request waits for a place there, in milliseconds.
+    /// Expected time the request waits for a free slot, in milliseconds.
     pub fn wait_ms(&self) -> f64 {
         wait_ms(self.in_flight, self.slots, &self.times)
     }
 
-    /// Requests that run beside this one, once it runs.
+    /// Number of other requests that run beside this one once it has started.
     pub fn running(&self) -> u32 {
         running(self.in_flight, self.slots)
     }
 
-    /// Expected time to the first event of an engine's answer, in milliseconds.
+    /// Expected time to the first event of an engine's response, in milliseconds.
     pub fn first_ms(&self) -> f64 {
-        let read = self.unread_tokens as f64 * self.times.read_ms;
-        self.wait_ms() + self.times.first_ms + read
+        let read_ms = self.unread_tokens as f64 * self.times.read_ms;
+        self.wait_ms() + self.times.first_ms + read_ms
     }
 }
 
-/// Time for which a request waits for one of `slots` places at a server where
-/// `in_flight` others are, in milliseconds.
+/// Expected time a request waits for one of a server's `slots` when `in_flight` others
+/// are there, in milliseconds.
 ///
 /// ```
-/// use gradedyke_gateway::estimate::Service;
+/// use gradedyke_gateway::estimate::ServiceEstimate;
 /// use gradedyke_gateway::placement::wait_ms;
 ///
-/// let times = Service::default().times(false);
+/// let times = ServiceEstimate::default().times(false);
 /// assert_eq!(wait_ms(3, 4, &times), 0.0);
 /// assert_eq!(wait_ms(7, 4, &times), times.answer_ms);
 /// ```
 pub fn wait_ms(in_flight: u32, slots: u32, times: &Times) -> f64 {
     let answer_ms = times.answer_ms(running(in_flight, slots));
     let slots = f64::from(slots.max(1));
-    let ahead = (f64::from(in_flight) + 1.0 - slots).max(0.0);
-    ahead * answer_ms / slots
+    let queued = (f64::from(in_flight) + 1.0 - slots).max(0.0);
+    queued * answer_ms / slots
 }
 
 fn running(in_flight: u32, slots: u32) -> u32 {
     in_flight.min(slots.max(1) - 1)
 }
 
-/// Decides where a request runs.
+/// Chooses the server that runs a request.
 pub trait Policy: Send + Sync {
-    /// The place in `candidates` of the one to run the request, or `None` when
-    /// there are none.
+    /// Returns the index of the chosen candidate, or `None` if there are none.
     fn choose(&self, candidates: &[Candidate]) -> Option<usize>;
 }
 
-/// A policy that registers itself.
-pub struct Plugin {
-    /// Its name.
+/// A named policy, registered with [`inventory::submit!`].
+pub struct PolicyRegistration {
+    /// Name of the policy in the settings.
     pub name: &'static str,
-    /// Makes one that uses the mechanisms which are on.
+    /// Builds the policy with the mechanisms that are enabled.
     pub build: fn(Enabled) -> Arc<dyn Policy>,
 }
 
-inventory::collect!(Plugin);
+inventory::collect!(PolicyRegistration);
 
-/// One of each registered policy, by name.
+/// Builds every registered policy, keyed by name.
 ///
 /// ```
 /// use gradedyke_gateway::{mechanism::Enabled, placement};
@@ -111,6 +110,8 @@
 /// assert!(policies.contains_key("least_loaded"));
 /// ```
 pub fn policies(enabled: Enabled) -> BTreeMap<&'static str, Arc<dyn Policy>> {
-    let plugins = inventory::iter::<Plugin>.into_iter();
-    plugins.map(|p| (p.name, (p.build)(enabled))).collect()
+    let registrations = inventory::iter::<PolicyRegistration>.into_iter();
+    registrations
+        .map(|p| (p.name, (p.build)(enabled)))
+        .collect()
 }
--- a/crates/gradedyke-gateway/src/prefix.rs
+++ b/crates/gradedyke-gateway/src/prefix.rs
@@ -1,50 +1,46 @@
-//! What a model engine is believed to hold of prompts.
+//! Estimates which prompt prefixes a model engine has cached.
 //!
-//! Callers name the parts of each prompt, and an engine does not read a part again
-//! that it holds, if it holds all parts before it too. Nobody tells what it holds;
-//! it follows from what was sent there. Memory is limited, and the parts that were
-//! longest unused give way first, so the same is done here. Asking the engines was
-//! given up: their lists are late, have gaps, hold up their work and are priced.
-//!
-//! With this, in place of knowing only where the turns of kept conversations ran,
-//! engines read 5 to 19 in 100 fewer prompt tokens (eight whole days of a deployment
-//! of which four in five programs keep no turns; each day played once with and once
-//! without).
+//! Callers identify the parts of each prompt. An engine does not have to read a part again
+//! that it has cached, provided that all preceding parts are cached too. The contents of
+//! its cache are inferred from the prompts that were sent to it, assuming that the least
+//! recently used parts are evicted first.
 
 use std::collections::HashMap;
 
 use gradedyke_turns::record::Id;
 
-/// A part of a prompt.
+/// An identified part of a prompt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Part {
-    /// Its name. Prompts with the same name begin with the same tokens there: the
-    /// last part of a conversation grows from turn to turn and keeps its name.
+    /// ID of the content. Of two parts with the same ID, the shorter is a prefix of the
+    /// longer: the last part of a conversation keeps its ID while it grows.
     pub id: Id,
-    /// Its length in tokens.
+    /// Length in tokens.
     pub tokens: u64,
 }
 
-/// Parts remembered of one engine; more than the memory of any in use holds.
-const PARTS: usize = 4_096;
+/// Largest number of parts tracked for one engine.
+const MAX_PARTS: usize = 4_096;
 
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct CachedPart {
     tokens: u64,
-    /// The number of the use that was last.
-    used: u64,
+    /// Value of the use counter when the part was last used.
+    last_use: u64,
 }
 
-/// The parts that one engine is believed to hold.
+/// Estimated contents of the prompt cache of one engine.
 #[derive(Clone, Debug, Default)]
 pub struct Cache {
-    parts: HashMap<Id, Held>,
+    parts: HashMap<Id, CachedPart>,
+    /// Total length of the parts in tokens.
     tokens: u64,
-    uses: u64,
+    /// Counts uses of parts, to order them by their last use.
+    use_counter: u64,
 }
 
 impl Cache {
-    /// Tokens of a prompt that have to be read.
+    /// Number of tokens of a prompt that are not cached.
     ///
     /// ```
     /// use gradedyke_gateway::prefix::{Cache, Part};
@@ -53,62 +49,63 @@
     /// let part = |name, tokens| Part { id: Id::parse(name).unwrap(), tokens };
     /// let mut cache = Cache::default();
     /// cache.keep(&[part("rules", 500), part("talk", 300)], 40, 10_000);
-    /// // The talk has grown by what was answered and by what is asked now.
+    /// // The conversation has grown by the response and by a new message.
     /// assert_eq!(cache.unread(&[part("rules", 500), part("talk", 400)]), 60);
     /// assert_eq!(cache.unread(&[part("other", 500), part("talk", 400)]), 900);
     /// ```
     pub fn unread(&self, prompt: &[Part]) -> u64 {
         let mut unread = 0;
         for part in prompt {
-            let held = self.parts.get(&part.id).map_or(0, |h| h.tokens);
-            // Behind a gap nothing counts as held.
-            let usable = if unread == 0 { held } else { 0 };
+            let cached = self.parts.get(&part.id).map_or(0, |c| c.tokens);
+            // Only a prefix without gaps can be reused.
+            let usable = if unread == 0 { cached } else { 0 };
             unread += part.tokens.saturating_sub(usable);
         }
         unread
     }
 
-    /// Takes in that the engine reads a prompt and then makes `answer` tokens,
-    /// within `room` tokens of memory.
-    pub fn keep(&mut self, prompt: &[Part], answer: u64, room: u64) {
+    /// Records that the engine caches a prompt and a response of `response_tokens`, and
+    /// evicts parts until the total is within `capacity` tokens.
+    pub fn keep(&mut self, prompt: &[Part], response_tokens: u64, capacity: u64) {
         let last = prompt.len().saturating_sub(1);
-        for (place, part) in prompt.iter().enumerate() {
-            let more = if place == last { answer } else { 0 };
-            self.hold(part, more);
+        for (index, part) in prompt.iter().enumerate() {
+            let extra_tokens = if index == last { response_tokens } else { 0 };
+            self.insert(part, extra_tokens);
         }
-        while self.tokens > room || self.parts.len() > PARTS {
-            if !self.drop_oldest() {
+        while self.tokens > capacity || self.parts.len() > MAX_PARTS {
+            if !self.evict_oldest() {
                 return;
             }
         }
     }
 
-    /// Takes in that `answer` tokens were made after a prompt.
-    pub fn grow(&mut self, prompt: &[Part], answer: u64) {
+    /// Records that a response of `response_tokens` was generated after a prompt.
+    pub fn append_response(&mut self, prompt: &[Part], response_tokens: u64) {
         if let Some(last) = prompt.last() {
-            self.hold(last, answer);
+            self.insert(last, response_tokens);
         }
     }
 
-    fn hold(&mut self, part: &Part, more: u64) {
-        self.uses += 1;
-        let held = self
-            .parts
-            .entry(part.id.clone())
-            .or_insert(Held { tokens: 0, used: 0 });
-        held.used = self.uses;
-        let tokens = held.tokens.max(part.tokens + more);
-        self.tokens += tokens - held.tokens;
-        held.tokens = tokens;
+    fn insert(&mut self, part: &Part, extra_tokens: u64) {
+        self.use_counter += 1;
+        let cached = self.parts.entry(part.id.clone()).or_insert(CachedPart {
+            tokens: 0,
+            last_use: 0,
+        });
+        cached.last_use = self.use_counter;
+        let tokens = cached.tokens.max(part.tokens + extra_tokens);
+        self.tokens += tokens - cached.tokens;
+        cached.tokens = tokens;
     }
 
-    fn drop_oldest(&mut self) -> bool {
-        let oldest = self.parts.iter().min_by_key(|(_, held)| held.used);
+    /// Evicts the least recently used part. Returns whether there was one.
+    fn evict_oldest(&mut self) -> bool {
+        let oldest = self.parts.iter().min_by_key(|(_, cached)| cached.last_use);
         let Some(id) = oldest.map(|(id, _)| id.clone()) else {
             return false;
         };
-        if let Some(held) = self.parts.remove(&id) {
-            self.tokens -= held.tokens;
+        if let Some(cached) = self.parts.remove(&id) {
+            self.tokens -= cached.tokens;
         }
         true
     }
--- a/crates/gradedyke-gateway/src/window.rs
+++ b/crates/gradedyke-gateway/src/window.rs
@@ -1,41 +1,45 @@
-//! Sums over the last seconds.
+//! Sliding-window sums.
 
 use std::ops::Add;
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Shortest time over which is summed; the longest is twice that. Troubles of a
-/// server mostly last 4 to 8 s.
-pub const SPAN: Duration = Duration::from_secs(3);
+/// Duration of one bucket. A window has two buckets, so a sum covers at least this and
+/// less than twice this.
+pub const BUCKET_DURATION: Duration = Duration::from_secs(3);
 
-/// A sum over the last seconds, in two halves.
+/// A sum over the last [`BUCKET_DURATION`] to twice that, kept in two buckets.
 #[derive(Clone, Debug, Default)]
 pub struct Window<T> {
-    since: Option<Instant>,
+    /// When the current bucket started.
+    started: Option<Instant>,
     current: T,
-    before: T,
+    previous: T,
 }
 
 impl<T: Add<Output = T> + Copy + Default> Window<T> {
-    fn roll(&mut self, now: Instant) {
-        let age = self.since.map(|since| now.saturating_duration_since(since));
+    /// Starts a new bucket if the current one is too old.
+    fn rotate(&mut self, now: Instant) {
+        let age = self
+            .started
+            .map(|started| now.saturating_duration_since(started));
         match age {
-            Some(age) if age < SPAN => return,
-            Some(age) if age < 2 * SPAN => self.before = self.current,
-            _ => self.before = T::default(),
+            Some(age) if age < BUCKET_DURATION => return,
+            Some(age) if age < 2 * BUCKET_DURATION => self.previous = self.current,
+            _ => self.previous = T::default(),
         }
         self.current = T::default();
-        self.since = Some(now);
+        self.started = Some(now);
     }
 
-    /// Adds to the sum.
+    /// Adds a value to the current bucket.
     pub fn add(&mut self, value: T, now: Instant) {
-        self.roll(now);
+        self.rotate(now);
         self.current = self.current + value;
     }
 
-    /// The sum.
+    /// The sum of both buckets at `now`.
     ///
     /// ```
     /// use gradedyke_gateway::window::Window;
@@ -49,7 +53,7 @@
     /// ```
     pub fn sum(&self, now: Instant) -> T {
         let mut window = self.clone();
-        window.roll(now);
-        window.current + window.before
+        window.rotate(now);
+        window.current + window.previous
     }
 }
--- a/crates/gradedyke-gateway/tests/placement.rs
+++ b/crates/gradedyke-gateway/tests/placement.rs
@@ -1,52 +1,52 @@
-//! Where policies send a request, by what is known of two engines.
+//! Checks which engine the default placement policy chooses.
 
 use gradedyke_gateway::estimate::Times;
 use gradedyke_gateway::mechanism::Enabled;
 use gradedyke_gateway::placement::{Candidate, policies};
 
-/// An engine with nothing in progress and the whole of a prompt to read.
+/// An engine with the given number of requests in flight and prompt tokens to read.
 fn engine(in_flight: u32, unread_tokens: u64) -> Candidate {
     Candidate {
         in_flight,
         slots: 16,
-        near: true,
+        is_local: true,
         unread_tokens,
-        engine: true,
-        warm: false,
+        is_engine: true,
+        has_idle_connection: false,
         times: Times {
             answer_ms: 280.0,
             first_ms: 20.0,
             gap_ms: 30.0,
-            gap_beside_ms: 1.5,
+            gap_per_concurrent_ms: 1.5,
             events: 8.0,
             read_ms: 1.0 / 60.0,
         },
         slowness: 1.0,
         repeatable: false,
-        risk: 0.0,
-        draw: 0,
+        failure_rate: 0.0,
+        hash: 0,
     }
 }
 
-/// The name of the engine that the policy in use chooses.
+/// Names the engine that the default policy chooses.
 fn chosen(holder: Candidate, other: Candidate) -> &'static str {
     let policy = policies(Enabled::default()).remove("cost").unwrap();
-    let place = policy.choose(&[holder, other]).unwrap();
-    ["holder", "other"][place]
+    let index = policy.choose(&[holder, other]).unwrap();
+    ["holder", "other"][index]
 }
 
 #[test]
-fn a_conversation_stays_unless_the_queue_costs_more_than_reading_it_for_all() {
-    // Requests at the engine that holds it, those at another one, tokens of the
-    // conversation, and where the next turn goes.
+fn conversation_moves_only_if_queue_costs_more_than_rereading_the_prompt() {
+    // In-flight requests at the engine that caches the conversation, in-flight requests
+    // at the other engine, conversation tokens, expected choice.
     let cases = [
         (0, 0, 2_000, "holder"),
         (2, 0, 2_000, "holder"),
         (12, 8, 2_000, "holder"),
-        // Both have a queue: moving only makes everybody slower.
+        // Both engines have a queue, so moving only adds work.
         (20, 12, 2_000, "holder"),
         (24, 16, 2_000, "holder"),
-        // The other one is idle, and the queue is long.
+        // The holder has a long queue and the other engine has free slots.
         (28, 0, 2_000, "other"),
         (40, 14, 600, "other"),
     ];
@@ -59,14 +59,14 @@
 }
 
 #[test]
-fn a_new_conversation_goes_where_least_is_in_progress() {
+fn new_conversation_goes_to_the_least_loaded_engine() {
     for (one, two, expected) in [(3, 2, "other"), (2, 3, "holder"), (20, 15, "other")] {
         assert_eq!(chosen(engine(one, 1_000), engine(two, 1_000)), expected);
     }
 }
 
 #[test]
-fn an_engine_that_is_slow_is_left_and_one_that_seems_so_by_chance_is_not() {
+fn slow_engine_is_avoided_but_small_deviations_are_ignored() {
     for (slowness, expected) in [(1.2, "holder"), (5.0, "other")] {
         let slow = Candidate {
             slowness,
@@ -78,21 +78,21 @@
 }
 
 #[test]
-fn of_many_engines_an_idle_one_gets_a_part_of_what_is_new_and_a_holder_all_that_it_holds() {
+fn idle_engine_gets_a_share_of_new_prompts_and_holder_gets_its_own_conversation() {
     let policy = policies(Enabled::default()).remove("cost").unwrap();
     let (mut idle, mut held) = (0, 0);
     for request in 0..200_u64 {
-        let draw = |place: u64| (request * 1_000 + place).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        let place = |place: u64| Candidate {
-            draw: draw(place),
-            ..engine(if place == 7 { 0 } else { 2 }, 2_000)
+        let hash = |index: u64| (request * 1_000 + index).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        let candidate = |index: u64| Candidate {
+            hash: hash(index),
+            ..engine(if index == 7 { 0 } else { 2 }, 2_000)
         };
-        let mut engines: Vec<Candidate> = (0..100).map(place).collect();
+        let mut engines: Vec<Candidate> = (0..100).map(candidate).collect();
         idle += u32::from(policy.choose(&engines) == Some(7));
         engines[9].unread_tokens = 200;
         held += u32::from(policy.choose(&engines) == Some(9));
     }
-    // Eight of a hundred are weighed; all requests would come to the idle one.
+    // Without sampling, all 200 requests would go to the idle engine.
     assert!((4..40).contains(&idle), "{idle}");
     assert_eq!(held, 200);
 }
