--- a/crates/gradedyke-gateway/src/fleet/mod.rs
+++ b/crates/gradedyke-gateway/src/fleet/mod.rs
@@ -38,7 +38,7 @@
 use server_state::ServerState;
 
 new_key_type! {
-    /// Identifies a process of a backend server within a [`Fleet`].
+    /// Identifies an incarnation of a backend server within a [`Fleet`].
     pub struct Key;
 }
 
@@ -69,8 +69,9 @@
 }
 
 impl Server {
-    /// Identifies its current process. State is kept for each process, because a restarted
-    /// server has lost its cache and its requests.
+    /// ID of its incarnation, i.e. of one run of its process: the server ID and the start
+    /// time. State is kept for each incarnation, because a restarted server has lost its
+    /// cache and its requests.
     ///
     /// ```
     /// use gradedyke_gateway::fleet::Server;
@@ -86,13 +87,13 @@
     ///     leaving: false,
     ///     warm_up: std::time::Duration::ZERO,
     /// };
-    /// assert_eq!(server(None).process_id().as_str(), "s");
-    /// assert_ne!(server(Some(1)).process_id(), server(Some(2)).process_id());
+    /// assert_eq!(server(None).incarnation().as_str(), "s");
+    /// assert_ne!(server(Some(1)).incarnation(), server(Some(2)).incarnation());
     /// ```
-    pub fn process_id(&self) -> Id {
+    pub fn incarnation(&self) -> Id {
         let started = self.started_ms.map(|ms| format!("{}/{ms}", self.id));
-        let process_id = started.as_deref().and_then(Id::parse);
-        process_id.unwrap_or_else(|| self.id.clone())
+        let incarnation = started.as_deref().and_then(Id::parse);
+        incarnation.unwrap_or_else(|| self.id.clone())
     }
 }
 
@@ -105,7 +106,7 @@
     pub request: &'a Id,
     /// Servers to which this request has been sent already; they are excluded.
     pub tried: &'a [Key],
-    /// Process ID of the server whose cache holds the conversation.
+    /// Incarnation of the server whose cache holds the conversation.
     pub holder: Option<&'a Id>,
     /// Number of tokens of the prompt; 0 for a plain service.
     pub prompt_tokens: u64,
@@ -135,7 +136,7 @@
     pub key: Key,
     /// The server's ID.
     pub id: Id,
-    /// ID of the server's process.
+    /// The server's [incarnation](Server::incarnation).
     pub process: Id,
     /// Cancelled when the process is known to have been replaced.
     pub gone: CancellationToken,
@@ -200,9 +201,9 @@
         !self.lock().servers.is_empty()
     }
 
-    /// Inserts or updates a server whose record was read at `learned`.
-    pub fn list(&self, server: Server, learned: Instant) {
-        self.lock().upsert(server, learned);
+    /// Inserts or updates a server whose record was read at `read_at`.
+    pub fn list(&self, server: Server, read_at: Instant) {
+        self.lock().upsert(server, read_at);
     }
 
     /// Sets whether a data centre is being evacuated. Its servers then get no new requests
@@ -216,9 +217,9 @@
         self.lock().evacuated.contains(data_centre)
     }
 
-    /// Applies a directory change that was read at `learned`.
-    pub fn apply(&self, item: &Item, learned: Instant, dialect: &dyn Dialect) {
-        self.lock().apply(item, learned, dialect);
+    /// Applies a directory change that was read at `read_at`.
+    pub fn apply(&self, item: &Item, read_at: Instant, dialect: &dyn Dialect) {
+        self.lock().apply(item, read_at, dialect);
     }
 
     /// Applies directory changes, each with the time at which it was read, as one atomic
@@ -276,7 +277,7 @@
             fleet: self.clone(),
             key,
             id: state.server.id.clone(),
-            process: state.process_id.clone(),
+            process: state.incarnation.clone(),
             gone: state.process_ended.clone(),
             pool: state.pool.clone(),
             since: question.now,
@@ -316,7 +317,7 @@
     }
 
     fn candidate(&self, state: &ServerState, question: &Question<'_>, times: Times) -> Candidate {
-        let is_holder = question.holder == Some(&state.process_id);
+        let is_holder = question.holder == Some(&state.incarnation);
         let cached_tokens = if is_holder { question.held_tokens } else { 0 };
         let unread = question.prompt_tokens.saturating_sub(cached_tokens);
         let unread = match question.parts {
--- a/crates/gradedyke-gateway/src/fleet/registry.rs
+++ b/crates/gradedyke-gateway/src/fleet/registry.rs
@@ -1,4 +1,4 @@
-//! Index of the backend servers by ID, process and service.
+//! Index of the backend servers by ID, incarnation and service.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -40,7 +40,7 @@
     pub(super) servers: SlotMap<Key, ServerState>,
     pub(super) by_id: HashMap<Id, Key>,
     pub(super) by_service: HashMap<String, Vec<Key>>,
-    by_process: HashMap<Id, Key>,
+    by_incarnation: HashMap<Id, Key>,
     /// By the hashed ID that load reports use.
     by_load_id: HashMap<load::Server, Key>,
     /// Recently used servers of each service.
@@ -133,12 +133,12 @@
     }
 
     fn insert(&mut self, state: ServerState) {
-        let (id, process_id) = (state.server.id.clone(), state.process_id.clone());
+        let (id, incarnation) = (state.server.id.clone(), state.incarnation.clone());
         let service = state.server.service.clone();
         let key = self.servers.insert(state);
         self.by_id.insert(id, key);
-        self.by_load_id.insert(load::server(&process_id), key);
-        self.by_process.insert(process_id, key);
+        self.by_load_id.insert(load::server(&incarnation), key);
+        self.by_incarnation.insert(incarnation, key);
         self.by_service.entry(service).or_default().push(key);
     }
 
@@ -146,8 +146,8 @@
     fn detach(&mut self, key: Key) -> Option<ServerState> {
         let state = self.servers.remove(key)?;
         state.pool.clear();
-        self.by_process.remove(&state.process_id);
-        let load_id = load::server(&state.process_id);
+        self.by_incarnation.remove(&state.incarnation);
+        let load_id = load::server(&state.incarnation);
         // Hashed IDs may collide, so the entry may belong to another server.
         if self.by_load_id.get(&load_id) == Some(&key) {
             self.by_load_id.remove(&load_id);
@@ -178,8 +178,8 @@
     /// large batch gets a single log line.
     pub(super) fn apply_all(&mut self, items: &[(Item, Instant)], dialect: &dyn Dialect) {
         self.is_bulk_change = items.len() > MAX_LOGGED_CHANGES;
-        for (item, learned) in items {
-            self.apply(item, *learned, dialect);
+        for (item, read_at) in items {
+            self.apply(item, *read_at, dialect);
         }
         if std::mem::take(&mut self.is_bulk_change) {
             let (items, listed) = (items.len(), self.listed());
@@ -193,8 +193,8 @@
         self.servers.values().filter(listed).count()
     }
 
-    /// Applies a directory change that was read at `learned`.
-    pub(super) fn apply(&mut self, item: &Item, learned: Instant, dialect: &dyn Dialect) {
+    /// Applies a directory change that was read at `read_at`.
+    pub(super) fn apply(&mut self, item: &Item, read_at: Instant, dialect: &dyn Dialect) {
         if let Some(data_centre) = item.key.strip_prefix(dialect.evacuation_prefix()) {
             return self.set_evacuated(data_centre, item.value.is_some());
         }
@@ -203,10 +203,10 @@
             return;
         };
         let Some(value) = &item.value else {
-            return self.mark_unlisted(&id, learned);
+            return self.mark_unlisted(&id, read_at);
         };
         match dialect.server(&item.key, value) {
-            Ok(server) => self.upsert(server, learned),
+            Ok(server) => self.upsert(server, read_at),
             Err(error) => {
                 metrics::counter!("gradedyke_servers_not_read_total").increment(1);
                 self.mark_unreadable(&id, &error);
@@ -214,8 +214,8 @@
         }
     }
 
-    /// Inserts or updates a server whose record was read at `learned`.
-    pub(super) fn upsert(&mut self, server: Server, learned: Instant) {
+    /// Inserts or updates a server whose record was read at `read_at`.
+    pub(super) fn upsert(&mut self, server: Server, read_at: Instant) {
         self.unreadable.remove(&server.id);
         if let Some(key) = self.by_id.get(&server.id).copied() {
             let state = &mut self.servers[key];
@@ -226,7 +226,7 @@
                 return self.mark_unreadable(&server.id, &missing_start_time(&server.id));
             }
             if state.is_different_process(&server) {
-                return self.replace_process(key, server, learned);
+                return self.replace_process(key, server, read_at);
             }
             if state.is_unreadable {
                 tracing::info!(event = "server_read", server = %server.id);
@@ -241,7 +241,7 @@
                     leaving = server.leaving);
             }
             state.directory_state = DirectoryState::Listed;
-            state.warm_up_end = ServerState::warm_up_end(&server, learned);
+            state.warm_up_end = ServerState::warm_up_end(&server, read_at);
             state.server = server;
             return;
         }
@@ -249,12 +249,12 @@
             tracing::info!(event = "server_listed", server = %server.id, service = server.service,
                 address = %server.address, leaving = server.leaving);
         }
-        self.insert(ServerState::new(server, learned));
+        self.insert(ServerState::new(server, read_at));
     }
 
     /// Replaces the state of a process that has ended by that of its successor. Load,
     /// health and cache contents start anew.
-    fn replace_process(&mut self, previous: Key, server: Server, learned: Instant) {
+    fn replace_process(&mut self, previous: Key, server: Server, read_at: Instant) {
         let Some(state) = self.detach(previous) else {
             return;
         };
@@ -262,7 +262,7 @@
             address = %server.address, started_ms = server.started_ms,
             former_ms = state.server.started_ms);
         state.process_ended.cancel();
-        self.insert(state.successor(server, learned));
+        self.insert(state.successor(server, read_at));
     }
 
     /// Marks a server whose record cannot be parsed. It gets no new requests; those in
@@ -280,8 +280,8 @@
         }
     }
 
-    /// Marks a server whose record was seen to be deleted at `learned`.
-    pub(super) fn mark_unlisted(&mut self, id: &Id, learned: Instant) {
+    /// Marks a server whose record was seen to be deleted at `read_at`.
+    pub(super) fn mark_unlisted(&mut self, id: &Id, read_at: Instant) {
         self.unreadable.remove(id);
         let Some(key) = self.by_id.get(id).copied() else {
             return;
@@ -292,7 +292,7 @@
             if !is_bulk_change {
                 tracing::info!(event = "server_vanished", server = %id);
             }
-            state.directory_state = DirectoryState::Unlisted(learned);
+            state.directory_state = DirectoryState::Unlisted(read_at);
         }
     }
 
@@ -356,7 +356,7 @@
         let mut selected = sample::sample(keys, question.request, can_run, is_local);
         let recent = self.recent.get(question.service).into_iter();
         let recent = recent.flat_map(RecentServers::keys);
-        let holder = question.holder.and_then(|h| self.by_process.get(h));
+        let holder = question.holder.and_then(|h| self.by_incarnation.get(h));
         for key in recent.chain(holder.copied()) {
             if can_run(key) && !selected.contains(&key) {
                 selected.push(key);
--- a/crates/gradedyke-gateway/src/fleet/server_state.rs
+++ b/crates/gradedyke-gateway/src/fleet/server_state.rs
@@ -22,7 +22,7 @@
 /// again: two heartbeats and the network delay.
 const DIRECTORY_RECOVERY_GRACE: Duration = Duration::from_millis(2_500);
 /// How long a server is kept as a fallback after its record was deleted while the
-/// directory was available. Requests to such a server must stop within 2 s.
+/// directory was available. It must get no requests more than 2 s after the deletion.
 const UNLISTED_GRACE: Duration = Duration::from_millis(1_000);
 
 /// Number of previous processes of a server whose start times are remembered, to
@@ -41,8 +41,8 @@
 /// A backend server with its connections, load and health.
 pub(super) struct ServerState {
     pub(super) server: Server,
-    /// Identifies the server's current process.
-    pub(super) process_id: Id,
+    /// ID of the current run of the server's process.
+    pub(super) incarnation: Id,
     /// Start times of previous processes in Unix milliseconds, oldest first.
     pub(super) previous_starts_ms: Vec<u64>,
     /// Cancelled when the process has ended.
@@ -67,12 +67,12 @@
 }
 
 impl ServerState {
-    /// Creates the state of a server whose record was read at `learned`.
-    pub(super) fn new(server: Server, learned: Instant) -> Self {
+    /// Creates the state of a server whose record was read at `read_at`.
+    pub(super) fn new(server: Server, read_at: Instant) -> Self {
         Self {
             directory_state: DirectoryState::Listed,
-            warm_up_end: Self::warm_up_end(&server, learned),
-            process_id: server.process_id(),
+            warm_up_end: Self::warm_up_end(&server, read_at),
+            incarnation: server.incarnation(),
             previous_starts_ms: Vec::new(),
             process_ended: CancellationToken::new(),
             is_unreadable: false,
@@ -87,10 +87,10 @@
         }
     }
 
-    /// When the warm-up of a server ends whose record was read at `learned`. The record
+    /// When the warm-up of a server ends whose record was read at `read_at`. The record
     /// was written earlier, so the actual end is never later.
-    pub(super) fn warm_up_end(server: &Server, learned: Instant) -> Instant {
-        learned.checked_add(server.warm_up).unwrap_or(learned)
+    pub(super) fn warm_up_end(server: &Server, read_at: Instant) -> Instant {
+        read_at.checked_add(server.warm_up).unwrap_or(read_at)
     }
 
     pub(super) fn is_warm(&self, now: Instant) -> bool {
@@ -116,14 +116,14 @@
     }
 
     /// Creates the state of the process that replaces this one.
-    pub(super) fn successor(&self, server: Server, learned: Instant) -> Self {
+    pub(super) fn successor(&self, server: Server, read_at: Instant) -> Self {
         let mut previous_starts_ms = self.previous_starts_ms.clone();
         previous_starts_ms.extend(self.server.started_ms);
         let excess = previous_starts_ms.len().saturating_sub(MAX_PREVIOUS_STARTS);
         previous_starts_ms.drain(..excess);
         Self {
             previous_starts_ms,
-            ..Self::new(server, learned)
+            ..Self::new(server, read_at)
         }
     }
 
@@ -149,7 +149,7 @@
         let health = self.health.report(now);
         let latency = self.latency.sum(now);
         Busy {
-            server: load::server(&self.process_id),
+            server: load::server(&self.incarnation),
             requests: self.in_flight,
             failures: health.counts.failures,
             ended: health.counts.requests,
