--- a/crates/gradedyke-gateway/src/fleet/mod.rs
+++ b/crates/gradedyke-gateway/src/fleet/mod.rs
@@ -213,7 +213,7 @@
     }
 
     /// Whether a data centre is being evacuated.
-    pub fn is_evacuated(&self, data_centre: &str) -> bool {
+    pub fn evacuated(&self, data_centre: &str) -> bool {
         self.lock().evacuated.contains(data_centre)
     }
 
@@ -334,7 +334,7 @@
             times,
             slowness: state.slowness(question.now),
             repeatable: question.repeatable,
-            failure_rate: state.failure_rate(question.now),
+            risk: state.failure_rate(question.now),
             hash: request_hash(question.request, &state.server.id),
         }
     }
--- a/crates/gradedyke-gateway/src/fleet/registry.rs
+++ b/crates/gradedyke-gateway/src/fleet/registry.rs
@@ -148,7 +148,7 @@
         state.pool.clear();
         self.by_incarnation.remove(&state.incarnation);
         let load_id = load::server(&state.incarnation);
-        // Hashed IDs may collide, so the entry may belong to another server.
+        // Hashed IDs may collide, so the index may point to another server.
         if self.by_load_id.get(&load_id) == Some(&key) {
             self.by_load_id.remove(&load_id);
         }
--- a/crates/gradedyke-gateway/src/placement/cost.rs
+++ b/crates/gradedyke-gateway/src/placement/cost.rs
@@ -75,7 +75,7 @@
             (false, false) => NON_REPEATABLE_LOSS_MS,
             (false, true) => REPEATABLE_LOSS_MS,
         };
-        candidate.failure_rate * loss_ms
+        candidate.risk * loss_ms
     }
 
     /// Delay in milliseconds for this request and the requests that run beside it.
--- a/crates/gradedyke-gateway/src/placement/mod.rs
+++ b/crates/gradedyke-gateway/src/placement/mod.rs
@@ -39,7 +39,7 @@
     /// Whether the request may be run more than once.
     pub repeatable: bool,
     /// Expected share of requests that fail there, 0 to 1.
-    pub failure_rate: f64,
+    pub risk: f64,
     /// Hash of the request and server IDs, to break ties and draw samples.
     pub hash: u64,
 }
--- a/crates/gradedyke-gateway/tests/placement.rs
+++ b/crates/gradedyke-gateway/tests/placement.rs
@@ -23,7 +23,7 @@
         },
         slowness: 1.0,
         repeatable: false,
-        failure_rate: 0.0,
+        risk: 0.0,
         hash: 0,
     }
 }
