--- a/crates/gradedyke-gateway/src/health.rs
+++ b/crates/gradedyke-gateway/src/health.rs
@@ -1,10 +1,10 @@
 //! Health of one backend server, from the outcomes of its requests.
 //!
-//! Two signals are kept. After a connection failure or a timeout, the server is in
-//! *backoff*: it gets no requests while others are available. Independently, the
-//! *failure rate* is the share of its requests over the last seconds and over all
-//! instances that failed, were rejected or took far too long. Placement policies weigh
-//! it against the cost of a failure.
+//! Two signals are kept. After a connection failure, a malformed response or a timeout,
+//! the server is in *backoff*: it gets no requests while others are available.
+//! Independently, the *failure rate* is the share of its requests over the last seconds
+//! and over all instances that failed, were rejected or took far too long. Placement
+//! policies weigh it against the cost of a failure.
 
 use std::ops::Add;
 use std::time::Duration;
