--- a/crates/gradedyke-gateway/src/fleet/registry.rs
+++ b/crates/gradedyke-gateway/src/fleet/registry.rs
@@ -265,8 +265,8 @@
         self.insert(state.successor(server, read_at));
     }
 
-    /// Marks a server whose record cannot be parsed. It gets no new requests; those in
-    /// flight may complete. Logged once until the record can be parsed again.
+    /// Marks a server whose record is invalid. It gets no new requests; those in flight may
+    /// complete. Logged once until a valid record is read.
     pub(super) fn mark_unreadable(&mut self, id: &Id, error: &Invalid) {
         let key = self.by_id.get(id).copied();
         let is_first = match key.and_then(|key| self.servers.get_mut(key)) {
--- a/crates/gradedyke-gateway/src/fleet/server_state.rs
+++ b/crates/gradedyke-gateway/src/fleet/server_state.rs
@@ -47,7 +47,7 @@
     pub(super) previous_starts_ms: Vec<u64>,
     /// Cancelled when the process has ended.
     pub(super) process_ended: CancellationToken,
-    /// Whether its current record cannot be parsed. It then gets no new requests.
+    /// Whether its current record is invalid. It then gets no new requests.
     pub(super) is_unreadable: bool,
     pub(super) directory_state: DirectoryState,
     /// When its warm-up ends.
