--- a/crates/gradedyke-turns/src/membership/decide.rs
+++ b/crates/gradedyke-turns/src/membership/decide.rs
@@ -1,4 +1,4 @@
-//! What a replica does about the view, from what it sees.
+//! Decides how a replica should change the view.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -10,293 +10,311 @@
 use crate::sync::Progress;
 use crate::view::{Disk, Member, View};
 
-/// How long a replica must be out of reach before a newcomer takes its place.
-/// A killed process is back within that time as a rule.
-const GONE: Duration = Duration::from_secs(2);
-/// The same where nobody waits for the place, and only the majority is to
-/// become smaller again.
-const SURPLUS: Duration = Duration::from_secs(8);
-/// How long a replica must be out of reach before it is given up although records
-/// may be on it alone: more disks were lost than is tolerated, or one was lost
-/// before another was level. Longer than any outage of a single instance in use
-/// (12 s), so that its disk is back in time as a rule.
-const GIVEN_UP: Duration = Duration::from_secs(20);
-/// How long a replica that is to be emptied waits for a spare to take its place:
-/// the spare's look, its copying, and its counting.
-const SPARE: Duration = Duration::from_millis(2_500);
-/// How long a vacant place is left to replicas of data centres that have fewer
-/// members, after the last of them had its turn. They hear of it within 0.15 s of each
-/// other, and at a first start instances start within 0.3 s.
-const PRECEDENCE: Duration = Duration::from_millis(600);
-/// Longest time by which replicas that start for the first time enter one after the
-/// other. With 36 of them that entered as soon as they could, 97 of 102 tries came too
-/// late, each a call to the platform; traffic begins 10 s after a first start.
-const FIRST_TURN: Duration = Duration::from_secs(1);
-/// The same of spares, which somebody waits for.
-const TURN: Duration = Duration::from_millis(300);
-/// How long nothing may have changed before a member is moved to another data
-/// centre: the time in which a restarted instance is back and level again. A
-/// move copies all records once, which is not worth it for a short loss.
-const SETTLED: Duration = Duration::from_secs(5);
+/// How long a member must be unreachable before a spare may replace it. A killed
+/// process usually restarts within this time.
+const REPLACE_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long a member must be unreachable before it is removed without a
+/// replacement, where there are more active members than needed.
+const SURPLUS_REMOVAL_TIMEOUT: Duration = Duration::from_secs(8);
+/// How long members must be unreachable before the others continue without them
+/// even though that may lose records: more disks were lost than tolerated, or one
+/// was lost before another had caught up. Longer than the usual outage of a single
+/// instance, so that its disk has time to return.
+const GIVE_UP_TIMEOUT: Duration = Duration::from_secs(20);
+/// How long a member that is to be retired waits for a spare to join, catch up and
+/// become active in its place.
+const SPARE_WAIT: Duration = Duration::from_millis(2_500);
+/// How much longer than the maximum jitter a vacancy is reserved for replicas of the
+/// data centres with the fewest members. Covers the time that these need to start and
+/// to learn of the vacancy.
+const PRIORITY_WINDOW: Duration = Duration::from_millis(600);
+/// Maximum jitter before joining at a first start. Spreads the joins out, because
+/// concurrent ones conflict and each conflict costs a call to the platform.
+const FIRST_START_MAX_JITTER: Duration = Duration::from_secs(1);
+/// Maximum jitter before a spare joins. Shorter, because the vacancy lowers the
+/// number of losses that can be survived.
+const SPARE_MAX_JITTER: Duration = Duration::from_millis(300);
+/// How long the situation must be unchanged before a member is moved to another
+/// data centre. Long enough for an instance to restart and catch up, because a move
+/// copies all records and isn't worthwhile for a short outage.
+const REBALANCE_DELAY: Duration = Duration::from_secs(5);
 
-/// How this replica takes part.
+/// Settings of this replica's membership.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Its instance's name.
+    /// The name of its instance.
     pub name: String,
-    /// Where it answers.
+    /// The address on which it serves peers.
     pub address: SocketAddr,
     /// Its data centre.
     pub data_centre: String,
-    /// All data centres in which there may be replicas, as far as known.
+    /// All known data centres in which replicas may run.
     pub data_centres: Vec<String>,
-    /// Whether the whole system starts for the first time, so that an empty
-    /// disk has lost nothing.
+    /// Whether the whole system starts for the first time, so that an empty disk
+    /// doesn't mean that records were lost.
     pub first_start: bool,
-    /// Disks that may be lost at a time.
+    /// How many disks may be lost at the same time without losing records.
     pub tolerate: usize,
-    /// How long it lets others go first where all may enter, as [`turn`] draws it.
+    /// Delay before this replica joins where several may, as drawn by [`turn`].
     pub turn: Duration,
 }
 
-/// The longest that a replica lets others go first.
-fn longest_turn(first_start: bool) -> Duration {
-    if first_start { FIRST_TURN } else { TURN }
+fn max_jitter(first_start: bool) -> Duration {
+    if first_start {
+        FIRST_START_MAX_JITTER
+    } else {
+        SPARE_MAX_JITTER
+    }
 }
 
-/// Draws how long a replica lets others go first.
+/// Draws a random delay before a replica joins, so that replicas rarely try to join
+/// at the same time.
 pub fn turn(first_start: bool) -> Duration {
-    longest_turn(first_start).mul_f64(rand::random())
+    max_jitter(first_start).mul_f64(rand::random())
 }
 
-/// What a replica sees when it decides.
+/// What a replica knows when it decides.
 #[derive(Clone, Debug)]
-pub struct Sight<'a> {
-    /// The view.
+pub struct Observation<'a> {
+    /// The current view.
     pub view: &'a View,
-    /// Its own disk.
+    /// The replica's own disk.
     pub disk: Disk,
-    /// How far it has followed the others.
+    /// How far it has synced from each other member.
     pub progress: &'a HashMap<Disk, Progress>,
-    /// Since when it is to be emptied.
-    pub leave: Option<Instant>,
-    /// Names of all instances that are to be emptied.
-    pub leaving: &'a HashSet<String>,
-    /// Whether all others that count have followed all that it has.
-    pub followed: bool,
-    /// Since when the view, those out of reach and those to be emptied are the
-    /// same.
-    pub unchanged: Instant,
+    /// Since when its own instance is to be retired, if it is.
+    pub leave_since: Option<Instant>,
+    /// Names of all instances that are to be retired.
+    pub retiring: &'a HashSet<String>,
+    /// Whether all other active members have all of its records.
+    pub others_caught_up: bool,
+    /// Since when the view, the unreachable members and the instances to be retired
+    /// have been the same.
+    pub unchanged_since: Instant,
 }
 
-impl Sight<'_> {
-    /// Whether a member has been out of reach for `time`.
-    fn lost(&self, member: &Member, time: Duration, now: Instant) -> bool {
+impl Observation<'_> {
+    /// Whether a member has been unreachable for at least `duration`.
+    fn is_unreachable_for(&self, member: &Member, duration: Duration, now: Instant) -> bool {
         let progress = self.progress.get(&member.disk);
-        let lost = progress.and_then(|p| p.lost);
-        lost.is_some_and(|at| now - at >= time)
+        let unreachable_since = progress.and_then(|p| p.unreachable_since);
+        unreachable_since.is_some_and(|at| now - at >= duration)
     }
 
-    /// Whether a member is there and to stay.
-    fn stays(&self, member: &Member, now: Instant) -> bool {
-        !self.lost(member, GONE, now) && !self.leaving.contains(&member.name)
+    /// Whether a member is reachable and not to be retired.
+    fn is_stable(&self, member: &Member, now: Instant) -> bool {
+        !self.is_unreachable_for(member, REPLACE_TIMEOUT, now)
+            && !self.retiring.contains(&member.name)
     }
 
-    /// Members that are there and to stay.
-    fn staying(&self, now: Instant) -> impl Iterator<Item = &Member> {
+    fn stable_members(&self, now: Instant) -> impl Iterator<Item = &Member> {
         let members = self.view.members.iter();
-        members.filter(move |m| self.stays(m, now))
+        members.filter(move |m| self.is_stable(m, now))
     }
 
-    /// Whether fewer take part than are needed to bear the losses tolerated.
-    fn vacant(&self, now: Instant) -> bool {
-        self.staying(now).count() < wanted(self.view)
+    /// Whether there are fewer stable members than needed.
+    fn has_vacancy(&self, now: Instant) -> bool {
+        self.stable_members(now).count() < target_member_count(self.view)
     }
 
-    /// Whether more count than are needed, and nobody is about to come or go.
-    fn surplus(&self, now: Instant) -> bool {
+    /// Whether there are more members than needed, all of them active and stable.
+    fn has_surplus(&self, now: Instant) -> bool {
         let members = &self.view.members;
-        let calm = members.iter().all(|m| m.active && self.stays(m, now));
-        calm && members.len() > wanted(self.view)
+        let all_stable = members.iter().all(|m| m.active && self.is_stable(m, now));
+        all_stable && members.len() > target_member_count(self.view)
     }
 
-    /// Whether exactly those take part that are needed.
-    fn complete(&self, now: Instant) -> bool {
+    /// Whether there are exactly as many members as needed, all of them active and
+    /// stable.
+    fn is_complete(&self, now: Instant) -> bool {
         let members = &self.view.members;
-        let calm = members.iter().all(|m| m.active && self.stays(m, now));
-        calm && members.len() == wanted(self.view)
+        let all_stable = members.iter().all(|m| m.active && self.is_stable(m, now));
+        all_stable && members.len() == target_member_count(self.view)
     }
 }
 
-/// How many take part: the fewest whose majority survives the losses tolerated.
-pub(super) fn wanted(view: &View) -> usize {
+/// How many members are needed: the smallest number of which a majority remains
+/// after the tolerated losses.
+pub(super) fn target_member_count(view: &View) -> usize {
     2 * view.tolerate + 1
 }
 
-/// The view that a replica should propose, if any.
-pub fn decide(config: &Config, sight: &Sight<'_>, now: Instant) -> Option<View> {
-    let view = sight.view;
-    match (view.find(sight.disk), sight.leave) {
+/// Returns the view that this replica should propose, if any.
+pub fn decide(config: &Config, observation: &Observation<'_>, now: Instant) -> Option<View> {
+    let view = observation.view;
+    match (view.find(observation.disk), observation.leave_since) {
         (None, Some(_)) => None,
         (None, None) => {
-            let again = view.members.iter().any(|m| m.name == config.name);
-            let enters = again || fills(config, sight, now) || evens(config, sight, now);
-            enters.then(|| enter(config, sight))
+            let replaces_own_disk = view.members.iter().any(|m| m.name == config.name);
+            let joins = replaces_own_disk
+                || should_fill_vacancy(config, observation, now)
+                || should_rebalance(config, observation, now);
+            joins.then(|| join(config, observation))
         }
-        (Some(_), Some(since)) => leave(sight, since, now),
-        (Some(me), None) if me.address != config.address => Some(moved(config, sight)),
-        (Some(me), None) if me.active => {
-            drop_lost(sight, now).or_else(|| make_way(config, sight, now))
+        (Some(_), Some(since)) => leave(observation, since, now),
+        (Some(me), None) if me.address != config.address => {
+            Some(update_address(config, observation))
         }
-        (Some(_), None) => activate(sight, now),
+        (Some(me), None) if me.active => remove_unreachable(observation, now)
+            .or_else(|| leave_if_surplus(config, observation, now)),
+        (Some(_), None) => activate(observation, now),
     }
 }
 
-/// Whether this replica is to take a vacant place: when it is its turn if its data
-/// centre has the fewest members, and otherwise when nobody of such a one came.
-fn fills(config: &Config, sight: &Sight<'_>, now: Instant) -> bool {
-    if !sight.vacant(now) {
+/// Whether this replica should take a vacant place. Replicas in the data centre with
+/// the fewest members may do so after their jitter, others only after the priority
+/// window.
+fn should_fill_vacancy(config: &Config, observation: &Observation<'_>, now: Instant) -> bool {
+    if !observation.has_vacancy(now) {
         return false;
     }
-    let spread = Spread::new(sight.staying(now), &config.data_centres);
-    let fewest = spread.is_fewest(&config.data_centre);
-    let others = if fewest {
+    let spread = Spread::new(observation.stable_members(now), &config.data_centres);
+    let has_priority = spread.has_fewest(&config.data_centre);
+    let priority_delay = if has_priority {
         Duration::ZERO
     } else {
-        longest_turn(config.first_start) + PRECEDENCE
+        max_jitter(config.first_start) + PRIORITY_WINDOW
     };
-    now - sight.unchanged >= others + config.turn
+    now - observation.unchanged_since >= priority_delay + config.turn
 }
 
-/// Whether this replica is to enter although no place is vacant, so that one in a
-/// data centre with more members can go.
-fn evens(config: &Config, sight: &Sight<'_>, now: Instant) -> bool {
-    if !sight.complete(now) {
+/// Whether this replica should join although no place is vacant, so that a member in
+/// a data centre with more members can leave.
+fn should_rebalance(config: &Config, observation: &Observation<'_>, now: Instant) -> bool {
+    if !observation.is_complete(now) {
         return false;
     }
-    let spread = Spread::new(&sight.view.members, &config.data_centres);
-    spread.lacks(&config.data_centre) && now - sight.unchanged >= SETTLED + config.turn
+    let spread = Spread::new(&observation.view.members, &config.data_centres);
+    spread.is_underrepresented(&config.data_centre)
+        && now - observation.unchanged_since >= REBALANCE_DELAY + config.turn
 }
 
-/// Enters the view. Before so many count that anything could have been kept, an
-/// empty disk of a first start counts at once.
-fn enter(config: &Config, sight: &Sight<'_>) -> View {
-    let mut view = sight.view.clone();
+/// Adds this replica to the view. At a first start it is active at once as long as
+/// there are too few active members to have stored any record.
+fn join(config: &Config, observation: &Observation<'_>) -> View {
+    let mut view = observation.view.clone();
     view.tolerate = config.tolerate;
-    let unserved = view.active().count() <= config.tolerate;
+    let no_records_yet = view.active().count() <= config.tolerate;
     let mut members = view.members.clone();
-    // The same instance with another disk: that one was lost.
+    // If this instance is already a member with another disk, that disk was lost.
     members.retain(|m| m.name != config.name);
     members.push(Member {
         name: config.name.clone(),
-        disk: sight.disk,
+        disk: observation.disk,
         address: config.address,
         data_centre: config.data_centre.clone(),
-        active: config.first_start && unserved,
+        active: config.first_start && no_records_yet,
     });
     view.next(members)
 }
 
-fn moved(config: &Config, sight: &Sight<'_>) -> View {
-    let mut members = sight.view.members.clone();
+fn update_address(config: &Config, observation: &Observation<'_>) -> View {
+    let mut members = observation.view.members.clone();
     for member in &mut members {
-        if member.disk == sight.disk {
+        if member.disk == observation.disk {
             member.address = config.address;
         }
     }
-    sight.view.next(members)
+    observation.view.next(members)
 }
 
-/// Leaves once the others have everything and are enough. A spare that could
-/// take the place is waited for.
-fn leave(sight: &Sight<'_>, since: Instant, now: Instant) -> Option<View> {
-    let view = sight.view;
-    let others = view.active().filter(|m| m.disk != sight.disk).count();
-    let spared = others >= wanted(view) || now - since >= SPARE;
-    if !sight.followed || others <= view.tolerate || !spared {
+/// Removes this replica from the view once the other active members have all of its
+/// records and are enough to store new ones. Waits a limited time for a spare.
+fn leave(observation: &Observation<'_>, since: Instant, now: Instant) -> Option<View> {
+    let view = observation.view;
+    let others = view.active().filter(|m| m.disk != observation.disk).count();
+    let waited_for_spare = others >= target_member_count(view) || now - since >= SPARE_WAIT;
+    if !observation.others_caught_up || others <= view.tolerate || !waited_for_spare {
         return None;
     }
-    Some(without(view, sight.disk))
+    Some(remove(view, observation.disk))
 }
 
-/// Counts from now on, and drops those that are gone.
-fn activate(sight: &Sight<'_>, now: Instant) -> Option<View> {
-    let view = sight.view;
-    let mut gone = Vec::new();
-    let mut level = 0;
+/// Makes this replica active and removes members that are unreachable.
+fn activate(observation: &Observation<'_>, now: Instant) -> Option<View> {
+    let view = observation.view;
+    let mut unreachable = Vec::new();
+    let mut synced = 0;
     for member in view.active() {
-        let progress = sight.progress.get(&member.disk).copied();
+        let progress = observation.progress.get(&member.disk).copied();
         let progress = progress.unwrap_or_default();
-        if progress.lost.is_some_and(|at| now - at >= GONE) {
-            gone.push(member.disk);
-        } else if progress.lost.is_none() && progress.level >= Some(view.version) {
-            level += 1;
+        if progress
+            .unreachable_since
+            .is_some_and(|at| now - at >= REPLACE_TIMEOUT)
+        {
+            unreachable.push(member.disk);
+        } else if progress.unreachable_since.is_none() && progress.level >= Some(view.version) {
+            synced += 1;
         } else {
             return None;
         }
     }
-    // Fewer than a quorum may lack a record that only a lost one has.
+    // Fewer members than a quorum may lack a record that only a lost member has.
     let active = view.active().count();
-    if level < view.quorum().min(active) && !given_up(sight, level, now) {
+    if synced < view.quorum().min(active) && !should_give_up_unreachable(observation, synced, now) {
         return None;
     }
     let mut members = view.members.clone();
-    members.retain(|m| !gone.contains(&m.disk));
+    members.retain(|m| !unreachable.contains(&m.disk));
     for member in &mut members {
-        member.active |= member.disk == sight.disk;
+        member.active |= member.disk == observation.disk;
     }
     Some(view.next(members))
 }
 
-/// Whether the members that are lost have been so for so long that it is better
-/// to go on without them. At least one must have been followed.
-fn given_up(sight: &Sight<'_>, level: usize, now: Instant) -> bool {
-    let present = |m: &&Member| {
-        sight
+/// Whether all unreachable active members have been so for long enough to continue
+/// without them. At least one member must have been synced from.
+fn should_give_up_unreachable(observation: &Observation<'_>, synced: usize, now: Instant) -> bool {
+    let is_reachable = |m: &&Member| {
+        observation
             .progress
             .get(&m.disk)
-            .is_some_and(|p| p.lost.is_none())
+            .is_some_and(|p| p.unreachable_since.is_none())
     };
-    let mut lost = sight.view.active().filter(|m| !present(m));
-    let over = lost.all(|m| sight.lost(m, GIVEN_UP, now));
-    if over && level > 0 {
+    let mut unreachable = observation.view.active().filter(|m| !is_reachable(m));
+    let timed_out = unreachable.all(|m| observation.is_unreachable_for(m, GIVE_UP_TIMEOUT, now));
+    if timed_out && synced > 0 {
         tracing::error!(
             event = "replicas_given_up",
-            view = sight.view.version,
-            level,
+            view = observation.view.version,
+            level = synced,
             remedy = "more disks were lost than is tolerated; turns may be missing"
         );
     }
-    over && level > 0
+    timed_out && synced > 0
 }
 
-/// Drops one that has been out of reach for long, where enough others remain.
-fn drop_lost(sight: &Sight<'_>, now: Instant) -> Option<View> {
-    let view = sight.view;
-    if view.active().count() <= wanted(view) {
+/// Removes a member that has been unreachable for long, if there are more active
+/// members than needed.
+fn remove_unreachable(observation: &Observation<'_>, now: Instant) -> Option<View> {
+    let view = observation.view;
+    if view.active().count() <= target_member_count(view) {
         return None;
     }
-    let gone = view.active().find(|m| sight.lost(m, SURPLUS, now))?.disk;
-    Some(without(view, gone))
+    let unreachable = view
+        .active()
+        .find(|m| observation.is_unreachable_for(m, SURPLUS_REMOVAL_TIMEOUT, now))?
+        .disk;
+    Some(remove(view, unreachable))
 }
 
-/// Leaves where more count than are needed and the others have everything: the
-/// last of those in the data centre with the most members. Somebody entered for
-/// one that was out of reach and came back, or to even the members out.
-fn make_way(config: &Config, sight: &Sight<'_>, now: Instant) -> Option<View> {
-    if !sight.followed || !sight.surplus(now) {
+/// Removes this replica if there are more members than needed, the others have all
+/// of its records, and it is the last member in the data centre with the most. A
+/// surplus arises when a replaced member returns, and from rebalancing.
+fn leave_if_surplus(config: &Config, observation: &Observation<'_>, now: Instant) -> Option<View> {
+    if !observation.others_caught_up || !observation.has_surplus(now) {
         return None;
     }
-    let view = sight.view;
+    let view = observation.view;
     let spread = Spread::new(&view.members, &config.data_centres);
-    let crowded = view.members.iter();
-    let mut crowded = crowded.filter(|m| spread.is_most(&m.data_centre));
-    let last = crowded.next_back().map(|m| m.disk);
-    (last == Some(sight.disk)).then(|| without(view, sight.disk))
+    let candidates = view.members.iter();
+    let mut candidates = candidates.filter(|m| spread.has_most(&m.data_centre));
+    let last = candidates.next_back().map(|m| m.disk);
+    (last == Some(observation.disk)).then(|| remove(view, observation.disk))
 }
 
-/// The view after this one, without the replica on `disk`.
-fn without(view: &View, disk: Disk) -> View {
+/// Returns the next view, without the member on `disk`.
+fn remove(view: &View, disk: Disk) -> View {
     let mut members = view.members.clone();
     members.retain(|m| m.disk != disk);
     view.next(members)
--- a/crates/gradedyke-turns/src/membership/mod.rs
+++ b/crates/gradedyke-turns/src/membership/mod.rs
@@ -1,17 +1,17 @@
-//! How the view changes: replicas join, replace lost ones and leave.
+//! Membership changes: replicas join the view, replace lost members and leave.
 //!
-//! Each replica changes the view only for itself: it enters as one that does
-//! not count yet, takes in all that the others have, and then counts; at that
-//! moment it drops those that are gone for good. There is no leader among the
-//! replicas, and compare-and-swap orders their changes. No more than are needed
-//! to bear the losses tolerated take part, because each costs a copy; the rest
-//! are spares that enter when a place becomes vacant, those first whose data
-//! centre has the fewest members.
+//! Each replica proposes its own changes: it joins as an inactive member, syncs all
+//! records from the others, and then becomes active; with that change it also
+//! removes members that are unreachable. There is no leader; changes are ordered by
+//! compare-and-swap. Only as many replicas as the tolerated losses require are
+//! members, because each holds a copy of all records. The others are spares, which
+//! join when a place becomes vacant; those in the data centre with the fewest
+//! members have priority.
 //!
-//! Why dropping is safe: any quorum of those that count has each record between
-//! them, also where a disk has been lost already. A replica counts only after it
-//! has followed a whole quorum, at a time when its members refuse requests of the
-//! view before.
+//! Removing a member is safe because the members of any quorum together have every
+//! record, even after a tolerated disk loss. A replica becomes active only after it
+//! has synced from a whole quorum whose members already refuse requests of earlier
+//! views.
 
 pub mod decide;
 pub mod spread;
@@ -27,62 +27,64 @@
 use tokio::time::Instant;
 use tokio_util::sync::{CancellationToken, DropGuard};
 
-pub use self::decide::{Config, Sight, decide, turn};
+pub use self::decide::{Config, Observation, decide, turn};
 use crate::index::Position;
 use crate::mirror::{self, Mirror};
 use crate::replica::Replica;
 use crate::sync::{Follower, Progress};
 use crate::view::{self, Disk, Member, View};
 
-/// How far behind another may be and still have followed: the time after which
-/// a follower asks for what has not reached it by itself, and a round.
-const LAG: Duration = Duration::from_millis(500);
-/// How often the view is looked at when nothing changed.
-const LOOK: Duration = Duration::from_millis(200);
+/// How far another replica may lag behind and still be considered caught up. Covers a
+/// follower's delay before it fetches missing records, and one call.
+const MAX_LAG: Duration = Duration::from_millis(500);
+/// How often the membership is checked if the mirror doesn't change.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Requests of operators to empty an instance, as the platform words them.
+/// Operators' requests to retire an instance, in the platform's format.
 pub trait Removal: Send + Sync {
-    /// The names of the instances that are to be emptied.
+    /// Returns the names of the instances that are to be retired.
     fn requested(&self, mirror: &Mirror) -> HashSet<String>;
-    /// The key and value that tell how far that is.
+    /// Returns the key and value that report whether the instance `name` has left the view.
     fn status(&self, name: &str, done: bool) -> (String, Vec<u8>);
 }
 
-/// Keeps a replica in the view.
+/// Keeps the view up to date on behalf of one replica.
 pub struct Membership {
     config: Config,
     replica: Arc<Replica>,
     kv: Arc<dyn KeyValue>,
     removal: Arc<dyn Removal>,
-    followers: HashMap<(Disk, SocketAddr), Followed>,
+    followers: HashMap<(Disk, SocketAddr), FollowerHandle>,
     tasks: JoinSet<()>,
-    told: Option<bool>,
-    /// Since when this replica is to be emptied.
-    leave: Option<Instant>,
-    /// Where the arrivals ended at the last looks, the oldest first.
-    ends: VecDeque<(Instant, Position)>,
-    /// What the last decision was about, and since when that is the same.
+    /// The retirement status last written for the operator.
+    reported_done: Option<bool>,
+    /// Since when this replica's instance is to be retired.
+    leave_since: Option<Instant>,
+    /// End positions of the index at recent checks, oldest first.
+    recent_ends: VecDeque<(Instant, Position)>,
+    /// The current situation, and since when it has been unchanged.
     situation: (Situation, Instant),
 }
 
-/// What a replica waits for to last before it changes the view.
+/// Facts that must be unchanged for some time before certain changes to the view.
 #[derive(Default, PartialEq, Eq)]
 struct Situation {
     /// The version of the view.
     version: u64,
-    /// Members out of reach.
-    lost: BTreeSet<Disk>,
-    /// Names of the instances that are to be emptied.
-    leaving: BTreeSet<String>,
+    /// Unreachable members.
+    unreachable: BTreeSet<Disk>,
+    /// Names of the instances that are to be retired.
+    retiring: BTreeSet<String>,
 }
 
-struct Followed {
+/// A running follower of another member.
+struct FollowerHandle {
     progress: watch::Receiver<Progress>,
     _stop: DropGuard,
 }
 
 impl Membership {
-    /// A membership of `replica`.
+    /// Creates the membership of `replica`. It does nothing until it is run.
     pub fn new(
         config: Config,
         replica: Arc<Replica>,
@@ -96,88 +98,94 @@
             removal,
             followers: HashMap::new(),
             tasks: JoinSet::new(),
-            told: None,
-            leave: None,
-            ends: VecDeque::new(),
+            reported_done: None,
+            leave_since: None,
+            recent_ends: VecDeque::new(),
             situation: (Situation::default(), Instant::now()),
         }
     }
 
-    /// Takes part until `stop`.
+    /// Checks and changes the view as needed until `stop` is cancelled.
     pub async fn run(mut self, stop: CancellationToken) {
         let mut changed = self.replica.mirror().watch();
         loop {
-            self.look().await;
+            self.update().await;
             tokio::select! {
                 _ = changed.changed() => {}
-                () = tokio::time::sleep(LOOK) => {}
+                () = tokio::time::sleep(POLL_INTERVAL) => {}
                 () = stop.cancelled() => return,
             }
         }
     }
 
-    async fn look(&mut self) {
+    /// Runs one check: updates the followers, proposes a change to the view if one is
+    /// due, and reports the retirement status.
+    async fn update(&mut self) {
         let mirror = self.replica.mirror().clone();
         let (view, revision) = read(&mirror).unwrap_or_default();
         self.replica.learn(&view);
-        self.follow(&view);
-        // Before the first listing what is known of the view is an old copy.
+        self.update_followers(&view);
+        // The view may be outdated until the mirror has been read from the platform.
         if mirror.age(Instant::now()).is_none() {
             return;
         }
-        let leaving = self.removal.requested(&mirror);
+        let retiring = self.removal.requested(&mirror);
         let now = Instant::now();
-        let leave = leaving.contains(&self.config.name);
-        self.leave = leave.then(|| self.leave.unwrap_or(now));
+        let must_leave = retiring.contains(&self.config.name);
+        self.leave_since = must_leave.then(|| self.leave_since.unwrap_or(now));
         let progress = self.progress();
-        // Asked only where somebody is to leave, which may be this replica.
-        let surplus = view.active().count() > decide::wanted(&view);
-        if !leave && !surplus {
-            self.ends.clear();
+        // The others' progress matters only if this replica may have to leave.
+        let has_surplus = view.active().count() > decide::target_member_count(&view);
+        if !must_leave && !has_surplus {
+            self.recent_ends.clear();
         }
-        let followed = (leave || surplus) && self.followed(&view, now);
-        let unchanged = self.unchanged(&view, &progress, &leaving, now);
-        let sight = Sight {
+        let others_caught_up =
+            (must_leave || has_surplus) && self.have_others_caught_up(&view, now);
+        let unchanged_since = self.unchanged_since(&view, &progress, &retiring, now);
+        let observation = Observation {
             view: &view,
             disk: self.replica.disk(),
             progress: &progress,
-            leave: self.leave,
-            leaving: &leaving,
-            followed,
-            unchanged,
+            leave_since: self.leave_since,
+            retiring: &retiring,
+            others_caught_up,
+            unchanged_since,
         };
-        let proposal = decide(&self.config, &sight, now);
+        let proposal = decide(&self.config, &observation, now);
         if let Some(next) = proposal {
             self.propose(next, revision).await;
         }
-        if leave {
+        if must_leave {
             let done = view.find(self.replica.disk()).is_none();
-            self.tell(done).await;
+            self.report_status(done).await;
         }
     }
 
+    /// Returns how far this replica has synced from each other member.
     fn progress(&self) -> HashMap<Disk, Progress> {
         let followers = self.followers.iter();
-        let progress = |((disk, _), f): (&(Disk, SocketAddr), &Followed)| {
-            let progress: Progress = *f.progress.borrow();
+        let progress = |((disk, _), handle): (&(Disk, SocketAddr), &FollowerHandle)| {
+            let progress: Progress = *handle.progress.borrow();
             (*disk, progress)
         };
         followers.map(progress).collect()
     }
 
-    /// Since when the situation is as it is now.
-    fn unchanged(
+    /// Returns since when the situation has been the same as now.
+    fn unchanged_since(
         &mut self,
         view: &View,
         progress: &HashMap<Disk, Progress>,
-        leaving: &HashSet<String>,
+        retiring: &HashSet<String>,
         now: Instant,
     ) -> Instant {
-        let lost = progress.iter().filter(|(_, p)| p.lost.is_some());
+        let unreachable = progress
+            .iter()
+            .filter(|(_, p)| p.unreachable_since.is_some());
         let situation = Situation {
             version: view.version,
-            lost: lost.map(|(disk, _)| *disk).collect(),
-            leaving: leaving.iter().cloned().collect(),
+            unreachable: unreachable.map(|(disk, _)| *disk).collect(),
+            retiring: retiring.iter().cloned().collect(),
         };
         if self.situation.0 != situation {
             self.situation = (situation, now);
@@ -185,26 +193,26 @@
         self.situation.1
     }
 
-    /// Whether all others that count have followed what arrived here up to a
-    /// moment ago. Under load something always arrives; the newest records are
-    /// on their way to all others too, from whoever wrote them.
-    fn followed(&mut self, view: &View, now: Instant) -> bool {
+    /// Whether all other active members have the records that arrived here before
+    /// [`MAX_LAG`] ago. Newer records needn't be waited for, because their writer sends
+    /// them to all members.
+    fn have_others_caught_up(&mut self, view: &View, now: Instant) -> bool {
         let end = self.replica.index().end();
-        self.ends.push_back((now, end));
-        while self.ends.len() > 1 && now - self.ends[1].0 >= LAG {
-            self.ends.pop_front();
+        self.recent_ends.push_back((now, end));
+        while self.recent_ends.len() > 1 && now - self.recent_ends[1].0 >= MAX_LAG {
+            self.recent_ends.pop_front();
         }
-        let (since, end) = self.ends[0];
-        if now - since < LAG {
+        let (since, end) = self.recent_ends[0];
+        if now - since < MAX_LAG {
             return false;
         }
         let own = self.replica.disk();
         let mut others = view.active().filter(|m| m.disk != own);
-        others.all(|m| self.replica.followed(m.disk, end))
+        others.all(|m| self.replica.has_synced(m.disk, end))
     }
 
-    /// Follows exactly the other members.
-    fn follow(&mut self, view: &View) {
+    /// Starts and stops followers so that exactly the other members are followed.
+    fn update_followers(&mut self, view: &View) {
         let own = self.replica.disk();
         let others: Vec<_> = view.members.iter().filter(|m| m.disk != own).collect();
         self.followers
@@ -219,15 +227,16 @@
             let replica = self.replica.clone();
             let follower = Follower::new(replica, member.disk, member.address, sender);
             self.tasks.spawn(follower.run(stop.clone()));
-            let followed = Followed {
+            let handle = FollowerHandle {
                 progress,
                 _stop: stop.drop_guard(),
             };
-            self.followers.insert(key, followed);
+            self.followers.insert(key, handle);
         }
         while self.tasks.try_join_next().is_some() {}
     }
 
+    /// Tries to replace the view at revision `expected` with `view`.
     async fn propose(&self, view: View, expected: u64) {
         let value = match serde_json::to_vec(&view) {
             Ok(value) => value,
@@ -242,7 +251,7 @@
             value: Some(value.clone()),
             lease: None,
         };
-        let members: Vec<_> = view.members.iter().map(label).collect();
+        let members: Vec<_> = view.members.iter().map(format_member).collect();
         let members = members.join(",");
         match kv::settle(&*self.kv, swap).await {
             Ok(Swapped::Done(revision)) => {
@@ -262,7 +271,8 @@
             }
             Ok(Swapped::Conflict(held)) => {
                 tracing::info!(event = "view_conflict", version = view.version, expected);
-                // What it holds now arrives otherwise only after another try.
+                // Without this, the next attempt could conflict again before the current
+                // value arrives by itself.
                 let items = held.map(mirror::Item::from).into_iter().collect();
                 self.replica.mirror().put(items, Instant::now());
             }
@@ -272,16 +282,16 @@
         }
     }
 
-    /// Tells the operator how far the emptying is, once for each answer.
-    async fn tell(&mut self, done: bool) {
-        if self.told == Some(done) {
+    /// Writes for the operator whether this instance has left the view, if that changed.
+    async fn report_status(&mut self, done: bool) {
+        if self.reported_done == Some(done) {
             return;
         }
         let (key, value) = self.removal.status(&self.config.name, done);
         let written = write(&*self.kv, key, value).await;
         match written {
             Ok(()) => {
-                self.told = Some(done);
+                self.reported_done = Some(done);
                 tracing::info!(event = "emptying", instance = self.config.name, done);
             }
             Err(error) => tracing::warn!(event = "emptying_not_told", done, %error),
@@ -289,12 +299,13 @@
     }
 }
 
-fn label(member: &Member) -> String {
-    let mark = if member.active { "" } else { "?" };
-    format!("{}{mark}", member.name)
+/// Formats a member for the log; inactive members get a question mark.
+fn format_member(member: &Member) -> String {
+    let suffix = if member.active { "" } else { "?" };
+    format!("{}{suffix}", member.name)
 }
 
-/// Writes a key whatever it held before.
+/// Overwrites a key, unless another writer changes it at the same time.
 async fn write(kv: &dyn KeyValue, key: String, value: Vec<u8>) -> Result<(), kv::Error> {
     let expected = kv.get(&key).await?.map_or(0, |e| e.revision);
     let swap = Swap {
@@ -305,18 +316,20 @@
     };
     match kv::settle(kv, swap).await? {
         Swapped::Done(_) => Ok(()),
-        Swapped::Conflict(_) => Err(kv::Error::Refused("somebody else wrote it".to_owned())),
+        Swapped::Conflict(_) => Err(kv::Error::Refused(
+            "the key was changed concurrently".to_owned(),
+        )),
     }
 }
 
-/// The view in the mirror, with its revision.
+/// Returns the view in `mirror` with its revision.
 pub fn read(mirror: &Mirror) -> Option<(View, u64)> {
     let (value, revision) = mirror.get(view::KEY)?;
     match serde_json::from_slice(&value) {
         Ok(view) => Some((view, revision)),
         Err(error) => {
             tracing::error!(event = "view_not_read", revision, %error,
-                remedy = "run the same version everywhere");
+                remedy = "run the same version on all instances");
             None
         }
     }
--- a/crates/gradedyke-turns/src/membership/spread.rs
+++ b/crates/gradedyke-turns/src/membership/spread.rs
@@ -1,30 +1,29 @@
-//! How the members of a view stand over data centres.
+//! How the members of a view are distributed over data centres.
 //!
-//! A data centre is lost as a whole now and then. Spread evenly, 2t + 1 members
-//! in three or more data centres survive that with a quorum. Every replica may
-//! take a vacant place, so the rule is one of precedence: those whose data
-//! centre has the fewest members go first.
+//! An outage can affect a whole data centre. If 2t + 1 members are spread evenly
+//! over three or more data centres, a quorum remains. Any replica may take a vacant
+//! place, but those whose data centre has the fewest members have priority.
 
 use std::collections::BTreeMap;
 
 use crate::view::Member;
 
-/// Members by data centre.
+/// Number of members in each data centre.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Spread<'a> {
     counts: BTreeMap<&'a str, usize>,
 }
 
 impl<'a> Spread<'a> {
-    /// How `members` stand over `data_centres`, which may lack some of theirs.
+    /// Counts `members` in each of `data_centres` and in any other that a member is in.
     ///
     /// ```
     /// use gradedyke_turns::membership::spread::Spread;
     ///
     /// let known = ["north".to_owned(), "south".to_owned()];
     /// let spread = Spread::new([], &known);
-    /// assert!(spread.is_fewest("north"));
-    /// assert!(!spread.lacks("north"));
+    /// assert!(spread.has_fewest("north"));
+    /// assert!(!spread.is_underrepresented("north"));
     /// ```
     pub fn new(members: impl IntoIterator<Item = &'a Member>, data_centres: &'a [String]) -> Self {
         let known = data_centres.iter().map(|d| (d.as_str(), 0));
@@ -40,20 +39,20 @@
     }
 
     /// Whether no data centre has fewer members than this one.
-    pub fn is_fewest(&self, data_centre: &str) -> bool {
+    pub fn has_fewest(&self, data_centre: &str) -> bool {
         let own = self.count(data_centre);
         self.counts.values().all(|count| *count >= own)
     }
 
     /// Whether no data centre has more members than this one.
-    pub fn is_most(&self, data_centre: &str) -> bool {
+    pub fn has_most(&self, data_centre: &str) -> bool {
         let own = self.count(data_centre);
         self.counts.values().all(|count| *count <= own)
     }
 
-    /// Whether a member more here and one less elsewhere would be more even:
-    /// some data centre has at least two more.
-    pub fn lacks(&self, data_centre: &str) -> bool {
+    /// Whether some data centre has at least two more members than this one, so that
+    /// moving a member here makes the distribution more even.
+    pub fn is_underrepresented(&self, data_centre: &str) -> bool {
         let own = self.count(data_centre);
         self.counts.values().any(|count| *count >= own + 2)
     }
--- a/crates/gradedyke-turns/src/recovery.rs
+++ b/crates/gradedyke-turns/src/recovery.rs
@@ -1,10 +1,10 @@
-//! How a replica takes in what is on its disk while it serves already.
+//! Recovery of a replica's index from disk while the replica already serves.
 //!
-//! What a request needs is taken in before it is answered (`Replica::recall`):
-//! all records of its program, and the turns that it continues. The rest follows
-//! in the background ([`Replica::recover`]), the newest segment first. Until all
-//! is in, the replica tells others that it has more to tell, follows nobody, and
-//! forgets nothing.
+//! Records that a request needs are loaded before it is answered
+//! (`Replica::load_for_request`): all records of its program, and the turns that it
+//! continues. The others are loaded in the background ([`Replica::recover`]), newest
+//! segment first. Until all records are loaded, the replica tells its followers that
+//! it has more, syncs from no other replica, and expires nothing.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -17,68 +17,66 @@
 use crate::record::{Id, Record, Turn};
 use crate::replica::Replica;
 
-/// Records taken in at a time while requests wait: 0.5 ms on a whole core, at the 2 µs
-/// for a record that `gradedyke-load run recovery` shows where all are read first.
-const PORTION: usize = 256;
-/// Rest after each portion, twice the time of one on 0.3 of a core, so that requests
-/// get two thirds of it. 107,000 records take 2.8 s so, from the log of a keeper.
-const REST: Duration = Duration::from_millis(3);
+/// Number of records indexed at a time in the background. Requests wait meanwhile.
+const BATCH_RECORDS: usize = 256;
+/// Pause after each batch, which leaves most of the CPU time to requests.
+const BATCH_PAUSE: Duration = Duration::from_millis(3);
 
 impl Replica {
-    /// Takes in from disk what a request about `program` that continues `turn`
-    /// needs, unless it is there.
+    /// Loads from disk the records needed to answer a request of `program` that continues
+    /// `turn`, unless they are in the index already.
     ///
     /// # Errors
     ///
-    /// [`log::Error::Read`] when the disk does not give it back; nothing may then
-    /// be said of what the program used or whether the turn exists.
-    pub(crate) async fn recall(
+    /// [`log::Error::Read`] if they can't be read. It is then unknown how many tokens
+    /// the program used and whether the turn exists.
+    pub(crate) async fn load_for_request(
         &self,
         program: Option<&Id>,
         turn: Option<&Id>,
     ) -> Result<(), log::Error> {
-        if self.recovered() {
+        if self.is_recovered() {
             return Ok(());
         }
         if let Some(program) = program {
-            self.take_program(program).await?;
+            self.load_program(program).await?;
         }
         let Some(turn) = turn else {
             return Ok(());
         };
-        // Each is looked for once: one that is nowhere ends the conversation.
-        let mut asked = HashSet::new();
+        // A turn that is still missing after it was looked up isn't on disk.
+        let mut looked_up = HashSet::new();
         loop {
             let missing = self.index().missing(turn);
             let Some(missing) = missing else {
                 return Ok(());
             };
-            if !asked.insert(missing.clone()) {
+            if !looked_up.insert(missing.clone()) {
                 return Ok(());
             }
             let places = self.archive().turn(&missing);
-            let taken = self.take_in(places).await?;
-            // The turns before it are its program's as a rule.
-            for record in taken {
+            let loaded = self.load_records(places).await?;
+            // The preceding turns usually belong to the same program.
+            for record in loaded {
                 if let Record::Turn(Turn { program, .. }) = record
                     && let Some(program) = program
                 {
-                    self.take_program(&program).await?;
+                    self.load_program(&program).await?;
                 }
             }
         }
     }
 
-    /// Takes in all records of a program.
-    async fn take_program(&self, program: &Id) -> Result<(), log::Error> {
+    /// Loads all records of a program.
+    async fn load_program(&self, program: &Id) -> Result<(), log::Error> {
         let places = self.archive().program(program);
-        self.take_in(places).await?;
+        self.load_records(places).await?;
         self.archive().note(program);
         Ok(())
     }
 
-    /// Takes in the records at `places`, and returns them.
-    async fn take_in(&self, places: Vec<Place>) -> Result<Vec<Record>, log::Error> {
+    /// Reads the records at `places`, adds them to the index and returns them.
+    async fn load_records(&self, places: Vec<Place>) -> Result<Vec<Record>, log::Error> {
         if places.is_empty() {
             return Ok(Vec::new());
         }
@@ -91,16 +89,17 @@
         Ok(records)
     }
 
-    fn take_portion(&self, portion: &[(Record, Place)]) {
+    /// Adds records that were read from disk to the index.
+    fn index_batch(&self, batch: &[(Record, Place)]) {
         let now = Instant::now();
         let mut index = self.index();
-        for (record, place) in portion {
-            // What was said stays on disk until somebody asks for it.
+        for (record, place) in batch {
+            // Bodies aren't held in memory until a request needs them.
             index.recover(record, *place, false, now);
         }
     }
 
-    /// Takes in all that is on disk, and then tells so.
+    /// Loads all records from disk, and then marks the replica as recovered.
     pub async fn recover(self: Arc<Self>) {
         let mut records = 0;
         loop {
@@ -108,9 +107,9 @@
                 break;
             };
             let log = self.log.clone();
-            let read = tokio::task::spawn_blocking(move || log.records(segment)).await;
-            let found = match read {
-                Ok(Ok(found)) => found,
+            let result = tokio::task::spawn_blocking(move || log.records(segment)).await;
+            let segment_records = match result {
+                Ok(Ok(segment_records)) => segment_records,
                 Ok(Err(error)) => {
                     tracing::error!(event = "replica_stops", %error);
                     self.stop.cancel();
@@ -119,10 +118,10 @@
                 // The process is stopping.
                 Err(_) => return,
             };
-            records += found.len();
-            for portion in found.chunks(PORTION) {
-                self.take_portion(portion);
-                tokio::time::sleep(REST).await;
+            records += segment_records.len();
+            for batch in segment_records.chunks(BATCH_RECORDS) {
+                self.index_batch(batch);
+                tokio::time::sleep(BATCH_PAUSE).await;
             }
             self.archive().remove(segment);
         }
--- a/crates/gradedyke-turns/src/replica.rs
+++ b/crates/gradedyke-turns/src/replica.rs
@@ -1,4 +1,5 @@
-//! The answering side: keeps records and tells conversations.
+//! A replica: stores records on disk and answers requests for them and for
+//! conversations.
 
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -22,69 +23,70 @@
 use crate::usage::{self, Total};
 use crate::view::{Disk, View};
 
-/// Keys in one page.
-const PAGE_KEYS: usize = 512;
-/// Longest wait of a replica that asks for keys: as long as its connection may
-/// stay silent without anybody learning that it is cut.
-const KEYS_WAIT: Duration = Duration::from_millis(800);
-/// Wait after an arrival for more that can be told with it: under load each
-/// would be a call of its own from each other replica. A third of what these wait
-/// before they ask for a record that they miss.
-const GATHER: Duration = Duration::from_millis(50);
-/// How often expired records are looked for.
-const EXPIRE: Duration = Duration::from_secs(5);
-/// File in the data folder that holds the disk's identity.
-const IDENTITY: &str = "disk-id";
-
-/// A replica.
+/// Maximum number of keys in a page.
+const MAX_PAGE_KEYS: usize = 512;
+/// How long a request for keys waits for a new record before it is answered with an
+/// empty page, which shows the follower that this replica is reachable.
+const KEYS_WAIT_TIMEOUT: Duration = Duration::from_millis(800);
+/// Delay after a new record in which further ones are collected for the same page.
+/// Shorter than a follower's delay before it fetches missing records.
+const PAGE_DELAY: Duration = Duration::from_millis(50);
+/// Interval between removals of expired records.
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(5);
+/// Name of the file in the data folder that holds the disk's identity.
+const DISK_ID_FILE: &str = "disk-id";
+
+/// A replica of the records.
 pub struct Replica {
     disk: Disk,
-    boot: u64,
+    /// Random identifier of this run of the process. Positions are valid only within it.
+    run_id: u64,
     pub(crate) log: Log,
     index: Mutex<Index>,
     archive: Mutex<Archive>,
-    /// Whether all that is on disk is in the index.
+    /// Whether all records on disk are in the index.
     pub(crate) recovered: watch::Sender<bool>,
-    /// The position after the last arrival.
-    arrived: watch::Sender<Position>,
+    /// The position after the record that was last written to disk.
+    arrivals_end: watch::Sender<Position>,
     view: watch::Sender<View>,
-    /// How far each other replica has followed.
-    followed: Mutex<std::collections::HashMap<Disk, Position>>,
-    board: Mutex<Board>,
-    usage: Mutex<usage::Board>,
-    /// Held by whoever fetches records from another replica.
-    fetching: tokio::sync::Mutex<()>,
+    /// The position up to which each other replica has all records.
+    follower_positions: Mutex<std::collections::HashMap<Disk, Position>>,
+    load_reports: Mutex<Board>,
+    usage_reports: Mutex<usage::Board>,
+    /// Held while records are fetched from another replica.
+    fetch_lock: tokio::sync::Mutex<()>,
     mirror: Arc<Mirror>,
     pub(crate) stop: CancellationToken,
 }
 
-/// Reads the disk's identity, or gives it one when it is empty.
+/// Reads the identity of the disk in `folder`. If there is none, a random one is
+/// created and stored.
 ///
 /// # Errors
 ///
-/// [`log::Error::Folder`] when the folder cannot be used.
+/// [`log::Error::Folder`] if the folder cannot be used.
 pub fn identity(folder: &Path) -> Result<Disk, log::Error> {
-    let wrap = |e| log::Error::Folder(folder.to_owned(), e);
-    std::fs::create_dir_all(folder).map_err(wrap)?;
-    let path = folder.join(IDENTITY);
+    let folder_error = |e| log::Error::Folder(folder.to_owned(), e);
+    std::fs::create_dir_all(folder).map_err(folder_error)?;
+    let path = folder.join(DISK_ID_FILE);
     if let Ok(text) = std::fs::read_to_string(&path)
         && let Ok(disk) = Disk::from_str_radix(text.trim(), 16)
     {
         return Ok(disk);
     }
     let disk: Disk = rand::random();
-    // Written beside and renamed, so that a power loss leaves all or nothing.
-    let temporary: PathBuf = folder.join(format!("{IDENTITY}.new"));
-    std::fs::write(&temporary, format!("{disk:016x}\n")).map_err(wrap)?;
-    let file = std::fs::File::open(&temporary).map_err(wrap)?;
-    file.sync_all().map_err(wrap)?;
-    std::fs::rename(&temporary, &path).map_err(wrap)?;
-    log::sync_folder(folder).map_err(wrap)?;
+    // Renamed into place, so that a power loss can't leave a partial file.
+    let temporary: PathBuf = folder.join(format!("{DISK_ID_FILE}.new"));
+    std::fs::write(&temporary, format!("{disk:016x}\n")).map_err(folder_error)?;
+    let file = std::fs::File::open(&temporary).map_err(folder_error)?;
+    file.sync_all().map_err(folder_error)?;
+    std::fs::rename(&temporary, &path).map_err(folder_error)?;
+    log::sync_folder(folder).map_err(folder_error)?;
     Ok(disk)
 }
 
-/// What a turn's record says; nothing for records of other kinds.
-fn body(record: Record) -> Option<Body> {
+/// Returns the body of a turn; `None` for records of other kinds.
+fn turn_body(record: Record) -> Option<Body> {
     match record {
         Record::Turn(turn) => Some(Body {
             input: turn.input,
@@ -95,12 +97,12 @@
 }
 
 impl Replica {
-    /// Opens the replica in `folder`, made if it is not there. It serves from then
-    /// on; [`Replica::recover`] takes in what is on disk.
+    /// Opens the replica in `folder`, which is created if missing. The replica can
+    /// serve at once; [`Replica::recover`] loads the records on disk.
     ///
     /// # Errors
     ///
-    /// [`log::Error::Folder`] when the folder cannot be used.
+    /// [`log::Error::Folder`] if the folder cannot be used.
     pub fn open(
         folder: &Path,
         mirror: Arc<Mirror>,
@@ -113,28 +115,28 @@
         let archive = Archive::new(tables);
         Ok(Arc::new(Self {
             disk,
-            boot: rand::random(),
+            run_id: rand::random(),
             log,
-            arrived: watch::Sender::new(index.end()),
+            arrivals_end: watch::Sender::new(index.end()),
             index: Mutex::new(index),
             recovered: watch::Sender::new(archive.is_empty()),
             archive: Mutex::new(archive),
             view: watch::Sender::new(View::default()),
-            followed: Mutex::default(),
-            board: Mutex::default(),
-            usage: Mutex::default(),
-            fetching: tokio::sync::Mutex::default(),
+            follower_positions: Mutex::default(),
+            load_reports: Mutex::default(),
+            usage_reports: Mutex::default(),
+            fetch_lock: tokio::sync::Mutex::default(),
             mirror,
             stop,
         }))
     }
 
-    /// The identity of its disk.
+    /// Returns the identity of its disk.
     pub fn disk(&self) -> Disk {
         self.disk
     }
 
-    /// The mirror it tells news of.
+    /// Returns the mirror of the platform's key-value service.
     pub fn mirror(&self) -> &Arc<Mirror> {
         &self.mirror
     }
@@ -147,46 +149,46 @@
         self.archive.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether all that is on disk has been taken in.
-    pub fn recovered(&self) -> bool {
+    /// Whether all records on disk have been loaded.
+    pub fn is_recovered(&self) -> bool {
         *self.recovered.borrow()
     }
 
-    /// The view as this replica knows it.
+    /// Returns a receiver of the latest view known to this replica.
     pub fn view(&self) -> watch::Receiver<View> {
         self.view.subscribe()
     }
 
-    /// Takes in a view, unless a later one is known.
+    /// Updates the view, unless a later one is known.
     pub fn learn(&self, view: &View) {
         self.view.send_if_modified(|known| {
-            let later = view.version > known.version;
-            if later {
+            let is_newer = view.version > known.version;
+            if is_newer {
                 known.clone_from(view);
             }
-            later
+            is_newer
         });
     }
 
-    /// Waits for the turn to fetch records. Others have much the same to tell, so
-    /// that at the same time each record would be fetched from all of them.
-    pub(crate) async fn fetching(&self) -> tokio::sync::MutexGuard<'_, ()> {
-        self.fetching.lock().await
+    /// Acquires the lock for fetching from other replicas. They have mostly the same records, so
+    /// concurrent fetches would transfer each record several times.
+    pub(crate) async fn lock_fetch(&self) -> tokio::sync::MutexGuard<'_, ()> {
+        self.fetch_lock.lock().await
     }
 
-    /// Whether another replica has followed all that arrived up to `position`.
-    pub(crate) fn followed(&self, disk: Disk, position: Position) -> bool {
-        let followed = self.followed.lock();
-        let followed = followed.unwrap_or_else(PoisonError::into_inner);
-        followed.get(&disk).is_some_and(|p| *p >= position)
+    /// Whether the replica on `disk` has all records before `position`.
+    pub(crate) fn has_synced(&self, disk: Disk, position: Position) -> bool {
+        let positions = self.follower_positions.lock();
+        let positions = positions.unwrap_or_else(PoisonError::into_inner);
+        positions.get(&disk).is_some_and(|p| *p >= position)
     }
 
-    /// Keeps a record: it is visible at once, and on disk at the return.
+    /// Stores a record. It is visible at once, and on disk when this returns.
     ///
     /// # Errors
     ///
-    /// [`log::Error::Write`]; the replica stops, because it no longer knows
-    /// what its disk holds.
+    /// [`log::Error::Write`]; the replica then stops, because the state of its disk is
+    /// unknown.
     pub async fn keep(&self, record: &Record) -> Result<(), log::Error> {
         let key = record.key();
         let end = {
@@ -194,29 +196,30 @@
             index.apply(record, self.log.segment(), Instant::now());
             index.end()
         };
-        // A record that was here already may not be synced yet, so it is
-        // written once more.
+        // Written even if the index has the record, which may not be on disk yet.
         let place = self.log.append(record).await.inspect_err(|error| {
             tracing::error!(event = "replica_stops", %error);
             self.stop.cancel();
         })?;
         self.index().place(&key, place);
-        self.arrived.send_replace(end);
+        self.arrivals_end.send_replace(end);
         Ok(())
     }
 
-    fn stale(&self, version: u64) -> Option<Reply> {
+    /// Returns the rejection of a request that was sent under an outdated view.
+    fn reject_stale(&self, version: u64) -> Option<Reply> {
         let view = self.view.borrow();
         (version < view.version).then(|| Reply::Stale(view.clone()))
     }
 
+    /// Reserves tokens for an attempt and looks up the turn that it continues.
     async fn begin(&self, begin: Begin) -> Reply {
-        if let Some(stale) = self.stale(begin.view) {
-            return stale;
+        if let Some(rejection) = self.reject_stale(begin.view) {
+            return rejection;
         }
-        let usage = begin.usage.map(|u| self.used(u));
+        let usage = begin.usage.map(|u| self.apply_usage_report(u));
         let program = begin.reserve.as_ref().map(|r| &r.program);
-        if let Err(error) = self.recall(program, begin.parent.as_ref()).await {
+        if let Err(error) = self.load_for_request(program, begin.parent.as_ref()).await {
             return Reply::Failed(error.to_string());
         }
         let mut attempts = Vec::new();
@@ -228,30 +231,35 @@
             attempts = self.index().attempts(&program);
         }
         let parent = match &begin.parent {
-            Some(id) => Some(self.find(id, begin.nearest).await),
+            Some(id) => Some(self.find_turn(id, begin.nearest).await),
             None => None,
         };
-        let load = self.load(begin.load, begin.nearest);
+        let load = self.apply_load_report(begin.load, begin.nearest);
         Reply::Began {
             attempts,
             parent,
             load,
             usage,
-            // Whoever lets requests in knows it.
+            // Set by the caller.
             pressure: Pressure::default(),
         }
     }
 
     pub(crate) fn board(&self) -> MutexGuard<'_, Board> {
-        self.board.lock().unwrap_or_else(PoisonError::into_inner)
+        self.load_reports
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     pub(crate) fn usage(&self) -> MutexGuard<'_, usage::Board> {
-        self.usage.lock().unwrap_or_else(PoisonError::into_inner)
+        self.usage_reports
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes a report of use in, and tells the sum that it asks for.
-    fn used(&self, report: usage::Report) -> Total {
+    /// Adds usage that an entry process reported, and returns the total of the client
+    /// account that it asks for.
+    fn apply_usage_report(&self, report: usage::Report) -> Total {
         let now = Instant::now();
         let asked = report.asked;
         let mut usage = self.usage();
@@ -259,73 +267,76 @@
         usage.total(asked, now)
     }
 
-    /// Takes a report in, and tells what others have in progress if `asked`.
-    fn load(&self, report: Report, asked: bool) -> Option<Vec<Busy>> {
+    /// Updates the load that an entry process reported. Returns the load of the other
+    /// entry processes if `wants_others`.
+    fn apply_load_report(&self, report: Report, wants_others: bool) -> Option<Vec<Busy>> {
         let now = Instant::now();
         let entry = report.entry;
         let mut board = self.board();
         board.put(report, now);
-        asked.then(|| board.others(entry, now))
+        wants_others.then(|| board.others(entry, now))
     }
 
-    async fn find(&self, id: &Id, whole: bool) -> Found {
+    /// Looks up a turn, with its conversation if `with_conversation`.
+    async fn find_turn(&self, id: &Id, with_conversation: bool) -> Found {
         if !self.index().has_chain(id) {
             return Found::Missing;
         }
-        if !whole {
+        if !with_conversation {
             return Found::Here;
         }
         let chain = self.chain(id).await;
         chain.map_or(Found::Here, Found::Whole)
     }
 
-    async fn tell_chain(&self, id: &Id) -> Reply {
-        match self.recall(None, Some(id)).await {
+    async fn chain_reply(&self, id: &Id) -> Reply {
+        match self.load_for_request(None, Some(id)).await {
             Ok(()) => Reply::Chain(self.chain(id).await),
             Err(error) => Reply::Failed(error.to_string()),
         }
     }
 
-    /// The conversation up to and with a turn, if all of it is here.
+    /// Returns the conversation up to and including a turn, if all of it is here.
     async fn chain(&self, id: &Id) -> Option<Chain> {
         let conversation = self.index().conversation(id)?;
         let stored = conversation.stored();
         if stored.is_empty() {
             return conversation.chain(&[]);
         }
-        let records = self.read_back(stored).await?;
-        let bodies: Vec<Body> = records.into_iter().filter_map(body).collect();
+        let records = self.try_read(stored).await?;
+        let bodies: Vec<Body> = records.into_iter().filter_map(turn_body).collect();
         let chain = conversation.chain(&bodies);
         let parts = conversation.parts.iter();
-        let read = parts.filter(|(_, part)| matches!(part, Part::Stored(_)));
+        let read_parts = parts.filter(|(_, part)| matches!(part, Part::Stored(_)));
         let mut index = self.index();
-        for ((request, _), body) in read.zip(bodies) {
+        for ((request, _), body) in read_parts.zip(bodies) {
             index.restore(request, body);
         }
         chain
     }
 
-    /// Reads records from the disk, without holding others up meanwhile.
+    /// Reads records from disk on a blocking thread.
     ///
     /// # Errors
     ///
-    /// [`log::Error::Read`] when one is not there whole.
+    /// [`log::Error::Read`] if a record is missing or damaged.
     pub(crate) async fn read(&self, places: Vec<Place>) -> Result<Vec<Record>, log::Error> {
         let log = self.log.clone();
-        let read = tokio::task::spawn_blocking(move || log.read(&places)).await;
-        // Without a result the process is stopping.
-        read.unwrap_or_else(|error| Err(log::Error::Read(std::io::Error::other(error))))
+        let result = tokio::task::spawn_blocking(move || log.read(&places)).await;
+        // The task is cancelled only when the runtime shuts down.
+        result.unwrap_or_else(|error| Err(log::Error::Read(std::io::Error::other(error))))
     }
 
-    async fn read_back(&self, places: Vec<Place>) -> Option<Vec<Record>> {
-        let read = self.read(places).await;
-        let read = read.inspect_err(|error| {
+    /// Reads records from disk; logs a failure and returns `None`.
+    async fn try_read(&self, places: Vec<Place>) -> Option<Vec<Record>> {
+        let result = self.read(places).await;
+        let result = result.inspect_err(|error| {
             tracing::warn!(event = "record_not_read", %error);
         });
-        read.ok()
+        result.ok()
     }
 
-    /// The records of keys, as far as they are here.
+    /// Returns the records of those `keys` that are here; `None` if the disk fails.
     async fn records(&self, keys: &[Key]) -> Option<Vec<Record>> {
         let mut records = Vec::new();
         let mut stored = Vec::new();
@@ -340,26 +351,31 @@
             }
         }
         if !stored.is_empty() {
-            records.extend(self.read_back(stored).await?);
+            records.extend(self.try_read(stored).await?);
         }
         Some(records)
     }
 
-    async fn keep_under(&self, view: u64, record: &Record, used: Option<usage::Report>) -> Reply {
-        if let Some(stale) = self.stale(view) {
-            return stale;
+    async fn store_in_view(
+        &self,
+        view: u64,
+        record: &Record,
+        usage_report: Option<usage::Report>,
+    ) -> Reply {
+        if let Some(rejection) = self.reject_stale(view) {
+            return rejection;
         }
-        let usage = used.map(|u| self.used(u));
+        let usage = usage_report.map(|u| self.apply_usage_report(u));
         match self.keep(record).await {
             Ok(()) => Reply::Kept { usage },
             Err(error) => Reply::Failed(error.to_string()),
         }
     }
 
-    /// Keeps records side by side, so that they share a sync.
-    async fn keep_all(&self, view: u64, records: &[Record]) -> Reply {
-        if let Some(stale) = self.stale(view) {
-            return stale;
+    /// Stores records concurrently, so that they share a disk sync.
+    async fn store_all(&self, view: u64, records: &[Record]) -> Reply {
+        if let Some(rejection) = self.reject_stale(view) {
+            return rejection;
         }
         match try_join_all(records.iter().map(|r| self.keep(r))).await {
             Ok(_) => Reply::Kept { usage: None },
@@ -367,47 +383,50 @@
         }
     }
 
-    async fn keys(&self, disk: Disk, boot: u64, from: Position) -> Reply {
-        let from = if boot == self.boot { from } else { 0 };
+    /// Waits a limited time for records from position `from` on, and returns a page of
+    /// their keys. Also notes that the replica on `disk` has all records before `from`.
+    async fn wait_for_keys(&self, disk: Disk, boot: u64, from: Position) -> Reply {
+        let from = if boot == self.run_id { from } else { 0 };
         {
-            let followed = self.followed.lock();
-            let mut followed = followed.unwrap_or_else(PoisonError::into_inner);
-            followed.insert(disk, from);
+            let positions = self.follower_positions.lock();
+            let mut positions = positions.unwrap_or_else(PoisonError::into_inner);
+            positions.insert(disk, from);
         }
-        let mut arrived = self.arrived.subscribe();
-        let more = arrived.wait_for(|end| *end > from);
-        // Without an arrival the page is empty, which tells that all is well.
-        let came = tokio::time::timeout(KEYS_WAIT, more).await.is_ok();
-        if came && self.index().end() - from < PAGE_KEYS as u64 {
-            tokio::time::sleep(GATHER).await;
+        let mut arrivals_end = self.arrivals_end.subscribe();
+        let arrival = arrivals_end.wait_for(|end| *end > from);
+        let has_arrivals = tokio::time::timeout(KEYS_WAIT_TIMEOUT, arrival)
+            .await
+            .is_ok();
+        if has_arrivals && self.index().end() - from < MAX_PAGE_KEYS as u64 {
+            tokio::time::sleep(PAGE_DELAY).await;
         }
         let index = self.index();
-        let (keys, next) = index.arrived(from, PAGE_KEYS);
+        let (keys, next) = index.arrived(from, MAX_PAGE_KEYS);
         Reply::Keys(Keys {
-            boot: self.boot,
+            boot: self.run_id,
             next,
-            all: next == index.end() && self.recovered(),
+            all: next == index.end() && self.is_recovered(),
             keys,
             view: self.view.borrow().version,
         })
     }
 
-    /// Forgets what has expired, again and again until `stop`.
+    /// Removes expired records at an interval until the replica stops.
     pub async fn expire(self: Arc<Self>) {
-        // A segment that has not been read looks as if it held nothing.
+        // Until recovery is done, a segment with live records may seem empty.
         let mut recovered = self.recovered.subscribe();
         tokio::select! {
             _ = recovered.wait_for(|recovered| *recovered) => {}
             () = self.stop.cancelled() => return,
         }
-        let mut ticks = tokio::time::interval(EXPIRE);
+        let mut interval = tokio::time::interval(EXPIRY_INTERVAL);
         loop {
             tokio::select! {
-                _ = ticks.tick() => {}
+                _ = interval.tick() => {}
                 () = self.stop.cancelled() => return,
             }
-            let empty = self.index().expire(Instant::now());
-            for segment in empty {
+            let empty_segments = self.index().expire(Instant::now());
+            for segment in empty_segments {
                 if self.log.remove(segment) {
                     self.index().removed(segment);
                 }
@@ -420,25 +439,27 @@
         }
     }
 
+    /// Handles a request, except those that the caller must handle itself: `Age` and
+    /// `Follow`.
     pub(crate) async fn answer(&self, request: Request) -> Reply {
         match request {
             Request::Hello | Request::Age | Request::Follow { .. } => Reply::Hello,
-            Request::Via { .. } => Reply::Failed("a keeper passes nothing on".to_owned()),
+            Request::Via { .. } => Reply::Failed("a replica does not relay requests".to_owned()),
             Request::Begin(begin) => self.begin(begin).await,
             Request::Keep {
                 view,
                 record,
                 usage,
-            } => self.keep_under(view, &record, usage).await,
-            Request::KeepAll { view, records } => self.keep_all(view, &records).await,
-            Request::Usage(report) => Reply::Usage(self.used(report)),
-            Request::Chain(id) => self.tell_chain(&id).await,
-            Request::Keys { disk, boot, from } => self.keys(disk, boot, from).await,
+            } => self.store_in_view(view, &record, usage).await,
+            Request::KeepAll { view, records } => self.store_all(view, &records).await,
+            Request::Usage(report) => Reply::Usage(self.apply_usage_report(report)),
+            Request::Chain(id) => self.chain_reply(&id).await,
+            Request::Keys { disk, boot, from } => self.wait_for_keys(disk, boot, from).await,
             Request::Records(keys) => match self.records(&keys).await {
                 Some(records) => Reply::Records(records),
-                None => {
-                    Reply::Failed("the disk does not give records back; see its log".to_owned())
-                }
+                None => Reply::Failed(
+                    "records cannot be read from disk; see the log of this replica".to_owned(),
+                ),
             },
         }
     }
--- a/crates/gradedyke-turns/src/snapshot.rs
+++ b/crates/gradedyke-turns/src/snapshot.rs
@@ -1,14 +1,13 @@
-//! What a keeper writes down beside its records: the mirror, and the use of client
-//! accounts.
+//! Snapshots that a replica writes to disk beside its records: the mirror and the
+//! usage of client accounts.
 //!
-//! When every process was lost while the platform's service is away, what it
-//! last said is on the keepers' disks: without it nothing could be served until
-//! the service is back. An old copy is told as such, and gives way to any newer
-//! one.
+//! If all processes restart while the platform's key-value service is unavailable,
+//! requests can be served from the snapshot of the mirror. It is marked as outdated,
+//! and any newer copy replaces it.
 //!
-//! The use of accounts is what entries told in the last window. Entries tell it again,
-//! but when all were lost too, an account that had used its allowance a moment before
-//! could have all of it once more.
+//! Usage is what the entry processes reported in the last window. They report it
+//! again when only replicas restart. If all entry processes were lost too, client
+//! accounts could exceed their limits without the snapshot.
 
 use std::fs;
 use std::io::{self, Write};
@@ -26,19 +25,18 @@
 use crate::replica::Replica;
 use crate::usage::Written;
 
-/// Name of the mirror's file in the data folder.
-const MIRROR: &str = "mirror";
-/// Name of the file with the use of client accounts.
-const USAGE: &str = "usage";
-/// Time between two writes of the use of client accounts: what was let through meanwhile
-/// is not known after a loss of everything. At its limit an account has a twentieth of
-/// its allowance in this time, where windows are 5 s long; it may go a tenth over.
-const USAGE_PAUSE: Duration = Duration::from_millis(250);
-/// Shortest time between two writes. Servers register one by one when many
-/// start, and each write costs two syncs.
-const PAUSE: Duration = Duration::from_millis(250);
-/// Bytes of the checksum at the front of the file.
-const SUM: usize = 4;
+/// Name of the mirror's snapshot in the data folder.
+const MIRROR_FILE: &str = "mirror";
+/// Name of the usage snapshot in the data folder.
+const USAGE_FILE: &str = "usage";
+/// Pause between two writes of the usage snapshot. Requests admitted since the last
+/// write aren't counted if all processes are lost.
+const USAGE_WRITE_INTERVAL: Duration = Duration::from_millis(250);
+/// Pause between two writes of the mirror's snapshot, which limits the number of disk
+/// syncs when many keys change one after the other.
+const MIRROR_WRITE_INTERVAL: Duration = Duration::from_millis(250);
+/// Length of the checksum at the start of a snapshot, in bytes.
+const CHECKSUM_BYTES: usize = 4;
 
 fn encode<T: Serialize>(value: &T) -> io::Result<Vec<u8>> {
     let body = postcard::to_stdvec(value).map_err(io::Error::other)?;
@@ -48,16 +46,16 @@
 }
 
 fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Option<T> {
-    let sum = u32::from_le_bytes(bytes.get(..SUM)?.try_into().ok()?);
-    let body = bytes.get(SUM..)?;
-    if crc32fast::hash(body) != sum {
+    let checksum = u32::from_le_bytes(bytes.get(..CHECKSUM_BYTES)?.try_into().ok()?);
+    let body = bytes.get(CHECKSUM_BYTES..)?;
+    if crc32fast::hash(body) != checksum {
         return None;
     }
     postcard::from_bytes(body).ok()
 }
 
-/// Writes `value` beside the old file and puts it in its place, so that a
-/// loss of power leaves one or the other whole.
+/// Replaces the snapshot `name` atomically, so that a power loss leaves either the old
+/// or the new one.
 fn write<T: Serialize>(folder: &Path, name: &str, value: &T) -> io::Result<()> {
     let temporary = folder.join(format!("{name}.new"));
     let mut file = fs::File::create(&temporary)?;
@@ -67,7 +65,7 @@
     sync_folder(folder)
 }
 
-/// Reads what was last written; `None` for a file that is missing or not whole.
+/// Reads the snapshot `name`; `None` if it is missing or damaged.
 fn read<T: DeserializeOwned>(folder: &Path, name: &str) -> Option<T> {
     let bytes = match fs::read(folder.join(name)) {
         Ok(bytes) => bytes,
@@ -82,57 +80,58 @@
             event = "snapshot_damaged",
             name,
             bytes = bytes.len(),
-            remedy = "none needed; it is made anew"
+            remedy = "none needed; it will be rewritten"
         );
     }
     value
 }
 
-/// Puts what was last written to `folder` into `mirror`, as an old copy. A file
-/// that is missing or not whole is an empty one.
+/// Loads the snapshot in `folder` into `mirror`, as an outdated copy. Does nothing if
+/// it is missing or damaged.
 pub fn load(mirror: &Mirror, folder: &Path, now: Instant) {
-    let Some(items) = read::<Vec<Item>>(folder, MIRROR) else {
+    let Some(items) = read::<Vec<Item>>(folder, MIRROR_FILE) else {
         return;
     };
     tracing::info!(event = "mirror_loaded", items = items.len());
     mirror.put(items, now);
 }
 
-/// Puts the use of client accounts that was last written to `folder` into `replica`.
+/// Loads the usage snapshot in `folder` into `replica`. Does nothing if it is missing or
+/// damaged.
 pub fn load_usage(replica: &Replica, folder: &Path, now: Instant) {
-    let Some(written) = read::<(u32, Vec<Written>)>(folder, USAGE) else {
+    let Some(snapshot) = read::<(u32, Vec<Written>)>(folder, USAGE_FILE) else {
         return;
     };
-    tracing::info!(event = "usage_loaded", rows = written.1.len());
-    replica.usage().restore(written, now);
+    tracing::info!(event = "usage_loaded", rows = snapshot.1.len());
+    replica.usage().restore(snapshot, now);
 }
 
-/// Writes the use of client accounts to `folder` again and again while there is any,
-/// until `stop`.
+/// Writes the usage of client accounts to `folder` at an interval while there is any,
+/// until `stop` is cancelled.
 pub async fn keep_usage(replica: Arc<Replica>, folder: PathBuf, stop: CancellationToken) {
-    let mut before = 0;
+    let mut previous_rows = 0;
     loop {
         tokio::select! {
-            () = tokio::time::sleep(USAGE_PAUSE) => {}
+            () = tokio::time::sleep(USAGE_WRITE_INTERVAL) => {}
             () = stop.cancelled() => return,
         }
         let (part_ms, rows) = replica.usage().written(Instant::now());
-        // The last of it has to be seen to be gone.
-        if rows.is_empty() && before == 0 {
+        // After the last usage expires, an empty snapshot is written once.
+        if rows.is_empty() && previous_rows == 0 {
             continue;
         }
-        before = rows.len();
+        previous_rows = rows.len();
         let target = folder.clone();
-        let written =
-            tokio::task::spawn_blocking(move || write(&target, USAGE, &(part_ms, rows))).await;
-        if let Ok(Err(error)) = written {
+        let result =
+            tokio::task::spawn_blocking(move || write(&target, USAGE_FILE, &(part_ms, rows))).await;
+        if let Ok(Err(error)) = result {
             tracing::warn!(event = "usage_not_written", %error,
-                remedy = "check the disk; only a loss of everything needs this copy");
+                remedy = "check the disk; the copy is needed only if all processes are lost");
         }
     }
 }
 
-/// Writes `mirror` to `folder` whenever it has changed, until `stop`.
+/// Writes `mirror` to `folder` whenever it has changed, until `stop` is cancelled.
 pub async fn keep(mirror: Arc<Mirror>, folder: PathBuf, stop: CancellationToken) {
     let mut changed = mirror.watch();
     loop {
@@ -146,13 +145,13 @@
         }
         let items = mirror.items();
         let target = folder.clone();
-        let written = tokio::task::spawn_blocking(move || write(&target, MIRROR, &items)).await;
-        if let Ok(Err(error)) = written {
+        let result = tokio::task::spawn_blocking(move || write(&target, MIRROR_FILE, &items)).await;
+        if let Ok(Err(error)) = result {
             tracing::warn!(event = "mirror_not_written", %error,
-                remedy = "check the disk; only a loss of everything needs this copy");
+                remedy = "check the disk; the copy is needed only if all processes are lost");
         }
         tokio::select! {
-            () = tokio::time::sleep(PAUSE) => {}
+            () = tokio::time::sleep(MIRROR_WRITE_INTERVAL) => {}
             () = stop.cancelled() => return,
         }
     }
--- a/crates/gradedyke-turns/src/sync.rs
+++ b/crates/gradedyke-turns/src/sync.rs
@@ -1,8 +1,8 @@
-//! Replicas bring each other up to date.
+//! Synchronization between replicas.
 //!
-//! Whoever serves a turn sends its records to all replicas, so a replica that
-//! follows another mostly learns of keys that it has. It asks for keys only,
-//! and for the records of those that are still missing a moment later.
+//! Records are normally sent to all replicas by the process that serves the turn, so
+//! a follower already has most of what another replica has. It therefore fetches only
+//! keys, and then the records that are still missing after a short delay.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,93 +19,95 @@
 use crate::replica::Replica;
 use crate::view::Disk;
 
-/// Longest time for a call: above the longest wait for keys.
-const CALL: Duration = Duration::from_millis(1_200);
-/// Wait after a failed call.
-const RETRY: Duration = Duration::from_millis(100);
-/// Wait before missing records are asked for, in which most arrive by
-/// themselves.
-const SPARE: Duration = Duration::from_millis(150);
-/// How often a spare looks whether the members are there.
-const GREET: Duration = Duration::from_millis(400);
-/// Records asked for in one call: half a megabyte of them, which a connection of
-/// 130 Mbit/s carries in 32 ms.
-const RECORDS: usize = 256;
-
-/// How far one replica has followed another.
+/// Timeout of a call. Longer than a replica may wait before it answers a request for
+/// keys.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// Delay before a failed call is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Delay before missing records are fetched. Most arrive from their writer within it.
+const FETCH_DELAY: Duration = Duration::from_millis(150);
+/// Interval at which a replica that doesn't sync checks whether the members are
+/// reachable.
+const PING_INTERVAL: Duration = Duration::from_millis(400);
+/// Maximum number of records fetched in one call.
+const MAX_RECORDS_PER_CALL: usize = 256;
+
+/// How far a replica has synced from another.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Progress {
-    /// The version of the other's view when all that it had was last taken in;
-    /// `None` before that.
+    /// The view version of the other replica when this one last had all of its records;
+    /// `None` if it never had.
     pub level: Option<u64>,
-    /// Since when the other does not answer.
-    pub lost: Option<Instant>,
+    /// Since when the other replica has been unreachable, if it is.
+    pub unreachable_since: Option<Instant>,
 }
 
-/// Another replica that is followed.
+/// Syncs records from another replica and monitors whether it is reachable.
 pub struct Follower {
     replica: Arc<Replica>,
     client: Client,
-    other: Disk,
+    peer_disk: Disk,
     progress: watch::Sender<Progress>,
 }
 
 impl Follower {
-    /// Follows the replica on `other` at `address`.
+    /// Creates a follower of the replica on `peer_disk` at `address`, which reports to
+    /// `progress`.
     pub fn new(
         replica: Arc<Replica>,
-        other: Disk,
+        peer_disk: Disk,
         address: SocketAddr,
         progress: watch::Sender<Progress>,
     ) -> Self {
         Self {
             replica,
             client: Client::new(address),
-            other,
+            peer_disk,
             progress,
         }
     }
 
-    /// Follows until `stop`.
+    /// Runs until `stop` is cancelled.
     pub async fn run(self, stop: CancellationToken) {
         tokio::select! {
-            () = self.rounds() => {}
+            () = self.follow() => {}
             () = stop.cancelled() => {}
         }
     }
 
-    async fn rounds(&self) {
+    /// Fetches pages of keys, or only pings, until it is dropped.
+    async fn follow(&self) {
         let (mut boot, mut from) = (0, 0);
         loop {
-            if !self.member() || !self.replica.recovered() {
-                self.greet().await;
+            if !self.is_member() || !self.replica.is_recovered() {
+                self.ping().await;
                 continue;
             }
-            match self.round(boot, from).await {
+            match self.sync_page(boot, from).await {
                 Some(keys) => {
-                    self.heard(&keys);
+                    self.update_progress(&keys);
                     (boot, from) = (keys.boot, keys.next);
                 }
                 None => {
-                    self.lost();
-                    tokio::time::sleep(RETRY).await;
+                    self.mark_unreachable();
+                    tokio::time::sleep(RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    /// Looks whether the other is there, and no more: a spare needs no records, and
-    /// one that reads its disk still would take all of that for missing.
-    async fn greet(&self) {
+    /// Only checks whether the other replica is reachable. A spare needs no records, and
+    /// a replica that is still reading its disk would fetch records that it has.
+    async fn ping(&self) {
         match self.call(&Request::Hello).await {
-            Some(_) => self.regained(),
-            None => self.lost(),
+            Some(_) => self.mark_reachable(),
+            None => self.mark_unreachable(),
         }
-        tokio::time::sleep(GREET).await;
+        tokio::time::sleep(PING_INTERVAL).await;
     }
 
-    fn heard(&self, keys: &Keys) {
-        self.regained();
+    fn update_progress(&self, keys: &Keys) {
+        self.mark_reachable();
         if keys.all {
             self.progress.send_modify(|progress| {
                 progress.level = progress.level.max(Some(keys.view));
@@ -113,85 +115,90 @@
         }
     }
 
-    fn regained(&self) {
+    fn mark_reachable(&self) {
         self.progress.send_modify(|progress| {
-            if progress.lost.take().is_some() {
-                tracing::info!(event = "replica_regained", disk = self.other);
+            if progress.unreachable_since.take().is_some() {
+                tracing::info!(event = "replica_regained", disk = self.peer_disk);
             }
         });
     }
 
-    fn lost(&self) {
+    fn mark_unreachable(&self) {
         self.progress.send_modify(|progress| {
-            if progress.lost.is_none() {
-                tracing::warn!(event = "replica_lost", disk = self.other,
+            if progress.unreachable_since.is_none() {
+                tracing::warn!(event = "replica_lost", disk = self.peer_disk,
                     address = %self.client.address());
-                progress.lost = Some(Instant::now());
+                progress.unreachable_since = Some(Instant::now());
             }
         });
     }
 
-    /// Takes in one page of keys with their records.
-    async fn round(&self, boot: u64, from: u64) -> Option<Keys> {
+    /// Fetches a page of keys and the records of those that are missing here.
+    async fn sync_page(&self, boot: u64, from: u64) -> Option<Keys> {
         let disk = self.replica.disk();
         let Reply::Keys(keys) = self.call(&Request::Keys { disk, boot, from }).await? else {
             return None;
         };
         let mut missing = self.missing(&keys.keys);
-        if !missing.is_empty() && self.active() {
-            tokio::time::sleep(SPARE).await;
+        if !missing.is_empty() && self.is_active() {
+            tokio::time::sleep(FETCH_DELAY).await;
             missing = self.missing(&missing);
         }
         if missing.is_empty() {
             return Some(keys);
         }
-        let _turn = self.replica.fetching().await;
-        // Some were fetched from another meanwhile.
+        let _guard = self.replica.lock_fetch().await;
+        // Some may have been fetched from another replica in the meantime.
         let missing = self.missing(&missing);
-        for part in missing.chunks(RECORDS) {
-            self.fetch(part.to_vec()).await?;
+        for chunk in missing.chunks(MAX_RECORDS_PER_CALL) {
+            self.fetch(chunk.to_vec()).await?;
         }
         Some(keys)
     }
 
+    /// Returns those of `keys` whose records aren't on disk here.
     fn missing(&self, keys: &[Key]) -> Vec<Key> {
         let index = self.replica.index();
         keys.iter().filter(|k| !index.stored(k)).cloned().collect()
     }
 
-    /// Whether this replica takes part.
-    fn member(&self) -> bool {
+    /// Whether this replica is in the view.
+    fn is_member(&self) -> bool {
         let view = self.replica.view();
         let view = view.borrow();
         view.find(self.replica.disk()).is_some()
     }
 
-    /// Whether this replica counts already, so that there is no hurry.
-    fn active(&self) -> bool {
+    /// Whether this replica is active and so needn't catch up as fast as possible.
+    fn is_active(&self) -> bool {
         let view = self.replica.view();
         let view = view.borrow();
         view.find(self.replica.disk()).is_some_and(|m| m.active)
     }
 
+    /// Fetches the records of `keys` and stores them; `None` if anything failed.
     async fn fetch(&self, keys: Vec<Key>) -> Option<()> {
-        let asked = keys.len();
+        let requested = keys.len();
         let Reply::Records(records) = self.call(&Request::Records(keys)).await? else {
             return None;
         };
         tracing::info!(
             event = "records_fetched",
-            disk = self.other,
-            asked,
+            disk = self.peer_disk,
+            asked = requested,
             found = records.len()
         );
-        let kept = join_all(records.iter().map(|r| self.replica.keep(r))).await;
-        kept.into_iter().all(|k| k.is_ok()).then_some(())
+        let results = join_all(records.iter().map(|r| self.replica.keep(r))).await;
+        results.into_iter().all(|r| r.is_ok()).then_some(())
     }
 
     async fn call(&self, request: &Request) -> Option<Reply> {
-        let reply = self.client.call(message::encode(request), CALL).await;
+        let reply = self
+            .client
+            .call(message::encode(request), CALL_TIMEOUT)
+            .await;
         let reply = reply.inspect_err(|error| {
-            tracing::debug!(event = "replica_call_failed", disk = self.other, %error);
+            tracing::debug!(event = "replica_call_failed", disk = self.peer_disk, %error);
         });
         message::decode(&reply.ok()?)
     }
--- a/crates/gradedyke-turns/src/view.rs
+++ b/crates/gradedyke-turns/src/view.rs
@@ -1,9 +1,9 @@
-//! Who the replicas are.
+//! The view: the current set of replicas.
 //!
-//! The view is one value in the platform's key-value service, changed only by
-//! compare-and-swap and by one member at a time, so that a majority of one view
-//! and a majority of the next always share a member. Requests carry the version
-//! of the view they were sent under; a replica that knows a later one refuses.
+//! The view is a single value in the platform's key-value service. It is changed
+//! only by compare-and-swap and by one member at a time, so that a majority of one
+//! view and a majority of the next always share a member. Requests carry the version
+//! of the view they were sent under; a replica that knows a later one rejects them.
 
 use std::net::SocketAddr;
 
@@ -12,48 +12,48 @@
 /// Key of the view in the key-value service.
 pub const KEY: &str = "gradedyke/view";
 
-/// Replicas that watch the platform's service: one, and another for when that
-/// is lost.
-const WATCHERS: usize = 2;
+/// Maximum number of replicas that watch the platform's key-value service: one and
+/// a standby.
+const MAX_WATCHERS: usize = 2;
 
-/// Identity of a replica's disk. A disk that was lost comes back with another.
+/// Identity of a replica's disk. A replica that lost its disk gets a new one.
 pub type Disk = u64;
 
-/// A replica in the view.
+/// A replica that is part of a view.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Its instance's name.
+    /// The name of its instance.
     pub name: String,
     /// The identity of its disk.
     pub disk: Disk,
-    /// Where it answers.
+    /// The address on which it serves peers.
     pub address: SocketAddr,
     /// Its data centre.
     pub data_centre: String,
-    /// Whether it holds all there is, and so counts for a majority. One that
-    /// does not is sent everything and brings itself up to date.
+    /// Whether it has synced all records and counts towards the quorum. Inactive
+    /// members receive new records while they sync the earlier ones.
     pub active: bool,
 }
 
-/// The replicas at one time.
+/// A version of the set of replicas.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct View {
-    /// Rises by one with each change; 0 before the first.
+    /// Incremented with each change; 0 before the first.
     pub version: u64,
-    /// Disks that may be lost at the same time with nothing lost.
+    /// How many disks may be lost at the same time without losing records.
     pub tolerate: usize,
-    /// The replicas.
+    /// The replicas, in the order in which they joined.
     pub members: Vec<Member>,
 }
 
 impl View {
-    /// The members that count.
+    /// Returns the active members.
     pub fn active(&self) -> impl Iterator<Item = &Member> {
         self.members.iter().filter(|m| m.active)
     }
 
-    /// How many active members must be reached: a majority, and so many that one
-    /// of them has each record that is left after the losses tolerated.
+    /// Returns how many active members must respond: a majority, and enough that each
+    /// record is on at least one of them after the tolerated losses.
     ///
     /// ```
     /// use gradedyke_turns::view::View;
@@ -68,31 +68,32 @@
         majority.max(active.min(self.copies()))
     }
 
-    /// How many members, active or not, must have a record on disk before it
-    /// counts as kept: one more than the disks that may be lost.
+    /// Returns how many members, active or not, must have a record on disk before it
+    /// is considered stored: one more than the number of disks that may be lost.
     pub fn copies(&self) -> usize {
         self.tolerate + 1
     }
 
-    /// Whether the members that `up` picks are enough to begin and keep records.
-    pub fn enough(&self, up: impl Fn(&Member) -> bool) -> bool {
-        let active = self.active().filter(|m| up(m)).count();
-        let all = self.members.iter().filter(|m| up(m)).count();
+    /// Whether the members for which `is_up` returns true are enough to read and store
+    /// records.
+    pub fn enough(&self, is_up: impl Fn(&Member) -> bool) -> bool {
+        let active = self.active().filter(|m| is_up(m)).count();
+        let all = self.members.iter().filter(|m| is_up(m)).count();
         active >= self.quorum() && all >= self.copies()
     }
 
-    /// The members that watch the platform's service for all: the first does, the
-    /// next stands by for it.
+    /// Returns the members that watch the platform's key-value service on behalf of
+    /// all processes: the first one does, the second is its standby.
     pub fn watchers(&self) -> impl Iterator<Item = &Member> {
-        self.active().take(WATCHERS)
+        self.active().take(MAX_WATCHERS)
     }
 
-    /// The member with this disk.
+    /// Returns the member with this disk.
     pub fn find(&self, disk: Disk) -> Option<&Member> {
         self.members.iter().find(|m| m.disk == disk)
     }
 
-    /// The view after this one, with other members.
+    /// Returns the next version of this view, with the given members.
     pub fn next(&self, members: Vec<Member>) -> Self {
         Self {
             version: self.version + 1,
--- a/crates/gradedyke-turns/tests/membership/main.rs
+++ b/crates/gradedyke-turns/tests/membership/main.rs
@@ -1,16 +1,16 @@
-//! When a replica changes the view, in tables.
+//! Table tests of the membership decisions of a replica.
 
 mod spread;
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
-use gradedyke_turns::membership::{Config, Sight, decide};
+use gradedyke_turns::membership::{Config, Observation, decide};
 use gradedyke_turns::sync::Progress;
 use gradedyke_turns::view::{Disk, Member, View};
 use tokio::time::Instant;
 
-const ME: Disk = 9;
+const OWN_DISK: Disk = 9;
 
 fn config(first_start: bool) -> Config {
     Config {
@@ -42,108 +42,120 @@
     }
 }
 
-/// How another replica looks from here.
+/// State of another replica, as observed by this one.
 #[derive(Clone, Copy)]
-enum Look {
-    /// All that it had at this version of the view has been taken in.
-    Level(u64),
-    /// Not yet.
+enum PeerState {
+    /// All its records were synced at this version of the view.
+    Synced(u64),
+    /// Its records have never all been synced.
     Behind,
-    /// Out of reach for so many milliseconds.
-    Lost(u64),
+    /// Unreachable for this many milliseconds.
+    Unreachable(u64),
 }
 
-fn progress(looks: &[(Disk, Look)], now: Instant) -> HashMap<Disk, Progress> {
-    let progress = |look| match look {
-        Look::Level(version) => Progress {
+fn progress(states: &[(Disk, PeerState)], now: Instant) -> HashMap<Disk, Progress> {
+    let progress = |state| match state {
+        PeerState::Synced(version) => Progress {
             level: Some(version),
-            lost: None,
+            unreachable_since: None,
         },
-        Look::Behind => Progress::default(),
-        Look::Lost(ms) => Progress {
+        PeerState::Behind => Progress::default(),
+        PeerState::Unreachable(ms) => Progress {
             level: Some(5),
-            lost: Some(now - Duration::from_millis(ms)),
+            unreachable_since: Some(now - Duration::from_millis(ms)),
         },
     };
-    looks.iter().map(|(d, l)| (*d, progress(*l))).collect()
+    states.iter().map(|(d, s)| (*d, progress(*s))).collect()
 }
 
-/// What is decided: each member's name, with a question mark for one that does
-/// not count.
-fn decided(
+/// Returns the names of the members of the proposed view, with a question mark after
+/// inactive ones.
+fn propose(
     first_start: bool,
     members: &[(&str, Disk, bool)],
-    looks: &[(Disk, Look)],
-    leave: Option<u64>,
-    leaving: &[&str],
-    followed: bool,
+    states: &[(Disk, PeerState)],
+    leave_since_ms: Option<u64>,
+    retiring: &[&str],
+    others_caught_up: bool,
 ) -> Option<String> {
     let now = Instant::now() + Duration::from_secs(60);
     let view = view(members);
-    let sight = Sight {
+    let observation = Observation {
         view: &view,
-        disk: ME,
-        progress: &progress(looks, now),
-        leave: leave.map(|ms| now - Duration::from_millis(ms)),
-        leaving: &leaving
+        disk: OWN_DISK,
+        progress: &progress(states, now),
+        leave_since: leave_since_ms.map(|ms| now - Duration::from_millis(ms)),
+        retiring: &retiring
             .iter()
             .map(|n| (*n).to_owned())
             .collect::<HashSet<_>>(),
-        followed,
-        unchanged: now,
+        others_caught_up,
+        unchanged_since: now,
     };
-    let next = decide(&config(first_start), &sight, now)?;
+    let next = decide(&config(first_start), &observation, now)?;
     assert_eq!(next.version, view.version + 1);
-    let mark = |m: &Member| format!("{}{}", m.name, if m.active { "" } else { "?" });
-    Some(next.members.iter().map(mark).collect::<Vec<_>>().join(" "))
+    let format_member = |m: &Member| format!("{}{}", m.name, if m.active { "" } else { "?" });
+    Some(
+        next.members
+            .iter()
+            .map(format_member)
+            .collect::<Vec<_>>()
+            .join(" "),
+    )
 }
 
 #[test]
-fn a_replica_enters_and_counts_only_after_it_has_everything() {
-    use Look::{Behind, Level, Lost};
+fn replica_joins_inactive_and_activates_after_syncing() {
+    use PeerState::{Behind, Synced, Unreachable};
     let full = [("a", 1, true), ("b", 2, true), ("c", 3, true)];
     let joining = [
         ("a", 1, true),
         ("b", 2, true),
         ("c", 3, true),
-        ("me", ME, false),
+        ("me", OWN_DISK, false),
     ];
-    let pair = [("a", 1, true), ("b", 2, true), ("me", ME, false)];
-    let alone = [("a", 1, true), ("me", ME, false)];
+    let pair = [("a", 1, true), ("b", 2, true), ("me", OWN_DISK, false)];
+    let alone = [("a", 1, true), ("me", OWN_DISK, false)];
     let cases: &[(&str, bool, &[_], &[_], Option<&str>)] = &[
-        ("the first of all", true, &[], &[], Some("me")),
+        ("first replica of a first start", true, &[], &[], Some("me")),
         (
-            "the second of a first start",
+            "second replica of a first start",
             true,
             &full[..1],
             &[],
             Some("a me"),
         ),
         (
-            "a first start that others have served already",
+            "first start, but enough active members to have stored records",
             true,
             &full[..2],
             &[],
             Some("a b me?"),
         ),
-        ("an empty disk later", false, &full[..1], &[], Some("a me?")),
-        ("a spare while none is needed", false, &full, &[], None),
         (
-            "a spare when one has been lost for a moment",
+            "empty disk, not a first start",
+            false,
+            &full[..1],
+            &[],
+            Some("a me?"),
+        ),
+        ("spare without a vacancy", false, &full, &[], None),
+        (
+            "spare, one member briefly unreachable",
             false,
             &full,
-            &[(2, Lost(500))],
+            &[(2, Unreachable(500))],
             None,
         ),
         (
-            "a spare when one is gone",
+            "spare, one member unreachable",
             false,
             &full,
-            &[(2, Lost(5_000))],
+            &[(2, Unreachable(5_000))],
             Some("a b c me?"),
         ),
         (
-            "a spare when another has taken the place",
+            "spare, vacancy already filled",
             false,
             &[
                 ("a", 1, true),
@@ -151,165 +163,186 @@
                 ("c", 3, true),
                 ("d", 4, false),
             ],
-            &[(2, Lost(5_000))],
+            &[(2, Unreachable(5_000))],
             None,
         ),
         (
-            "the same instance with another disk",
+            "same instance with a new disk",
             false,
             &[("a", 1, true), ("b", 2, true), ("me", 4, true)],
             &[],
             Some("a b me?"),
         ),
         (
-            "all level",
+            "synced from all",
             false,
             &joining,
-            &[(1, Level(5)), (2, Level(5)), (3, Level(5))],
+            &[(1, Synced(5)), (2, Synced(5)), (3, Synced(5))],
             Some("a b c me"),
         ),
         (
-            "one level only under an old view",
+            "one synced only under an old view",
             false,
             &joining,
-            &[(1, Level(5)), (2, Level(4)), (3, Level(5))],
+            &[(1, Synced(5)), (2, Synced(4)), (3, Synced(5))],
             None,
         ),
         (
-            "one behind",
+            "one not synced",
             false,
             &joining,
-            &[(1, Level(5)), (2, Behind), (3, Level(5))],
+            &[(1, Synced(5)), (2, Behind), (3, Synced(5))],
             None,
         ),
         (
-            "one lost just now",
+            "one briefly unreachable",
             false,
             &joining,
-            &[(1, Level(5)), (2, Level(5)), (3, Lost(500))],
+            &[(1, Synced(5)), (2, Synced(5)), (3, Unreachable(500))],
             None,
         ),
         (
-            "one gone",
+            "one unreachable",
             false,
             &joining,
-            &[(1, Level(5)), (2, Level(5)), (3, Lost(5_000))],
+            &[(1, Synced(5)), (2, Synced(5)), (3, Unreachable(5_000))],
             Some("a b me"),
         ),
         (
-            "two gone: a record may be on just these",
+            "two of three unreachable: they may have the only copies of a record",
             false,
             &joining,
-            &[(1, Level(5)), (2, Lost(5_000)), (3, Lost(5_000))],
+            &[
+                (1, Synced(5)),
+                (2, Unreachable(5_000)),
+                (3, Unreachable(5_000)),
+            ],
             None,
         ),
         (
-            "one of two gone: a record may be on that one and a lost disk",
+            "one of two unreachable: a record may be only on it and on a lost disk",
             false,
             &pair,
-            &[(1, Level(5)), (2, Lost(5_000))],
+            &[(1, Synced(5)), (2, Unreachable(5_000))],
             None,
         ),
         (
-            "one of two gone for so long that it is given up",
+            "one of two unreachable past the give-up timeout",
             false,
             &pair,
-            &[(1, Level(5)), (2, Lost(25_000))],
+            &[(1, Synced(5)), (2, Unreachable(25_000))],
             Some("a me"),
         ),
         (
-            "the only one gone: it alone has everything",
+            "the only active member unreachable: it has the only copies",
             false,
             &alone,
-            &[(1, Lost(25_000))],
+            &[(1, Unreachable(25_000))],
             None,
         ),
         (
-            "level with the only one",
+            "synced from the only active member",
             false,
             &alone,
-            &[(1, Level(5))],
+            &[(1, Synced(5))],
             Some("a me"),
         ),
         (
-            "nobody counts, so nothing was kept",
+            "no active member, so no records were stored",
             false,
-            &[("a", 1, false), ("me", ME, false)],
-            &[(1, Lost(500))],
+            &[("a", 1, false), ("me", OWN_DISK, false)],
+            &[(1, Unreachable(500))],
             Some("a? me"),
         ),
         (
-            "both of two gone",
+            "both of two unreachable",
             false,
             &pair,
-            &[(1, Lost(5_000)), (2, Lost(5_000))],
+            &[(1, Unreachable(5_000)), (2, Unreachable(5_000))],
             None,
         ),
     ];
-    for (name, first_start, members, looks, expected) in cases {
-        let next = decided(*first_start, members, looks, None, &[], false);
+    for (name, first_start, members, states, expected) in cases {
+        let next = propose(*first_start, members, states, None, &[], false);
         assert_eq!(next.as_deref(), *expected, "{name}");
     }
 }
 
 #[test]
-fn a_replica_leaves_when_the_others_have_everything_and_are_enough() {
+fn replica_leaves_when_others_are_caught_up_and_sufficient() {
     let four = [
         ("a", 1, true),
         ("b", 2, true),
         ("c", 3, true),
-        ("me", ME, true),
+        ("me", OWN_DISK, true),
     ];
-    let three = [("a", 1, true), ("b", 2, true), ("me", ME, true)];
-    let two = [("a", 1, true), ("me", ME, true)];
-    // Members, whether the others have everything, since when it is asked.
+    let three = [("a", 1, true), ("b", 2, true), ("me", OWN_DISK, true)];
+    let two = [("a", 1, true), ("me", OWN_DISK, true)];
+    // Members, whether the others are caught up, milliseconds since the request.
     let cases: &[(&str, &[_], bool, u64, Option<&str>)] = &[
         ("enough others", &four, true, 0, Some("a b c")),
-        ("a spare may come", &three, true, 100, None),
-        ("no spare came", &three, true, 5_000, Some("a b")),
-        ("one has not followed", &four, false, 5_000, None),
-        ("too few would be left", &two, true, 5_000, None),
-        ("gone already", &three[..2], true, 5_000, None),
+        ("waiting for a spare", &three, true, 100, None),
+        ("no spare joined in time", &three, true, 5_000, Some("a b")),
+        ("one not caught up", &four, false, 5_000, None),
+        ("too few would remain", &two, true, 5_000, None),
+        ("already left", &three[..2], true, 5_000, None),
     ];
-    for (name, members, followed, since, expected) in cases {
-        let next = decided(false, members, &[], Some(*since), &["me"], *followed);
+    for (name, members, others_caught_up, since, expected) in cases {
+        let next = propose(
+            false,
+            members,
+            &[],
+            Some(*since),
+            &["me"],
+            *others_caught_up,
+        );
         assert_eq!(next.as_deref(), *expected, "{name}");
     }
-    // A spare takes the place of one that is to be emptied.
-    let next = decided(false, &four[..3], &[], None, &["b"], false);
+    // A spare joins to replace a member that is to be retired.
+    let next = propose(false, &four[..3], &[], None, &["b"], false);
     assert_eq!(next.as_deref(), Some("a b c me?"));
 }
 
 #[test]
-fn one_that_is_lost_for_long_is_dropped_where_enough_remain() {
-    use Look::{Level, Lost};
+fn long_unreachable_member_is_removed_if_enough_remain() {
+    use PeerState::{Synced, Unreachable};
     let four = [
         ("a", 1, true),
         ("b", 2, true),
         ("c", 3, true),
-        ("me", ME, true),
+        ("me", OWN_DISK, true),
     ];
-    let three = [("a", 1, true), ("b", 2, true), ("me", ME, true)];
+    let three = [("a", 1, true), ("b", 2, true), ("me", OWN_DISK, true)];
     let cases: &[(&str, &[_], &[_], Option<&str>)] = &[
         (
-            "all there",
+            "all reachable",
+            &four,
+            &[(1, Synced(5)), (2, Synced(5)), (3, Synced(5))],
+            None,
+        ),
+        (
+            "briefly unreachable",
             &four,
-            &[(1, Level(5)), (2, Level(5)), (3, Level(5))],
+            &[(3, Unreachable(3_000))],
             None,
         ),
-        ("lost for a while", &four, &[(3, Lost(3_000))], None),
-        ("lost for long", &four, &[(3, Lost(20_000))], Some("a b me")),
-        ("no more than needed", &three, &[(2, Lost(20_000))], None),
+        (
+            "unreachable for long",
+            &four,
+            &[(3, Unreachable(20_000))],
+            Some("a b me"),
+        ),
+        ("no surplus", &three, &[(2, Unreachable(20_000))], None),
     ];
-    for (name, members, looks, expected) in cases {
-        let next = decided(false, members, looks, None, &[], false);
+    for (name, members, states, expected) in cases {
+        let next = propose(false, members, states, None, &[], false);
         assert_eq!(next.as_deref(), *expected, "{name}");
     }
 }
 
 #[test]
-fn nothing_is_kept_by_fewer_than_would_survive() {
-    // Members, those that must be reached of the ones that count, and copies.
+fn quorum_and_copies_depend_on_active_members() {
+    // Members and the expected quorum.
     let cases: &[(&[_], usize)] = &[
         (&[], 1),
         (&[("a", 1, true)], 1),
--- a/crates/gradedyke-turns/tests/membership/spread.rs
+++ b/crates/gradedyke-turns/tests/membership/spread.rs
@@ -1,31 +1,31 @@
-//! How members come to stand over data centres, in tables.
+//! Table tests of how members are distributed over data centres.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
-use gradedyke_turns::membership::{Config, Sight, decide, turn};
+use gradedyke_turns::membership::{Config, Observation, decide, turn};
 use gradedyke_turns::view::{Disk, Member, View};
 use tokio::time::Instant;
 
-use crate::{Look, ME, config, member, progress, view};
+use crate::{OWN_DISK, PeerState, config, member, progress, view};
 
-/// A member by name, disk and data centre, and whether it counts.
-type Stand = (&'static str, Disk, &'static str, bool);
+/// A member's name, disk and data centre, and whether it is active.
+type MemberRow = (&'static str, Disk, &'static str, bool);
 
-/// What a replica in one of the data centres a, b and c sees.
-struct Place<'a> {
-    what: &'a str,
-    here: &'a str,
-    members: &'a [Stand],
-    looks: &'a [(Disk, Look)],
-    /// For how long it has been so, in milliseconds.
+/// What a replica in one of the data centres a, b and c observes.
+struct Case<'a> {
+    name: &'a str,
+    data_centre: &'a str,
+    members: &'a [MemberRow],
+    states: &'a [(Disk, PeerState)],
+    /// How long the situation has been unchanged, in milliseconds.
     unchanged_ms: u64,
-    leaving: &'a [&'a str],
+    retiring: &'a [&'a str],
 }
 
-impl Place<'_> {
-    /// The members' names in the view that it proposes.
-    fn decided(&self) -> Option<String> {
+impl Case<'_> {
+    /// Returns the names of the members of the proposed view.
+    fn propose(&self) -> Option<String> {
         let now = Instant::now() + Duration::from_secs(60);
         let mut view = view(&[]);
         let members = self.members.iter();
@@ -35,161 +35,243 @@
         });
         view.members = members.collect();
         let mut config = config(false);
-        config.data_centre = self.here.to_owned();
+        config.data_centre = self.data_centre.to_owned();
         config.data_centres = ["a", "b", "c"].map(str::to_owned).to_vec();
-        let sight = Sight {
+        let observation = Observation {
             view: &view,
-            disk: ME,
-            progress: &progress(self.looks, now),
-            leave: None,
-            leaving: &self.leaving.iter().map(|n| (*n).to_owned()).collect(),
-            followed: true,
-            unchanged: now - Duration::from_millis(self.unchanged_ms),
+            disk: OWN_DISK,
+            progress: &progress(self.states, now),
+            leave_since: None,
+            retiring: &self.retiring.iter().map(|n| (*n).to_owned()).collect(),
+            others_caught_up: true,
+            unchanged_since: now - Duration::from_millis(self.unchanged_ms),
         };
-        let next = decide(&config, &sight, now)?;
+        let next = decide(&config, &observation, now)?;
         let names: Vec<&str> = next.members.iter().map(|m| m.name.as_str()).collect();
         Some(names.join(" "))
     }
 }
 
-const LEVEL: [(Disk, Look); 3] = [
-    (1, Look::Level(5)),
-    (2, Look::Level(5)),
-    (3, Look::Level(5)),
+const ALL_SYNCED: [(Disk, PeerState); 3] = [
+    (1, PeerState::Synced(5)),
+    (2, PeerState::Synced(5)),
+    (3, PeerState::Synced(5)),
 ];
 
 #[test]
-fn members_are_spread_over_data_centres() {
+fn vacancies_are_filled_evenly_across_data_centres() {
     let two = [("a1", 1, "a", true), ("b1", 2, "b", true)];
     let even = [two[0], two[1], ("c1", 3, "c", true)];
     let uneven = [two[0], two[1], ("a2", 3, "a", true)];
     let same = [two[0], ("a2", 2, "a", true), ("a3", 3, "a", true)];
-    let lost = [(3, Look::Lost(5_000))];
-    let of = |what, here, members, looks, unchanged_ms| Place {
-        what,
-        here,
+    let unreachable = [(3, PeerState::Unreachable(5_000))];
+    let case = |name, data_centre, members, states, unchanged_ms| Case {
+        name,
+        data_centre,
         members,
-        looks,
+        states,
         unchanged_ms,
-        leaving: &[],
+        retiring: &[],
     };
-    let emptied = Place {
-        leaving: &["b1"],
-        ..of("the place of one to be emptied", "b", &even, &LEVEL, 0)
+    let retiring = Case {
+        retiring: &["b1"],
+        ..case(
+            "a member of this data centre is to be retired",
+            "b",
+            &even,
+            &ALL_SYNCED,
+            0,
+        )
     };
     let cases = [
         (
-            of("the data centre without any", "c", &two, &[], 0),
+            case("vacancy, data centre without members", "c", &two, &[], 0),
             Some("a1 b1 me"),
         ),
-        (of("one that has one already", "a", &two, &[], 100), None),
         (
-            of("nobody of the other came", "a", &two, &[], 1_000),
+            case(
+                "vacancy, data centre with a member already",
+                "a",
+                &two,
+                &[],
+                100,
+            ),
+            None,
+        ),
+        (
+            case(
+                "vacancy not filled by the other data centre in time",
+                "a",
+                &two,
+                &[],
+                1_000,
+            ),
             Some("a1 b1 me"),
         ),
         (
-            of("the lost one's data centre", "c", &even, &lost, 0),
+            case(
+                "data centre of the unreachable member",
+                "c",
+                &even,
+                &unreachable,
+                0,
+            ),
             Some("a1 b1 c1 me"),
         ),
         (
-            of("another than the lost one's", "b", &even, &lost, 0),
+            case(
+                "not the data centre of the unreachable member",
+                "b",
+                &even,
+                &unreachable,
+                0,
+            ),
             None,
         ),
         (
-            of("that has no spare", "b", &even, &lost, 1_000),
+            case(
+                "no spare joined from the data centre of the unreachable member",
+                "b",
+                &even,
+                &unreachable,
+                1_000,
+            ),
             Some("a1 b1 c1 me"),
         ),
-        (emptied, Some("a1 b1 c1 me")),
-        (of("even as can be", "c", &even, &LEVEL, 60_000), None),
+        (retiring, Some("a1 b1 c1 me")),
         (
-            of("two more there, for a moment", "c", &same, &LEVEL, 2_000),
+            case("evenly distributed", "c", &even, &ALL_SYNCED, 60_000),
             None,
         ),
         (
-            of("two more there, for long", "c", &same, &LEVEL, 6_000),
+            case(
+                "three more members elsewhere, only briefly",
+                "c",
+                &same,
+                &ALL_SYNCED,
+                2_000,
+            ),
+            None,
+        ),
+        (
+            case(
+                "three more members elsewhere, for long",
+                "c",
+                &same,
+                &ALL_SYNCED,
+                6_000,
+            ),
             Some("a1 a2 a3 me"),
         ),
         (
-            of("the same, while one is gone", "b", &same, &lost, 500),
+            case(
+                "three members elsewhere, one unreachable",
+                "b",
+                &same,
+                &unreachable,
+                500,
+            ),
             Some("a1 a2 a3 me"),
         ),
         (
-            of("two more there than here", "c", &uneven, &LEVEL, 6_000),
+            case(
+                "two more members elsewhere",
+                "c",
+                &uneven,
+                &ALL_SYNCED,
+                6_000,
+            ),
             Some("a1 b1 a2 me"),
         ),
         (
-            of("one more there is no reason", "b", &uneven, &LEVEL, 60_000),
+            case(
+                "one more member elsewhere",
+                "b",
+                &uneven,
+                &ALL_SYNCED,
+                60_000,
+            ),
             None,
         ),
     ];
-    for (place, expected) in cases {
-        assert_eq!(place.decided().as_deref(), expected, "{}", place.what);
+    for (case, expected) in cases {
+        assert_eq!(case.propose().as_deref(), expected, "{}", case.name);
     }
 }
 
 #[test]
-fn one_of_too_many_members_leaves_where_most_are() {
+fn surplus_member_leaves_the_largest_data_centre() {
     let three = [
         ("a1", 1, "a", true),
         ("b1", 2, "b", true),
         ("c1", 3, "c", true),
     ];
-    let four = [three[0], three[1], three[2], ("me", ME, "a", true)];
+    let four = [three[0], three[1], three[2], ("me", OWN_DISK, "a", true)];
     let joining = [three[0], three[1], ("c1", 3, "c", false), four[3]];
     let elsewhere = [
         three[0],
-        ("me", ME, "b", true),
+        ("me", OWN_DISK, "b", true),
         three[2],
         ("a2", 4, "a", true),
     ];
-    let needed = [three[0], ("me", ME, "b", true), ("a2", 3, "a", true)];
-    let of = |what, here, members, looks| Place {
-        what,
-        here,
+    let needed = [three[0], ("me", OWN_DISK, "b", true), ("a2", 3, "a", true)];
+    let case = |name, data_centre, members, states| Case {
+        name,
+        data_centre,
         members,
-        looks,
+        states,
         unchanged_ms: 0,
-        leaving: &[],
+        retiring: &[],
     };
-    let emptied = Place {
-        leaving: &["b1"],
-        ..of("one is to be emptied", "a", &four, &LEVEL)
+    let retiring = Case {
+        retiring: &["b1"],
+        ..case("a member is to be retired", "a", &four, &ALL_SYNCED)
     };
-    let gone = [(2, Look::Lost(5_000))];
-    let away = [(2, Look::Lost(100))];
+    let unreachable = [(2, PeerState::Unreachable(5_000))];
+    let briefly_unreachable = [(2, PeerState::Unreachable(100))];
     let cases = [
         (
-            of("the last where most are", "a", &four, &LEVEL),
+            case(
+                "last member of the largest data centre",
+                "a",
+                &four,
+                &ALL_SYNCED,
+            ),
             Some("a1 b1 c1"),
         ),
-        (of("one is gone", "a", &four, &gone), None),
+        (case("one unreachable", "a", &four, &unreachable), None),
         (
-            of("one is away for a moment", "a", &four, &away),
+            case("one briefly unreachable", "a", &four, &briefly_unreachable),
             Some("a1 b1 c1"),
         ),
-        (emptied, None),
+        (retiring, None),
         (
-            of(
-                "one does not count yet",
+            case(
+                "one not active yet",
                 "a",
                 &joining,
-                &[(3, Look::Behind)],
+                &[(3, PeerState::Behind)],
             ),
             None,
         ),
-        (of("no more than needed", "b", &needed, &LEVEL), None),
+        (case("no surplus", "b", &needed, &ALL_SYNCED), None),
         (
-            of("others are where most are", "b", &elsewhere, &LEVEL),
+            case(
+                "another data centre is larger",
+                "b",
+                &elsewhere,
+                &ALL_SYNCED,
+            ),
             None,
         ),
     ];
-    for (place, expected) in cases {
-        assert_eq!(place.decided().as_deref(), expected, "{}", place.what);
+    for (case, expected) in cases {
+        assert_eq!(case.propose().as_deref(), expected, "{}", case.name);
     }
 }
 
 #[test]
-fn a_replica_elsewhere_never_goes_before_one_where_members_are_few() {
+fn replicas_of_the_smallest_data_centre_join_first() {
     let one = [member("a1", 1, true)];
     let view = View {
         version: 1,
@@ -197,33 +279,36 @@
         members: one.to_vec(),
     };
     let now = Instant::now() + Duration::from_secs(60);
-    // Milliseconds after which it enters.
-    let enters = |here: &str, first_start: bool, turn: Duration| {
+    // Returns after how many milliseconds a replica joins.
+    let join_delay_ms = |data_centre: &str, first_start: bool, turn: Duration| {
         let config = Config {
-            data_centre: here.to_owned(),
+            data_centre: data_centre.to_owned(),
             data_centres: vec!["here".to_owned(), "there".to_owned()],
             turn,
             ..config(first_start)
         };
         (0..60_000).step_by(10).find(|ms| {
-            let sight = Sight {
+            let observation = Observation {
                 view: &view,
-                disk: ME,
+                disk: OWN_DISK,
                 progress: &HashMap::new(),
-                leave: None,
-                leaving: &HashSet::new(),
-                followed: false,
-                unchanged: now - Duration::from_millis(*ms),
+                leave_since: None,
+                retiring: &HashSet::new(),
+                others_caught_up: false,
+                unchanged_since: now - Duration::from_millis(*ms),
             };
-            decide(&config, &sight, now).is_some()
+            decide(&config, &observation, now).is_some()
         })
     };
     for first_start in [true, false] {
-        let turns = (0..200).map(|_| turn(first_start));
-        let longest = turns.max().unwrap();
-        let few = enters("there", first_start, longest).unwrap();
-        let many = enters("here", first_start, Duration::ZERO).unwrap();
-        // What it takes until the others hear of it.
-        assert!(few + 150 < many, "first start {first_start}: {few} {many}");
+        let jitters = (0..200).map(|_| turn(first_start));
+        let longest = jitters.max().unwrap();
+        let prioritized = join_delay_ms("there", first_start, longest).unwrap();
+        let others = join_delay_ms("here", first_start, Duration::ZERO).unwrap();
+        // The 150 ms are for the others to learn of the change.
+        assert!(
+            prioritized + 150 < others,
+            "first start {first_start}: {prioritized} ms, others {others} ms"
+        );
     }
 }
--- a/crates/gradedyke-turns/tests/recovery.rs
+++ b/crates/gradedyke-turns/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! What a replica answers before it has taken in what is on its disk.
+//! Answers of a replica whose records on disk haven't been loaded yet.
 
 use std::collections::HashMap;
 use std::fs;
@@ -65,14 +65,14 @@
     }
 }
 
-/// A replica just after its start; nothing has been taken in.
-struct Started {
+/// A replica that has been opened; no records are loaded.
+struct Node {
     replica: Arc<Replica>,
     desk: Desk,
     stop: CancellationToken,
 }
 
-impl Started {
+impl Node {
     fn new(folder: &Path) -> Self {
         let stop = CancellationToken::new();
         let mirror = Mirror::new(&[]);
@@ -86,7 +86,7 @@
         }
     }
 
-    async fn ask(&self, request: &Request) -> Reply {
+    async fn send(&self, request: &Request) -> Reply {
         let reply = self
             .desk
             .handle(message::encode(request), Instant::now())
@@ -94,8 +94,8 @@
         message::decode(&reply).unwrap()
     }
 
-    /// The attempts of a program beside a new one, and what is known of the turn.
-    async fn begin(&self, program: &str, parent: Option<&str>) -> (Uses, Option<Found>) {
+    /// Begins a new attempt. Returns the program's other attempts and the parent turn.
+    async fn begin(&self, program: &str, parent: Option<&str>) -> (AttemptUsage, Option<Found>) {
         let Record::Reserved(reserve) = reserved(program, "new", 7) else {
             unreachable!()
         };
@@ -109,7 +109,7 @@
             first: false,
             patience_ms: 1_000,
         });
-        match self.ask(&request).await {
+        match self.send(&request).await {
             Reply::Began {
                 attempts, parent, ..
             } => {
@@ -129,20 +129,20 @@
             boot: 0,
             from: 0,
         };
-        match self.ask(&request).await {
+        match self.send(&request).await {
             Reply::Keys(keys) => keys,
             reply => panic!("{reply:?}"),
         }
     }
 }
 
-/// What each attempt used, and whether that is known.
-type Uses = HashMap<Id, (u32, bool)>;
+/// Tokens of each attempt, and whether it is settled.
+type AttemptUsage = HashMap<Id, (u32, bool)>;
 
 #[tokio::test]
-async fn a_program_goes_on_before_the_disk_has_been_read() {
+async fn requests_are_served_before_recovery() {
     let folder = tempfile::tempdir().unwrap();
-    // More than one segment.
+    // Large enough for more than one segment.
     let records = [
         reserved("p", "a", 10),
         turn("p", "a", None, 3 << 20),
@@ -152,55 +152,55 @@
         settled("q", "c", 2),
     ];
     write(folder.path(), &records).await;
-    let started = Started::new(folder.path());
-    let (uses, found) = started.begin("p", Some("b")).await;
-    assert_eq!(uses, [(id("a"), (3, true)), (id("b"), (3, true))].into());
+    let node = Node::new(folder.path());
+    let (usage, found) = node.begin("p", Some("b")).await;
+    assert_eq!(usage, [(id("a"), (3, true)), (id("b"), (3, true))].into());
     let Some(Found::Whole(chain)) = found else {
         panic!("{found:?}");
     };
     assert!(chain.body.ends_with(b"b!"));
     assert_eq!(chain.body.len(), 2 * ((3 << 20) + 2));
-    let (uses, _) = started.begin("q", None).await;
-    assert_eq!(uses, [(id("c"), (2, true))].into());
-    let (uses, found) = started.begin("unheard-of", Some("nowhere")).await;
-    assert_eq!((uses, found), (Uses::new(), Some(Found::Missing)));
+    let (usage, _) = node.begin("q", None).await;
+    assert_eq!(usage, [(id("c"), (2, true))].into());
+    let (usage, found) = node.begin("unheard-of", Some("nowhere")).await;
+    assert_eq!((usage, found), (AttemptUsage::new(), Some(Found::Missing)));
     // Another program continues a turn of the first one.
-    let again = Started::new(folder.path());
-    let (_, found) = again.begin("another", Some("b")).await;
+    let reopened = Node::new(folder.path());
+    let (_, found) = reopened.begin("another", Some("b")).await;
     assert!(matches!(found, Some(Found::Whole(_))), "{found:?}");
 }
 
 #[tokio::test]
-async fn others_hear_that_there_is_more_until_all_is_read() {
+async fn keys_are_incomplete_until_recovery_ends() {
     let folder = tempfile::tempdir().unwrap();
     write(folder.path(), &[turn("p", "a", None, 10)]).await;
-    let started = Started::new(folder.path());
-    let keys = started.keys().await;
-    assert!(!keys.all, "level with a replica that has not read its disk");
-    started.replica.clone().recover().await;
-    let keys = started.keys().await;
+    let node = Node::new(folder.path());
+    let keys = node.keys().await;
+    assert!(!keys.all, "keys are complete before the disk was read");
+    node.replica.clone().recover().await;
+    let keys = node.keys().await;
     assert!(keys.all);
     assert_eq!(keys.keys, [turn("p", "a", None, 10).key()]);
 }
 
 #[tokio::test(start_paused = true)]
-async fn no_segment_is_removed_before_it_has_been_read() {
+async fn no_segment_is_removed_before_recovery() {
     let folder = tempfile::tempdir().unwrap();
     write(folder.path(), &[turn("p", "a", None, 10)]).await;
-    let started = Started::new(folder.path());
-    let expire = tokio::spawn(started.replica.clone().expire());
+    let node = Node::new(folder.path());
+    let expire = tokio::spawn(node.replica.clone().expire());
     tokio::time::sleep(std::time::Duration::from_secs(600)).await;
-    let (_, found) = started.begin("p", Some("a")).await;
+    let (_, found) = node.begin("p", Some("a")).await;
     assert!(matches!(found, Some(Found::Whole(_))), "{found:?}");
-    started.stop.cancel();
+    node.stop.cancel();
     expire.await.unwrap();
 }
 
 #[tokio::test]
-async fn a_disk_that_does_not_give_records_back_denies_nothing() {
+async fn unreadable_segment_is_not_a_missing_turn() {
     let folder = tempfile::tempdir().unwrap();
     write(folder.path(), &[turn("p", "a", None, 10)]).await;
-    let started = Started::new(folder.path());
+    let node = Node::new(folder.path());
     let segment = folder.path().join("turns-00000001.log");
     fs::write(&segment, b"other bytes than the table was made of").unwrap();
     let request = Request::Begin(Begin {
@@ -213,12 +213,12 @@
         first: false,
         patience_ms: 1_000,
     });
-    let reply = started.ask(&request).await;
+    let reply = node.send(&request).await;
     assert!(matches!(reply, Reply::Failed(_)), "{reply:?}");
 }
 
-/// Up to 40 records of four programs whose turns continue each other.
-fn histories() -> impl Strategy<Value = Vec<Record>> {
+/// Generates up to 39 records of four programs whose turns continue each other.
+fn arbitrary_records() -> impl Strategy<Value = Vec<Record>> {
     let step = (0..4_usize, 0..3_u8, any::<prop::sample::Index>());
     prop::collection::vec(step, 1..40).prop_map(|steps| {
         let mut turns: Vec<String> = Vec::new();
@@ -242,12 +242,12 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, ..ProptestConfig::default() })]
 
-    /// Against an index that has read everything, whatever is asked first.
+    /// Compares the answers before and during recovery with an index of all records.
     #[test]
-    fn answers_are_those_of_a_replica_that_has_read_all(
-        records in histories(),
+    fn answers_match_an_index_of_all_records(
+        records in arbitrary_records(),
         restarts in prop::collection::vec(any::<prop::sample::Index>(), 0..3),
-        read_some in any::<bool>(),
+        recover_concurrently in any::<bool>(),
     ) {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
         runtime.block_on(async {
@@ -260,9 +260,9 @@
                 write(folder.path(), &records[from..end]).await;
                 from = end;
             }
-            let mut whole = Index::new(usize::MAX);
+            let mut reference = Index::new(usize::MAX);
             for record in &records {
-                whole.apply(record, 1, Instant::now());
+                reference.apply(record, 1, Instant::now());
             }
             for record in &records {
                 let request = record.key().request;
@@ -271,17 +271,17 @@
                     Record::Settled(s) => s.program.clone(),
                     Record::Turn(t) => t.program.clone().unwrap(),
                 };
-                let started = Started::new(folder.path());
-                if read_some {
-                    tokio::spawn(started.replica.clone().recover());
+                let node = Node::new(folder.path());
+                if recover_concurrently {
+                    tokio::spawn(node.replica.clone().recover());
                 }
-                let (uses, found) = started.begin(program.as_str(), Some(request.as_str())).await;
-                let attempts = whole.attempts(&program).into_iter();
-                let expected: Uses = attempts
+                let (usage, found) = node.begin(program.as_str(), Some(request.as_str())).await;
+                let attempts = reference.attempts(&program).into_iter();
+                let expected: AttemptUsage = attempts
                     .map(|a| (a.request, (a.tokens, a.settled)))
                     .collect();
-                assert_eq!(uses, expected);
-                let chain = whole.conversation(&request).and_then(|c| c.chain(&[]));
+                assert_eq!(usage, expected);
+                let chain = reference.conversation(&request).and_then(|c| c.chain(&[]));
                 let expected = chain.map_or(Found::Missing, Found::Whole);
                 assert_eq!(found, Some(expected));
             }
