--- a/crates/gradedyke-turns/src/membership/decide.rs
+++ b/crates/gradedyke-turns/src/membership/decide.rs
@@ -86,7 +86,7 @@
     pub leave_since: Option<Instant>,
     /// Names of all instances that are to be retired.
     pub retiring: &'a HashSet<String>,
-    /// Whether all other active members have all of its records.
+    /// Whether all other active members have all of its records, except the most recent.
     pub others_caught_up: bool,
     /// Since when the view, the unreachable members and the instances to be retired
     /// have been the same.
@@ -101,7 +101,8 @@
         unreachable_since.is_some_and(|at| now - at >= duration)
     }
 
-    /// Whether a member is reachable and not to be retired.
+    /// Whether a member isn't to be retired and hasn't been unreachable for long enough
+    /// to be replaced.
     fn is_stable(&self, member: &Member, now: Instant) -> bool {
         !self.is_unreachable_for(member, REPLACE_TIMEOUT, now)
             && !self.retiring.contains(&member.name)
@@ -205,7 +206,7 @@
         data_centre: config.data_centre.clone(),
         active: config.first_start && no_records_yet,
     });
-    view.next(members)
+    view.with_members(members)
 }
 
 fn update_address(config: &Config, observation: &Observation<'_>) -> View {
@@ -215,7 +216,7 @@
             member.address = config.address;
         }
     }
-    observation.view.next(members)
+    observation.view.with_members(members)
 }
 
 /// Removes this replica from the view once the other active members have all of its
@@ -259,7 +260,7 @@
     for member in &mut members {
         member.active |= member.disk == observation.disk;
     }
-    Some(view.next(members))
+    Some(view.with_members(members))
 }
 
 /// Whether all unreachable active members have been so for long enough to continue
@@ -317,5 +318,5 @@
 fn remove(view: &View, disk: Disk) -> View {
     let mut members = view.members.clone();
     members.retain(|m| m.disk != disk);
-    view.next(members)
+    view.with_members(members)
 }
--- a/crates/gradedyke-turns/src/replica.rs
+++ b/crates/gradedyke-turns/src/replica.rs
@@ -251,7 +251,7 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn usage(&self) -> MutexGuard<'_, usage::Board> {
+    pub(crate) fn usage_reports(&self) -> MutexGuard<'_, usage::Board> {
         self.usage_reports
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -262,9 +262,9 @@
     fn apply_usage_report(&self, report: usage::Report) -> Total {
         let now = Instant::now();
         let asked = report.asked;
-        let mut usage = self.usage();
-        usage.put(report, now);
-        usage.total(asked, now)
+        let mut reports = self.usage_reports();
+        reports.put(report, now);
+        reports.total(asked, now)
     }
 
     /// Updates the load that an entry process reported. Returns the load of the other
--- a/crates/gradedyke-turns/src/snapshot.rs
+++ b/crates/gradedyke-turns/src/snapshot.rs
@@ -103,7 +103,7 @@
         return;
     };
     tracing::info!(event = "usage_loaded", rows = snapshot.1.len());
-    replica.usage().restore(snapshot, now);
+    replica.usage_reports().restore(snapshot, now);
 }
 
 /// Writes the usage of client accounts to `folder` at an interval while there is any,
@@ -115,7 +115,7 @@
             () = tokio::time::sleep(USAGE_WRITE_INTERVAL) => {}
             () = stop.cancelled() => return,
         }
-        let (part_ms, rows) = replica.usage().written(Instant::now());
+        let (part_ms, rows) = replica.usage_reports().written(Instant::now());
         // After the last usage expires, an empty snapshot is written once.
         if rows.is_empty() && previous_rows == 0 {
             continue;
--- a/crates/gradedyke-turns/src/view.rs
+++ b/crates/gradedyke-turns/src/view.rs
@@ -94,7 +94,7 @@
     }
 
     /// Returns the next version of this view, with the given members.
-    pub fn next(&self, members: Vec<Member>) -> Self {
+    pub fn with_members(&self, members: Vec<Member>) -> Self {
         Self {
             version: self.version + 1,
             tolerate: self.tolerate,
--- a/crates/gradedyke-turns/tests/membership/spread.rs
+++ b/crates/gradedyke-turns/tests/membership/spread.rs
@@ -63,7 +63,7 @@
     let two = [("a1", 1, "a", true), ("b1", 2, "b", true)];
     let even = [two[0], two[1], ("c1", 3, "c", true)];
     let uneven = [two[0], two[1], ("a2", 3, "a", true)];
-    let same = [two[0], ("a2", 2, "a", true), ("a3", 3, "a", true)];
+    let all_in_a = [two[0], ("a2", 2, "a", true), ("a3", 3, "a", true)];
     let unreachable = [(3, PeerState::Unreachable(5_000))];
     let case = |name, data_centre, members, states, unchanged_ms| Case {
         name,
@@ -147,7 +147,7 @@
             case(
                 "three more members elsewhere, only briefly",
                 "c",
-                &same,
+                &all_in_a,
                 &ALL_SYNCED,
                 2_000,
             ),
@@ -157,7 +157,7 @@
             case(
                 "three more members elsewhere, for long",
                 "c",
-                &same,
+                &all_in_a,
                 &ALL_SYNCED,
                 6_000,
             ),
@@ -167,7 +167,7 @@
             case(
                 "three members elsewhere, one unreachable",
                 "b",
-                &same,
+                &all_in_a,
                 &unreachable,
                 500,
             ),
@@ -208,13 +208,13 @@
     ];
     let four = [three[0], three[1], three[2], ("me", OWN_DISK, "a", true)];
     let joining = [three[0], three[1], ("c1", 3, "c", false), four[3]];
-    let elsewhere = [
+    let a_is_larger = [
         three[0],
         ("me", OWN_DISK, "b", true),
         three[2],
         ("a2", 4, "a", true),
     ];
-    let needed = [three[0], ("me", OWN_DISK, "b", true), ("a2", 3, "a", true)];
+    let complete = [three[0], ("me", OWN_DISK, "b", true), ("a2", 3, "a", true)];
     let case = |name, data_centre, members, states| Case {
         name,
         data_centre,
@@ -254,12 +254,12 @@
             ),
             None,
         ),
-        (case("no surplus", "b", &needed, &ALL_SYNCED), None),
+        (case("no surplus", "b", &complete, &ALL_SYNCED), None),
         (
             case(
                 "another data centre is larger",
                 "b",
-                &elsewhere,
+                &a_is_larger,
                 &ALL_SYNCED,
             ),
             None,
