--- a/crates/gradedyke-turns/src/feed.rs
+++ b/crates/gradedyke-turns/src/feed.rs
@@ -1,7 +1,7 @@
-//! Takes the platform's news from a replica, so that most processes never call
-//! the platform's service.
+//! Follows another process's copy of the platform's key-value service, so that most
+//! processes never call the service themselves.
 //!
-//! `reader` tells which of them do, and when.
+//! `reader` decides which processes do, and when.
 
 mod reader;
 
@@ -22,77 +22,78 @@
 
 pub use reader::{ENTRY_START, KEEPER_START, Reader, Standby};
 
-/// How long a replica may wait for news before it answers without.
-const WAIT: Duration = Duration::from_millis(300);
-/// Longest time for a call: the wait and the way.
-const CALL: Duration = Duration::from_millis(700);
-/// Wait before a source that did not answer is asked again, or the next is tried.
-const RETRY: Duration = Duration::from_millis(50);
-/// How long a source is followed whose copy is old, before all are asked again
-/// for a fresh one.
-const OLD: Duration = Duration::from_millis(800);
-/// How long a source with a fresh copy is waited for where one with an old copy has
-/// answered: what a keeper takes to list the service after its start.
-const FRESHER: Duration = Duration::from_millis(60);
-/// How long a source that is not the preferred one is followed at least, and at most
-/// twice that, before it is looked whether the preferred one is fresh by now. At a
-/// start only those who read the service are, and all would stay with them.
-const REVIEW: Duration = Duration::from_secs(2);
-/// How much earlier a source is asked than the one after it.
-const AHEAD: Duration = Duration::from_millis(3);
-/// Longest wait for news, whatever is asked for.
-const NEWS_WAIT: Duration = Duration::from_secs(5);
+/// How long a source may hold a request while it has no changes (long polling).
+const LONG_POLL_WAIT: Duration = Duration::from_millis(300);
+/// Timeout of a call. It covers [`LONG_POLL_WAIT`] and the network round trip.
+const CALL_TIMEOUT: Duration = Duration::from_millis(700);
+/// Delay before the next source is selected, and first delay before a source that
+/// failed is asked for its age again.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
+/// How long a source with a stale copy is followed before a source is selected anew.
+const STALE_SOURCE_TIMEOUT: Duration = Duration::from_millis(800);
+/// How long to wait for a source with a fresh copy once one with a stale copy has
+/// answered. A replica needs about this long to list the service after its start.
+const FRESH_SOURCE_WAIT: Duration = Duration::from_millis(60);
+/// Shortest time for which a source other than the preferred one is followed before a
+/// source is selected anew; the longest is twice this. After a start only the processes
+/// that read the service are fresh, and without this all others would stay with them.
+const RESELECT_INTERVAL: Duration = Duration::from_secs(2);
+/// Delay between the first requests to successive sources.
+const STAGGER_DELAY: Duration = Duration::from_millis(3);
+/// Upper limit for the wait that a follower asks for.
+const MAX_LONG_POLL_WAIT: Duration = Duration::from_secs(5);
 
-/// Tells what changed in `mirror` after `cursor`; waits up to `wait` for a change. Without
-/// one the news still tell how old the copy is.
+/// Returns what changed in `mirror` after `cursor`, waiting up to `wait` for a change. If
+/// nothing changed, the result still holds the age of the copy.
 pub async fn tell(mirror: &Mirror, cursor: &Cursor, wait: Duration) -> News {
     let arrived = Instant::now();
     let mut changed = mirror.watch();
-    let news = mirror.news(cursor, arrived, arrived);
-    if !news.items.is_empty() || news.listing {
-        return news;
+    let update = mirror.news(cursor, arrived, arrived);
+    if !update.items.is_empty() || update.listing {
+        return update;
     }
-    let more = changed.wait_for(|change| *change > cursor.change);
-    let _ = tokio::time::timeout(wait.min(NEWS_WAIT), more).await;
+    let change = changed.wait_for(|change| *change > cursor.change);
+    let _ = tokio::time::timeout(wait.min(MAX_LONG_POLL_WAIT), change).await;
     mirror.news(cursor, arrived, Instant::now())
 }
 
-/// Tells how old the copy in `mirror` is.
+/// Returns the reply to [`Request::Age`]: how old the copy in `mirror` is.
 pub fn tell_age(mirror: &Mirror, now: Instant) -> Reply {
     let age = mirror.age(now);
     Reply::Age(age.map(|a| u64::try_from(a.as_millis()).unwrap_or(u64::MAX)))
 }
 
-/// The other processes, as a feed asks them.
+/// Access to the other processes.
 #[async_trait]
 pub trait Peers: Send + Sync {
-    /// Where this process passes requests of others on, if it does.
+    /// The address where this process forwards requests of other gateways, if it does.
     fn own(&self) -> Option<SocketAddr>;
 
-    /// Whether no keeper could be reached when that was last tried.
+    /// Whether no replica could be reached at the last try.
     fn cut_off(&self) -> bool;
 
-    /// Asks the process at `peer`, and waits for its reply for at most `time`.
+    /// Sends `request` to the process at `peer` and waits for its reply for at most
+    /// `timeout`.
     ///
     /// # Errors
     ///
-    /// What the connection failed with, or that the reply is not understood.
+    /// [`Unanswered`] when the call fails or the reply cannot be decoded.
     async fn ask(
         &self,
         peer: SocketAddr,
         request: &Request,
-        time: Duration,
+        timeout: Duration,
     ) -> Result<Reply, Unanswered>;
 }
 
-/// Why a question to another process got no answer.
+/// Failure of a call to another process.
 #[derive(Debug, thiserror::Error)]
 pub enum Unanswered {
     /// The call failed.
     #[error(transparent)]
     Failed(#[from] gradedyke_peer::Error),
-    /// The reply is not understood.
-    #[error("the reply is not understood; run the same version everywhere")]
+    /// The reply cannot be decoded.
+    #[error("the reply cannot be decoded; run the same version on all instances")]
     NotUnderstood,
 }
 
@@ -110,16 +111,16 @@
         &self,
         peer: SocketAddr,
         request: &Request,
-        time: Duration,
+        timeout: Duration,
     ) -> Result<Reply, Unanswered> {
         let client = self.client(peer);
-        let reply = client.call(message::encode(request), time).await?;
+        let reply = client.call(message::encode(request), timeout).await?;
         message::decode(&reply).ok_or(Unanswered::NotUnderstood)
     }
 }
 
-/// Follows one source after the other until `stop`. `sources` lists them, the
-/// preferred one first.
+/// Keeps `mirror` up to date by following one source at a time until `stop`. `sources`
+/// lists the candidates, the preferred one first.
 pub async fn run(
     mirror: Arc<Mirror>,
     peers: Arc<dyn Peers>,
@@ -128,39 +129,40 @@
     stop: CancellationToken,
 ) {
     let mut positions = Positions::new();
-    let mut before = None;
+    let mut previous = None;
     loop {
-        let known = sources();
+        let candidates = sources();
         let neighbours = neighbours(&mirror, &*peers);
-        if let Some(source) = first(&*peers, &reader, &known, &neighbours).await {
+        if let Some(source) = select_source(&*peers, &reader, &candidates, &neighbours).await {
             let others = positions.iter_mut().filter(|(other, _)| **other != source);
-            others.for_each(|(_, position)| position.give_up());
+            others.for_each(|(_, position)| position.discard_listing());
             let position = positions.entry(source).or_default();
-            let mut joined = Joined {
+            let mut session = Session {
                 source,
                 position,
-                told: before == Some(source),
-                neighbour: neighbours.contains(&source),
-                review: review(&known, source, Instant::now()),
+                is_logged: previous == Some(source),
+                is_neighbour: neighbours.contains(&source),
+                reselect_at: reselect_at(&candidates, source, Instant::now()),
             };
-            before = Some(source);
+            previous = Some(source);
             tokio::select! {
-                why = follow(&mirror, &*peers, &reader, &mut joined) => match why {
-                    Left::Review => {}
-                    why => tracing::info!(event = "feed_left", %source, why = why.name()),
+                reason = follow(&mirror, &*peers, &reader, &mut session) => match reason {
+                    EndReason::Reselect => {}
+                    reason => tracing::info!(event = "feed_left", %source, why = reason.name()),
                 },
                 () = stop.cancelled() => return,
             }
         }
         tokio::select! {
-            () = tokio::time::sleep(RETRY) => {}
+            () = tokio::time::sleep(RETRY_DELAY) => {}
             () = stop.cancelled() => return,
         }
     }
 }
 
-/// Other entries that an entry takes news from when no keeper can be reached. Keys may
-/// only be used while the platform's service confirms them, and detours keep turns going.
+/// Other gateways to follow while no replica can be reached; empty otherwise. Turns go on
+/// through forwarded requests then, and API keys may be used only while the platform's
+/// service confirms them, so the copy has to stay fresh.
 fn neighbours(mirror: &Mirror, peers: &dyn Peers) -> Vec<SocketAddr> {
     let Some(own) = peers.own().filter(|_| peers.cut_off()) else {
         return Vec::new();
@@ -170,102 +172,99 @@
     neighbours
 }
 
-/// How far each source has been followed.
+/// The position in each source, by its address.
 type Positions = HashMap<SocketAddr, Position>;
 
 /// How far a source has been followed.
 #[derive(Default)]
 struct Position {
     cursor: Cursor,
-    /// The pages of a listing so far. It goes on from there when the source answers again.
-    listed: Vec<Item>,
+    /// Items of an incomplete listing, which continues when the source answers again.
+    partial_listing: Vec<Item>,
 }
 
-/// The source that is followed.
-struct Joined<'a> {
+/// The source that is followed, and the state that belongs to it.
+struct Session<'a> {
     source: SocketAddr,
     position: &'a mut Position,
-    /// Whether it is another entry, which has its news from elsewhere.
-    neighbour: bool,
-    /// Whether the log says so already.
-    told: bool,
-    /// When to look whether a preferred one is fresh by now.
-    review: Option<Instant>,
+    /// Whether the source is another gateway, which follows other processes itself.
+    is_neighbour: bool,
+    /// Whether `feed_joined` has been logged for the source.
+    is_logged: bool,
+    /// When to select a source anew; `None` for the preferred one.
+    reselect_at: Option<Instant>,
 }
 
 /// Why a source is no longer followed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Left {
-    Silent,
-    NotUnderstood,
-    Old,
-    Review,
+enum EndReason {
+    NoReply,
+    InvalidReply,
+    Stale,
+    Reselect,
 }
 
-impl Left {
+impl EndReason {
     fn name(self) -> &'static str {
         match self {
-            Left::Silent => "no answer",
-            Left::NotUnderstood => "not understood",
-            Left::Old => "its copy is old",
-            Left::Review => "another is preferred",
+            EndReason::NoReply => "no answer",
+            EndReason::InvalidReply => "not understood",
+            EndReason::Stale => "its copy is old",
+            EndReason::Reselect => "another is preferred",
         }
     }
 }
 
-/// When to look again for the preferred one of `known`, if `source` is another.
-fn review(known: &[SocketAddr], source: SocketAddr, now: Instant) -> Option<Instant> {
-    let preferred = known.first() == Some(&source);
-    let wait = REVIEW.mul_f64(1.0 + rand::random::<f64>());
-    (!preferred).then(|| now + wait)
+/// When to select a source anew, if `source` is not the preferred one of `candidates`.
+fn reselect_at(candidates: &[SocketAddr], source: SocketAddr, now: Instant) -> Option<Instant> {
+    let is_preferred = candidates.first() == Some(&source);
+    let wait = RESELECT_INTERVAL.mul_f64(1.0 + rand::random::<f64>());
+    (!is_preferred).then(|| now + wait)
 }
 
-/// The first source that has a fresh copy, or else any that answers. All are
-/// asked at once, because one that does not answer costs more than the
-/// questions; preferred ones have a start. Each is asked again by itself until it
-/// answers: after a loss of everything half of the sources come up 0.1 s after
-/// the others, and nobody is to wait for those.
+/// Returns the first source that answers with a fresh copy, or else the first that
+/// answers at all. All are asked concurrently, in order of preference and slightly
+/// staggered, and each is retried on its own, so that one that does not answer delays
+/// no other.
 ///
-/// One of `neighbours` is as good as a source while its copy is fresh; an old one comes
-/// from the same keepers.
-async fn first(
+/// A process of `neighbours` is returned only if its copy is fresh.
+async fn select_source(
     peers: &dyn Peers,
     reader: &Reader,
     sources: &[SocketAddr],
     neighbours: &[SocketAddr],
 ) -> Option<SocketAddr> {
-    let mut asked = FuturesUnordered::new();
-    for (place, source) in sources.iter().chain(neighbours).enumerate() {
-        let start = AHEAD * u32::try_from(place).unwrap_or(u32::MAX);
-        asked.push(async move {
-            tokio::time::sleep(start).await;
-            (*source, age(peers, *source).await)
+    let mut requests = FuturesUnordered::new();
+    for (rank, source) in sources.iter().chain(neighbours).enumerate() {
+        let delay = STAGGER_DELAY * u32::try_from(rank).unwrap_or(u32::MAX);
+        requests.push(async move {
+            tokio::time::sleep(delay).await;
+            (*source, fetch_age(peers, *source).await)
         });
     }
-    let mut until = Instant::now() + CALL;
-    let mut old = None;
-    while let Ok(Some((source, age))) = tokio::time::timeout_at(until, asked.next()).await {
+    let mut deadline = Instant::now() + CALL_TIMEOUT;
+    let mut stale = None;
+    while let Ok(Some((source, age))) = tokio::time::timeout_at(deadline, requests.next()).await {
         if reader.fresh(age) {
             return Some(source);
         }
         if neighbours.contains(&source) {
             continue;
         }
-        if old.is_none() {
-            until = until.min(Instant::now() + FRESHER);
+        if stale.is_none() {
+            deadline = deadline.min(Instant::now() + FRESH_SOURCE_WAIT);
         }
-        old.get_or_insert(source);
+        stale.get_or_insert(source);
     }
-    old
+    stale
 }
 
-/// The age of a source's copy, asked until it answers; `None` for a copy that the
-/// service never confirmed. Waits grow: one that resets each connection is not to
-/// be met hundreds of times a second by all others together.
-async fn age(peers: &dyn Peers, source: SocketAddr) -> Option<Duration> {
-    let mut wait = RETRY;
+/// Asks a source for the age of its copy, with exponential backoff, until it answers;
+/// `None` for a copy that the service never confirmed.
+async fn fetch_age(peers: &dyn Peers, source: SocketAddr) -> Option<Duration> {
+    let mut wait = RETRY_DELAY;
     loop {
-        let reply = peers.ask(source, &Request::Age, CALL).await;
+        let reply = peers.ask(source, &Request::Age, CALL_TIMEOUT).await;
         if let Ok(Reply::Age(age)) = reply {
             return age.map(Duration::from_millis);
         }
@@ -274,84 +273,89 @@
     }
 }
 
-/// Follows one source until it fails, for a while if its copy is old, or until it is
-/// time to look for a preferred one.
+/// Follows one source until a call fails, its copy has been stale for
+/// [`STALE_SOURCE_TIMEOUT`], or a source has to be selected anew.
 async fn follow(
     mirror: &Mirror,
     peers: &dyn Peers,
     reader: &Reader,
-    joined: &mut Joined<'_>,
-) -> Left {
-    let source = joined.source;
-    let wait_ms = u32::try_from(WAIT.as_millis()).unwrap_or(u32::MAX);
-    let since = Instant::now();
+    session: &mut Session<'_>,
+) -> EndReason {
+    let source = session.source;
+    let wait_ms = u32::try_from(LONG_POLL_WAIT.as_millis()).unwrap_or(u32::MAX);
+    let started = Instant::now();
     loop {
         let cursor = Cursor {
             through: mirror.through(),
-            ..joined.position.cursor
+            ..session.position.cursor
         };
         let request = Request::Follow {
             cursor,
             wait_ms,
             address: peers.own(),
         };
-        let asked = Instant::now();
-        let news = match peers.ask(source, &request, CALL).await {
-            Ok(Reply::News(news)) => news,
-            Ok(_) | Err(Unanswered::NotUnderstood) => return Left::NotUnderstood,
-            Err(Unanswered::Failed(_)) => return Left::Silent,
+        let sent = Instant::now();
+        let update = match peers.ask(source, &request, CALL_TIMEOUT).await {
+            Ok(Reply::News(update)) => update,
+            Ok(_) | Err(Unanswered::NotUnderstood) => return EndReason::InvalidReply,
+            Err(Unanswered::Failed(_)) => return EndReason::NoReply,
         };
-        let items = match news.items.unpack() {
+        let items = match update.items.unpack() {
             Ok(items) => items,
             Err(error) => {
                 tracing::warn!(event = "news_not_read", %source, %error);
-                return Left::NotUnderstood;
+                return EndReason::InvalidReply;
             }
         };
-        let age = news.age_ms.map(Duration::from_millis);
-        let fresh = reader.fresh(age);
+        let age = update.age_ms.map(Duration::from_millis);
+        let is_fresh = reader.fresh(age);
         let now = Instant::now();
-        // Another entry may have its news from here.
-        if !joined.neighbour {
-            reader.heard(fresh, now);
+        // A neighbour may itself follow this process, so its answers do not count.
+        if !session.is_neighbour {
+            reader.heard(is_fresh, now);
         }
-        let Some(items) = joined.position.gather(&news, items) else {
+        let Some(items) = session.position.advance(&update, items) else {
             continue;
         };
-        mirror.learn(news, items, asked, now);
-        if !std::mem::replace(&mut joined.told, true) {
-            tracing::info!(event = "feed_joined", %source, neighbour = joined.neighbour, age = ?age);
+        mirror.learn(update, items, sent, now);
+        if !std::mem::replace(&mut session.is_logged, true) {
+            tracing::info!(
+                event = "feed_joined",
+                %source,
+                neighbour = session.is_neighbour,
+                age = ?age
+            );
         }
-        if !fresh && now - since > OLD {
-            return Left::Old;
+        if !is_fresh && now - started > STALE_SOURCE_TIMEOUT {
+            return EndReason::Stale;
         }
-        if joined.review.is_some_and(|at| now >= at) {
-            return Left::Review;
+        if session.reselect_at.is_some_and(|at| now >= at) {
+            return EndReason::Reselect;
         }
     }
 }
 
 impl Position {
-    /// Forgets a listing that was begun, which takes the memory of all that is listed.
-    fn give_up(&mut self) {
+    /// Discards an incomplete listing to free its memory.
+    fn discard_listing(&mut self) {
         if self.cursor.listing {
             *self = Self::default();
         }
     }
 
-    /// Takes in how far `news` go, which bring `items`. Returns what may be taken in:
-    /// changes, or a whole listing at its last page.
-    fn gather(&mut self, news: &News, mut items: Vec<Item>) -> Option<Vec<Item>> {
-        if news.boot != self.cursor.boot || !news.listing {
-            self.listed.clear();
+    /// Moves the cursor past `update`, which holds `items`. Returns the items that can be
+    /// applied: changes, or a complete listing with its last page.
+    fn advance(&mut self, update: &News, mut items: Vec<Item>) -> Option<Vec<Item>> {
+        if update.boot != self.cursor.boot || !update.listing {
+            self.partial_listing.clear();
         }
-        self.cursor.boot = news.boot;
-        self.cursor.change = news.next;
-        self.cursor.listing = news.listing && news.more;
-        if !news.listing {
+        self.cursor.boot = update.boot;
+        self.cursor.change = update.next;
+        self.cursor.listing = update.listing && update.more;
+        if !update.listing {
             return Some(items);
         }
-        self.listed.append(&mut items);
-        (!news.more).then(|| std::mem::take(&mut self.listed))
+        self.partial_listing.append(&mut items);
+        (!update.more).then(|| std::mem::take(&mut self.partial_listing))
     }
 }
--- a/crates/gradedyke-turns/src/feed/reader.rs
+++ b/crates/gradedyke-turns/src/feed/reader.rs
@@ -1,14 +1,14 @@
-//! Whether a process reads the platform's service itself.
+//! Decides whether a process reads the platform's service itself.
 //!
-//! Few do: the keepers that watch it. All others hear from these, and read it themselves
-//! while no keeper brings them fresh news, or when their copy is too old whichever way it
-//! comes. What another entry tells keeps a copy young, but never ends the reading: it may
-//! come from the reader itself.
+//! Usually only the replicas that watch the service do. The other processes follow them,
+//! and read the service themselves while no replica sends fresh updates, or when their copy
+//! is too old. Updates from another gateway keep a copy fresh but never end the reading,
+//! because they may come from the reading process itself.
 //!
-//! A process therefore knows each change after at most the greater of two times and one
-//! look: [`ALONE`] where keepers are gone, and [`TOO_OLD`] where they have nothing new. Both
-//! are shares of the time in which a change must be in force: the service is read no earlier
-//! than that asks for, because many read it together then.
+//! A process starts to read after [`SUPPLY_TIMEOUT_RATIO`] when replicas do not answer, and
+//! at an age of [`MAX_AGE_RATIO`] when they answer with stale copies. Both are fractions of
+//! the time in which a change must be in force. They are as late as that time allows,
+//! because many processes start to read the service at once.
 
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
@@ -17,29 +17,29 @@
 
 use crate::mirror::Need;
 
-/// Time without fresh news from a keeper after which the service itself is read, as a share
-/// of the time in which a change must be in force.
-const ALONE: f64 = 0.35;
-/// Age of a copy above which another source is asked, as the same share.
-const STALE: f64 = 0.65;
-/// Age of a copy above which the service itself is read, whoever brings news, as the same
-/// share. The rest is for a look and a call.
-const TOO_OLD: f64 = 0.9;
+/// Time without a fresh update from a replica after which the service itself is read, as a
+/// fraction of the time in which a change must be in force.
+const SUPPLY_TIMEOUT_RATIO: f64 = 0.35;
+/// Age above which a copy is stale and another source is selected, as a fraction of the
+/// same time.
+const STALE_AGE_RATIO: f64 = 0.65;
+/// Age of a copy above which the service itself is read even while replicas answer, as a
+/// fraction of the same time. The remainder is for one poll interval and one call.
+const MAX_AGE_RATIO: f64 = 0.9;
 
-/// Time that the feed of an entry has at the start of its process, when all others
-/// may be starting too: what a keeper takes to start and to read the service.
+/// Grace period of a gateway after its start, in which replicas, which may be starting
+/// too, read the service.
 pub const ENTRY_START: Duration = Duration::from_secs(2);
-/// The same of a keeper, for which the seeds read the service: those start within
-/// 0.3 s of it.
+/// Grace period of a replica after its start, in which the seed replicas read the service.
 pub const KEEPER_START: Duration = Duration::from_millis(400);
 
-/// Age of the copy above which a watcher that stands by reads the service itself.
-const LATE: Duration = Duration::from_millis(1_100);
-/// How long it goes on then, so that a first watcher that comes and goes does not have
-/// it begin again and again.
-const HOLD: Duration = Duration::from_secs(3);
+/// Age of the copy above which a standby reads the service itself.
+const STANDBY_MAX_AGE: Duration = Duration::from_millis(1_100);
+/// Shortest time for which a standby reads, so that a primary watcher that fails
+/// intermittently does not make it start again and again.
+const STANDBY_MIN_READ_TIME: Duration = Duration::from_secs(3);
 
-/// The decision of a process that hears from keepers.
+/// Decides for a process that follows replicas.
 #[derive(Debug)]
 pub struct Reader {
     /// The time in which a change must be in force.
@@ -49,19 +49,19 @@
 
 #[derive(Debug)]
 struct State {
-    /// When a keeper last brought fresh news, or may be expected to have done so.
-    supplied: Instant,
-    /// When a keeper last told anything, the same.
-    heard: Instant,
+    /// When a replica last sent a fresh update; initially the end of the grace period.
+    fresh_at: Instant,
+    /// When a replica last sent any update; initially the end of the grace period.
+    answered_at: Instant,
 }
 
 impl Reader {
-    /// The decision of a process that starts at `now`, and to which a keeper may take
-    /// `start` to bring the first news. A change must be in force after `in_force`.
-    pub fn new(now: Instant, start: Duration, in_force: Duration) -> Self {
+    /// Creates the reader of a process that starts at `now` and waits `grace` for the
+    /// first update. A change must be in force after `in_force`.
+    pub fn new(now: Instant, grace: Duration, in_force: Duration) -> Self {
         let state = State {
-            supplied: now + start,
-            heard: now + start,
+            fresh_at: now + grace,
+            answered_at: now + grace,
         };
         Self {
             in_force,
@@ -69,23 +69,23 @@
         }
     }
 
-    /// Whether a copy of this age is young enough to follow.
+    /// Whether a copy of this age is fresh enough to follow.
     pub fn fresh(&self, age: Option<Duration>) -> bool {
-        age.is_some_and(|age| age <= self.in_force.mul_f64(STALE))
+        age.is_some_and(|age| age <= self.in_force.mul_f64(STALE_AGE_RATIO))
     }
 
-    /// Notes that a keeper told what it knows, and whether that was fresh.
-    pub fn heard(&self, fresh: bool, now: Instant) {
+    /// Records an update from a replica, and whether its copy was fresh.
+    pub fn heard(&self, is_fresh: bool, now: Instant) {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-        state.heard = now;
-        if fresh {
-            state.supplied = now;
+        state.answered_at = now;
+        if is_fresh {
+            state.fresh_at = now;
         }
     }
 
-    /// How much the service has to be read at `now`, when the copy has this `age`; none
-    /// before it was ever confirmed. Keepers that have old news are trying to read the
-    /// service themselves, so the need is low while they are there.
+    /// How urgently this process has to read the service at `now`. `age` is the age of its
+    /// copy, `None` if the service never confirmed it. Replicas with stale copies are trying
+    /// to read the service themselves, so the need is low while they answer.
     ///
     /// ```
     /// use std::time::Duration;
@@ -95,25 +95,29 @@
     ///
     /// let now = Instant::now();
     /// let after = |ms| now + Duration::from_millis(ms);
-    /// let (young, old) = (Some(Duration::from_millis(100)), Some(Duration::from_secs(2)));
+    /// let (fresh, stale) = (Some(Duration::from_millis(100)), Some(Duration::from_secs(2)));
     /// let reader = Reader::new(now, ENTRY_START, Duration::from_secs(2));
     /// assert_eq!(reader.need(None, now), Need::None);
-    /// // No keeper brings news, whoever else does.
-    /// assert_eq!(reader.need(young, after(2_800)), Need::Low);
-    /// assert_eq!(reader.need(old, after(2_800)), Need::High);
-    /// // What they bring is old.
+    /// // No replica sends updates.
+    /// assert_eq!(reader.need(fresh, after(2_800)), Need::Low);
+    /// assert_eq!(reader.need(stale, after(2_800)), Need::High);
+    /// // Replicas send stale updates.
     /// reader.heard(false, after(3_000));
-    /// assert_eq!(reader.need(old, after(3_100)), Need::Low);
+    /// assert_eq!(reader.need(stale, after(3_100)), Need::Low);
     /// reader.heard(true, after(3_200));
-    /// assert_eq!(reader.need(young, after(3_300)), Need::None);
+    /// assert_eq!(reader.need(fresh, after(3_300)), Need::None);
     /// ```
     pub fn need(&self, age: Option<Duration>, now: Instant) -> Need {
         let state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-        let alone = self.in_force.mul_f64(ALONE);
-        let too_old = self.in_force.mul_f64(TOO_OLD);
-        let long = |since| now.saturating_duration_since(since) > alone;
-        let old = age.map_or(long(state.heard), |age| age > too_old);
-        match (old, long(state.supplied), long(state.heard)) {
+        let timeout = self.in_force.mul_f64(SUPPLY_TIMEOUT_RATIO);
+        let max_age = self.in_force.mul_f64(MAX_AGE_RATIO);
+        let timed_out = |since| now.saturating_duration_since(since) > timeout;
+        let too_old = age.map_or(timed_out(state.answered_at), |age| age > max_age);
+        match (
+            too_old,
+            timed_out(state.fresh_at),
+            timed_out(state.answered_at),
+        ) {
             (true, _, true) => Need::High,
             (true, ..) | (_, true, _) => Need::Low,
             _ => Need::None,
@@ -121,13 +125,14 @@
     }
 }
 
-/// Whether a watcher that stands by reads the platform's service itself.
+/// Decides whether a standby reads the platform's service itself, in place of the primary
+/// watcher.
 #[derive(Debug, Default)]
 pub struct Standby(Mutex<Option<Instant>>);
 
 impl Standby {
-    /// Whether it has to do so at `now`, when its copy has this `age` and the first watcher
-    /// is `down` or not.
+    /// How urgently the standby has to read the service at `now`. `age` is the age of its
+    /// copy, and `down` says whether the primary watcher is down.
     ///
     /// ```
     /// use std::time::Duration;
@@ -144,11 +149,12 @@
     /// assert_eq!(standby.need(fresh, false, after(4)), Need::None);
     /// ```
     pub fn need(&self, age: Option<Duration>, down: bool, now: Instant) -> Need {
-        let mut since = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        if down || age.is_none_or(|a| a > LATE) {
-            *since = Some(now);
+        let mut triggered_at = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        if down || age.is_none_or(|a| a > STANDBY_MAX_AGE) {
+            *triggered_at = Some(now);
         }
-        let holds = since.is_some_and(|s| now.saturating_duration_since(s) < HOLD);
-        if holds { Need::High } else { Need::None }
+        let is_active = triggered_at
+            .is_some_and(|at| now.saturating_duration_since(at) < STANDBY_MIN_READ_TIME);
+        if is_active { Need::High } else { Need::None }
     }
 }
