--- a/crates/gradedyke-turns/src/mirror.rs
+++ b/crates/gradedyke-turns/src/mirror.rs
@@ -1,13 +1,13 @@
-//! A copy of what the platform's key-value service holds, in every process.
+//! A copy of the contents of the platform's key-value service, held by every process.
 //!
-//! Few processes watch the service; the others take what those know, because
-//! each call to it costs and its rates do not grow with the deployment. A change
-//! of a key is ordered by the service's revision, so it does not matter which
-//! way or how often it arrives: the later revision stands, and nothing that was
-//! in force ever comes back. An outage leaves the copy as it was.
+//! Only a few processes watch the service, because its call rate is limited and does not
+//! grow with the deployment; the others follow these. Each change of a key has the service's
+//! revision. The highest revision wins, so changes may arrive by any path, repeatedly and in
+//! any order, and an old value never replaces a newer one. An outage of the service leaves
+//! the copy unchanged.
 //!
-//! `follow` reads and watches the service; see [`crate::feed`] for the others. `state` holds
-//! what is known, with `items`, and `packed` is how it travels.
+//! `follow` reads and watches the service; [`crate::feed`] follows another process. `state`
+//! and `items` hold the copy, and `packed` encodes items for transfer.
 
 mod follow;
 mod items;
@@ -28,7 +28,7 @@
 pub use packed::Packed;
 use state::State;
 
-/// A key with its value; no value when it was deleted.
+/// A key with its value and revision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Item {
     /// The key.
@@ -49,52 +49,54 @@
     }
 }
 
-/// How far a process has followed another one.
+/// A position in the changes of another process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cursor {
-    /// The start of the followed process.
+    /// Random identifier of the followed process's run.
     pub boot: u64,
-    /// Its last change that is known.
+    /// Sequence number of the last change received from it.
     pub change: u64,
-    /// Whether that is a point within a listing, which goes on from there.
+    /// Whether the position is within a listing, which continues from there.
     pub listing: bool,
-    /// Through which revision the follower's copy is complete, whoever told it; 0 if it is
-    /// not.
+    /// The revision up to which the follower's copy is complete, whatever its source; 0 if
+    /// the copy is incomplete.
     pub through: Revision,
 }
 
-/// What changed since a point.
+/// The changes after a [`Cursor`], or a page of them.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct News {
-    /// The start of the process that tells it.
+    /// Random identifier of the sending process's run.
     pub boot: u64,
-    /// The point to go on from.
+    /// Sequence number of the last change covered; the next request starts after it.
     pub next: u64,
-    /// The changes.
+    /// The changed items.
     pub items: Packed,
-    /// Whether these belong to a listing, whose pages are of use only together.
+    /// Whether the items are a page of a listing, which can be applied only as a whole.
     pub listing: bool,
-    /// Whether more follow after `next`.
+    /// Whether there are changes after `next`.
     pub more: bool,
-    /// Through which revision the copy is complete with all this.
+    /// The revision up to which the follower's copy is complete once this is applied;
+    /// `None` if it is incomplete.
     pub through: Option<Revision>,
-    /// All keys are in the listing's items: one that is not, and is not newer than this
-    /// revision, is gone.
+    /// Set if the listing holds all keys: a key that is not in it was deleted, unless its
+    /// revision is higher than this one.
     pub whole: Option<Revision>,
-    /// Milliseconds since the service last confirmed all this; none if never.
+    /// Milliseconds since the service last confirmed the copy; `None` if it never did.
     pub age_ms: Option<u64>,
-    /// Milliseconds, at most, from the question to the service that this answers until
-    /// the question to this process came in; below zero where that came first, and none
-    /// if the service never answered.
+    /// Milliseconds, rounded up, from sending the last request that the service answered
+    /// to receiving the follower's request; negative if the follower's request came first,
+    /// `None` if the service never answered.
     pub asked_ms: Option<i64>,
-    /// Milliseconds for which the service has answered without a break.
+    /// Milliseconds for which the service has answered without a failure.
     pub steady_ms: u64,
-    /// Some entries that run.
+    /// Addresses of some running gateways.
     pub neighbours: Vec<SocketAddr>,
 }
 
-/// The copy.
+/// A copy of the keys under some prefixes.
 pub struct Mirror {
+    /// Random identifier of this process's run.
     boot: u64,
     prefixes: Vec<String>,
     state: Mutex<State>,
@@ -102,7 +104,7 @@
 }
 
 impl Mirror {
-    /// An empty copy of all keys that begin with one of `prefixes`.
+    /// Creates an empty copy of the keys that begin with one of `prefixes`.
     pub fn new(prefixes: &[&str]) -> Arc<Self> {
         Arc::new(Self {
             boot: rand::random(),
@@ -121,151 +123,161 @@
         &self.prefixes
     }
 
-    /// A receiver that sees each change.
+    /// Returns a receiver of the sequence number of the last change.
     pub fn watch(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
 
-    /// A key's value and revision, if it is there.
+    /// Returns a key's value and revision, if the key exists.
     pub fn get(&self, key: &str) -> Option<(Bytes, Revision)> {
         let state = self.lock();
         let item = state.items.get(key)?;
         Some((item.value.clone()?, item.revision))
     }
 
-    /// All items under a prefix with the time at which each was learned,
-    /// deleted ones too.
+    /// Returns all items under a prefix, including deleted ones, each with the time at
+    /// which this process received it.
     pub fn list(&self, prefix: &str) -> Vec<(Item, Instant)> {
         let state = self.lock();
-        let under = state.items.under(prefix);
-        under
-            .map(|held| (held.item.clone(), held.learned))
+        let items = state.items.with_prefix(prefix);
+        items
+            .map(|stored| (stored.item.clone(), stored.received_at))
             .collect()
     }
 
-    /// The items that changed after `change`, each with the time at which that was
-    /// learned, and the point to go on from.
+    /// Returns the items that changed after the sequence number `change`, each with the time
+    /// at which this process received it, and the sequence number to continue from.
     pub fn since(&self, change: u64) -> (Vec<(Item, Instant)>, u64) {
         let state = self.lock();
-        let fresh = state.items.after(change);
-        let fresh = fresh.map(|h| (h.item.clone(), h.learned)).collect();
-        (fresh, state.items.change())
+        let changed = state.items.changed_after(change);
+        let changed = changed
+            .map(|stored| (stored.item.clone(), stored.received_at))
+            .collect();
+        (changed, state.items.last_change())
     }
 
-    /// All items, without those that were deleted.
+    /// Returns all items except deleted ones.
     pub fn items(&self) -> Vec<Item> {
         let state = self.lock();
         state
             .items
-            .all()
+            .iter()
             .filter(|i| i.value.is_some())
             .cloned()
             .collect()
     }
 
-    /// How long ago the service confirmed the copy; `None` before it ever did.
+    /// Returns how long ago the service confirmed the copy; `None` if it never did.
     pub fn age(&self, now: Instant) -> Option<Duration> {
-        let confirmed = self.lock().confirmed(&self.prefixes)?;
-        Some(now.saturating_duration_since(confirmed))
+        let confirmed_at = self.lock().confirmed_at(&self.prefixes)?;
+        Some(now.saturating_duration_since(confirmed_at))
     }
 
-    /// A moment up to which all that the service had taken is in the copy: when the
-    /// question was sent that was answered last, wherever that was. `None` before that.
+    /// Returns a time such that all changes made in the service before it are in the copy:
+    /// when the last request that the service answered was sent, by this or another process.
+    /// `None` if the service never answered.
     pub fn vouched(&self) -> Option<Instant> {
-        self.lock().least(&self.prefixes, |t| t.asked)
+        self.lock().earliest(&self.prefixes, |p| p.requested_at)
     }
 
-    /// Some entries that run, as last told.
+    /// Returns the addresses of some running gateways, as last received.
     pub fn neighbours(&self) -> Vec<SocketAddr> {
         self.lock().neighbours.clone()
     }
 
-    /// Since when the service has answered without a break.
+    /// Returns since when the service has answered without a failure; `None` after a failure.
     pub fn steady(&self) -> Option<Instant> {
-        self.lock().steady
+        self.lock().available_since
     }
 
-    /// Through which revision the copy is complete; 0 if it is not.
+    /// Returns the revision up to which the copy is complete; 0 if it is incomplete.
     pub fn through(&self) -> Revision {
-        self.lock().complete(&self.prefixes).unwrap_or_default()
+        self.lock()
+            .complete_revision(&self.prefixes)
+            .unwrap_or_default()
     }
 
-    /// Through which revision a prefix is known; 0 if it is not.
-    fn known(&self, prefix: &str) -> Revision {
+    /// Returns the revision up to which a prefix is complete; 0 if it was never listed.
+    fn prefix_revision(&self, prefix: &str) -> Revision {
         let state = self.lock();
-        state.through.get(prefix).map_or(0, |t| t.revision)
+        state.prefixes.get(prefix).map_or(0, |p| p.revision)
     }
 
-    /// Takes changes in.
+    /// Applies changes.
     pub fn put(&self, items: Vec<Item>, now: Instant) {
         let mut state = self.lock();
-        let mut fresh = false;
+        let mut changed = false;
         for item in items {
-            fresh |= state.put(item, now);
+            changed |= state.apply(item, now);
         }
-        self.tell(state, fresh);
+        self.notify(state, changed);
     }
 
-    /// Takes in a whole listing of `prefix` as of `revision`.
+    /// Applies a complete listing of `prefix` as of `revision`.
     pub fn replace(&self, prefix: &str, items: Vec<Item>, revision: Revision, now: Instant) {
         let mut state = self.lock();
-        let fresh = state.replace(prefix, items, revision, now);
-        self.tell(state, fresh);
+        let changed = state.apply_listing(prefix, items, revision, now);
+        self.notify(state, changed);
     }
 
-    /// Takes in changes of `prefix` that the service told of: all of them after those that
-    /// are known.
-    fn watched(&self, prefix: &str, items: Vec<Item>, now: Instant) {
+    /// Applies events that the service's watch of `prefix` returned: all changes after the
+    /// revision up to which the prefix is complete.
+    fn apply_watched(&self, prefix: &str, items: Vec<Item>, now: Instant) {
         let latest = items.iter().map(|i| i.revision).max();
         self.put(items, now);
-        if let Some(through) = self.lock().through.get_mut(prefix) {
-            through.revision = latest.unwrap_or_default().max(through.revision);
+        if let Some(state) = self.lock().prefixes.get_mut(prefix) {
+            state.revision = latest.unwrap_or_default().max(state.revision);
         }
     }
 
-    fn tell(&self, state: MutexGuard<'_, State>, fresh: bool) {
-        let change = state.items.change();
+    fn notify(&self, state: MutexGuard<'_, State>, changed: bool) {
+        let change = state.items.last_change();
         drop(state);
-        if fresh {
+        if changed {
             self.changed.send_replace(change);
         }
     }
 
-    /// Notes that the service confirmed the copy of a prefix at `now`, to a question
-    /// that was sent at `asked`.
-    fn confirm(&self, prefix: &str, asked: Instant, now: Instant) {
+    /// Records that the service confirmed the copy of a prefix at `now`, in answer to a
+    /// request sent at `requested_at`.
+    fn record_confirmation(&self, prefix: &str, requested_at: Instant, now: Instant) {
         let mut state = self.lock();
-        state.confirm(prefix, Some(asked), Some(now));
-        state.steady.get_or_insert(now);
+        state.record_confirmation(prefix, Some(requested_at), Some(now));
+        state.available_since.get_or_insert(now);
     }
 
-    /// Notes that the service failed to answer.
-    fn broken(&self) {
-        self.lock().steady = None;
+    /// Records that the service failed to answer.
+    fn record_failure(&self) {
+        self.lock().available_since = None;
     }
 
-    /// What changed after `cursor`, for a question that came in at `arrived`: a page of it,
-    /// if it is much.
+    /// Returns the changes after `cursor`, or a page of them, for a request received at
+    /// `received_at`.
     ///
-    /// Whoever follows this process for the first time gets a listing. A follower whose copy
-    /// is complete through a revision from which on this process knows of all deletions gets
-    /// only what is newer.
-    pub fn news(&self, cursor: &Cursor, arrived: Instant, now: Instant) -> News {
+    /// A process that follows this one for the first time gets a listing. If its copy is
+    /// complete up to a revision after which this process knows of all deletions, the listing
+    /// holds only newer items.
+    pub fn news(&self, cursor: &Cursor, received_at: Instant, now: Instant) -> News {
         let mut state = self.lock();
-        let known = cursor.boot == self.boot && cursor.change >= state.listed;
-        let goes_on = cursor.boot == self.boot && cursor.listing;
-        let listing = goes_on || !known;
-        let covered = state.covers(&self.prefixes, cursor.through);
+        let is_valid = cursor.boot == self.boot && cursor.change >= state.listed_at_change;
+        let continues_listing = cursor.boot == self.boot && cursor.listing;
+        let listing = continues_listing || !is_valid;
+        let covered = state.knows_deletions_since(&self.prefixes, cursor.through);
         let above = if listing && covered {
             cursor.through
         } else {
             0
         };
-        let after = if goes_on || known { cursor.change } else { 0 };
+        let after = if continues_listing || is_valid {
+            cursor.change
+        } else {
+            0
+        };
         let page = state.page(after, above);
-        let through = state.complete(&self.prefixes).filter(|_| !page.more);
+        let complete = state.complete_revision(&self.prefixes);
+        let through = complete.filter(|_| !page.more);
         let ms = |d: Duration| u64::try_from(d.as_millis()).unwrap_or(u64::MAX);
-        let past = |at: Instant| ms(now.saturating_duration_since(at));
+        let ms_since = |at: Instant| ms(now.saturating_duration_since(at));
         News {
             boot: self.boot,
             next: page.next,
@@ -274,70 +286,71 @@
             more: page.more,
             through,
             whole: through.filter(|_| listing && !covered),
-            age_ms: state.confirmed(&self.prefixes).map(past),
+            age_ms: state.confirmed_at(&self.prefixes).map(ms_since),
             asked_ms: state
-                .least(&self.prefixes, |t| t.asked)
-                .map(|at| between(at, arrived)),
-            steady_ms: state.steady.map(past).unwrap_or_default(),
+                .earliest(&self.prefixes, |p| p.requested_at)
+                .map(|at| ms_between(at, received_at)),
+            steady_ms: state.available_since.map(ms_since).unwrap_or_default(),
             neighbours: Vec::new(),
         }
     }
 
-    /// Takes in at `now` what another process answered to a question that was sent at
-    /// `asked`, with the items that its pages held together.
-    pub fn learn(&self, news: News, items: Vec<Item>, asked: Instant, now: Instant) {
+    /// Applies at `now` an update of another process, received in answer to a request sent
+    /// at `sent`. `items` holds the items of all pages.
+    pub fn learn(&self, update: News, items: Vec<Item>, sent: Instant, now: Instant) {
         let mut state = self.lock();
-        let mut fresh = false;
-        match news.whole {
+        let mut changed = false;
+        match update.whole {
             Some(revision) => {
                 for prefix in &self.prefixes {
-                    let under = |i: &&Item| i.key.starts_with(prefix.as_str());
-                    let items = items.iter().filter(under).cloned().collect();
-                    fresh |= state.replace(prefix, items, revision, now);
+                    let matches = |i: &&Item| i.key.starts_with(prefix.as_str());
+                    let items = items.iter().filter(matches).cloned().collect();
+                    changed |= state.apply_listing(prefix, items, revision, now);
                 }
             }
             None => {
                 for item in items {
-                    fresh |= state.put(item, now);
+                    changed |= state.apply(item, now);
                 }
             }
         }
         for prefix in &self.prefixes {
-            if let Some(through) = state.through.get_mut(prefix) {
-                through.revision = news.through.unwrap_or_default().max(through.revision);
+            if let Some(state) = state.prefixes.get_mut(prefix) {
+                state.revision = update.through.unwrap_or_default().max(state.revision);
             }
         }
-        if !news.neighbours.is_empty() {
-            state.neighbours = news.neighbours;
+        if !update.neighbours.is_empty() {
+            state.neighbours = update.neighbours;
         }
-        if let Some(age) = news.age_ms {
-            let confirmed = now.checked_sub(Duration::from_millis(age));
-            // The answer may have lain here unread while this process was stopped, so
-            // its age counts from the question on.
-            let asked = news.asked_ms.and_then(|ms| before(asked, ms));
+        if let Some(age) = update.age_ms {
+            let confirmed_at = now.checked_sub(Duration::from_millis(age));
+            // The reply may have waited unread while this process was suspended, so the time
+            // counts from sending the request.
+            let requested_at = update.asked_ms.and_then(|ms| subtract_ms(sent, ms));
             for prefix in &self.prefixes {
-                state.confirm(prefix, asked, confirmed);
+                state.record_confirmation(prefix, requested_at, confirmed_at);
             }
-            state.steady = now.checked_sub(Duration::from_millis(news.steady_ms));
+            state.available_since = now.checked_sub(Duration::from_millis(update.steady_ms));
         }
-        self.tell(state, fresh);
+        self.notify(state, changed);
     }
 }
 
-/// Milliseconds from `first` to `second`, rounded up; below zero the other way round.
-fn between(first: Instant, second: Instant) -> i64 {
+/// Returns the milliseconds from `first` to `second`, rounded up; negative if `second` is
+/// earlier.
+fn ms_between(first: Instant, second: Instant) -> i64 {
     let ms = |d: Duration| i64::try_from(d.as_millis()).unwrap_or(i64::MAX - 1);
     match second.checked_duration_since(first) {
-        Some(after) => ms(after) + 1,
+        Some(elapsed) => ms(elapsed) + 1,
         None => -ms(first.saturating_duration_since(second)),
     }
 }
 
-/// The moment so many milliseconds before `at`.
-fn before(at: Instant, ms: i64) -> Option<Instant> {
-    let distance = Duration::from_millis(ms.unsigned_abs());
+/// Returns the time `ms` milliseconds before `at`, or after it if `ms` is negative.
+fn subtract_ms(at: Instant, ms: i64) -> Option<Instant> {
+    let duration = Duration::from_millis(ms.unsigned_abs());
     if ms < 0 {
-        return at.checked_add(distance);
+        return at.checked_add(duration);
     }
-    at.checked_sub(distance)
+    at.checked_sub(duration)
 }
--- a/crates/gradedyke-turns/src/mirror/follow.rs
+++ b/crates/gradedyke-turns/src/mirror/follow.rs
@@ -1,4 +1,4 @@
-//! Reads and watches the platform's service into a copy.
+//! Keeps a copy up to date by listing and watching the platform's service.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,44 +12,44 @@
 
 use super::{Item, Mirror};
 
-/// Wait after changes before the next are asked for. Servers register one by one
-/// and each answer costs a call; a tenth of a second is a twentieth of what a
-/// change may take.
-const GATHER: Duration = Duration::from_millis(100);
+/// Delay before the next call after one that returned changes, so that changes which come in
+/// quick succession are returned by one call.
+const BATCH_DELAY: Duration = Duration::from_millis(100);
 
-/// How much a process needs to read the service itself.
+/// How urgently a process needs to read the service itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Need {
-    /// Others bring it news.
+    /// It follows another process with a fresh copy.
     None,
-    /// Those that should bring news bring none that are fresh, but its copy is young or they
-    /// read the service too.
+    /// It gets no fresh updates, but its copy is still recent or the processes it follows
+    /// are trying to read the service.
     Low,
-    /// It reads for others, or its copy is old and nobody there brings news.
+    /// Others follow it, or its copy is too old and the processes it follows do not answer.
     High,
 }
 
-/// How a process that follows the service waits.
+/// Intervals and delays of a process that reads the service.
 #[derive(Clone, Copy, Debug)]
 pub struct Pace {
-    /// How often it looks whether it needs to read, half more or less.
+    /// Interval between checks whether it needs to read, with a jitter of 50 %.
     pub look: Duration,
-    /// Time without an answer after which one more call is made beside, if any is.
+    /// Time without a reply after which a concurrent call is made (hedging), if any is.
     pub beside: Option<Duration>,
-    /// Longest wait after the first failed call.
+    /// Longest delay after the first failed call.
     pub first: Duration,
-    /// Longest wait between failed calls where the need is high.
+    /// Longest delay between failed calls while the need is high.
     pub patience: Duration,
-    /// The same where it is low.
+    /// Longest delay between failed calls while the need is low, if it is longer than the
+    /// one for a high need.
     pub unhurried: Duration,
 }
 
-/// When to call again after calls that failed.
+/// When to call again after failed calls.
 struct Retry {
     pace: Pace,
     backoff: Backoff,
-    next: Option<Instant>,
-    unhurried: Option<Instant>,
+    next_if_high: Option<Instant>,
+    next_if_low: Option<Instant>,
 }
 
 impl Retry {
@@ -57,8 +57,8 @@
         Self {
             pace,
             backoff: Backoff::endless(pace.first, pace.patience),
-            next: None,
-            unhurried: None,
+            next_if_high: None,
+            next_if_low: None,
         }
     }
 
@@ -66,26 +66,26 @@
         *self = Self::new(self.pace);
     }
 
-    /// Notes that a reading that was begun then has failed. Waits count from there: a call
-    /// that was waited for in vain has taken its time already.
-    fn failed(&mut self, begun: Instant) {
-        let wait = self.backoff.step(rand::random());
-        let unhurried = self.pace.unhurried.mul_f64(rand::random_range(0.5..1.0));
-        self.next = Some(begun + wait);
-        self.unhurried = Some(begun + wait.max(unhurried));
+    /// Records the failure of a read that started at `started`. The delay counts from there,
+    /// so a call that timed out may be repeated at once.
+    fn record_failure(&mut self, started: Instant) {
+        let delay = self.backoff.step(rand::random());
+        let low_need_delay = self.pace.unhurried.mul_f64(rand::random_range(0.5..1.0));
+        self.next_if_high = Some(started + delay);
+        self.next_if_low = Some(started + delay.max(low_need_delay));
     }
 
-    fn due(&self, need: Need, now: Instant) -> bool {
+    fn is_due(&self, need: Need, now: Instant) -> bool {
         let next = match need {
             Need::None => return false,
-            Need::Low => self.unhurried,
-            Need::High => self.next,
+            Need::Low => self.next_if_low,
+            Need::High => self.next_if_high,
         };
         next.is_none_or(|next| now >= next)
     }
 }
 
-/// Lists and watches one prefix until `stop`, while `need` says so.
+/// Lists and watches `prefix` until `stop`, whenever there is a `need`.
 pub async fn follow(
     mirror: Arc<Mirror>,
     kv: Arc<dyn KeyValue>,
@@ -96,138 +96,145 @@
 ) {
     let mut retry = Retry::new(pace);
     loop {
-        let needed = need();
-        if needed == Need::None {
-            // An outage that others sat out says nothing of the next one.
+        let current_need = need();
+        if current_need == Need::None {
+            // The outage is over, so the next one starts with a short delay again.
             retry.reset();
         }
-        let begun = Instant::now();
-        if retry.due(needed, begun) {
-            let read = read(&mirror, &*kv, &prefix, &need, &mut retry).await;
-            if let Err(error) = read {
-                mirror.broken();
+        let started = Instant::now();
+        if retry.is_due(current_need, started) {
+            let result = read_prefix(&mirror, &*kv, &prefix, &need, &mut retry).await;
+            if let Err(error) = result {
+                mirror.record_failure();
                 tracing::warn!(event = "platform_lost", prefix, %error);
-                retry.failed(begun);
+                retry.record_failure(started);
             }
         }
-        let look = pace.look.mul_f64(rand::random_range(0.5..1.5));
+        let interval = pace.look.mul_f64(rand::random_range(0.5..1.5));
         tokio::select! {
-            () = tokio::time::sleep(look) => {}
+            () = tokio::time::sleep(interval) => {}
             () = stop.cancelled() => return,
         }
     }
 }
 
-async fn read(
+/// Lists or resumes `prefix` and watches it until there is no `need` any more.
+async fn read_prefix(
     mirror: &Mirror,
     kv: &dyn KeyValue,
     prefix: &str,
     need: &impl Fn() -> Need,
     retry: &mut Retry,
 ) -> Result<(), Error> {
-    let through = mirror.known(prefix);
-    let (begun, asked) = begin(kv, prefix, through, retry.pace.beside).await?;
-    if matches!(begun, Begun::Forgotten) && need() != Need::High {
-        // Those that read for others list it, and all together would take its whole time.
+    let through = mirror.prefix_revision(prefix);
+    let (start, requested_at) = start_with_hedging(kv, prefix, through, retry.pace.beside).await?;
+    if matches!(start, ReadStart::Compacted) && need() != Need::High {
+        // A process with a high need lists the prefix; listings by all would overload the
+        // service.
         tracing::info!(event = "platform_forgot", prefix, through);
-        retry.failed(Instant::now());
+        retry.record_failure(Instant::now());
         return Ok(());
     }
-    let (begun, asked) = match begun {
-        Begun::Forgotten => begin(kv, prefix, 0, retry.pace.beside).await?,
-        begun => (begun, asked),
+    let (start, requested_at) = match start {
+        ReadStart::Compacted => start_with_hedging(kv, prefix, 0, retry.pace.beside).await?,
+        start => (start, requested_at),
     };
     let now = Instant::now();
-    let before = mirror.age(now);
-    let (mut watch, listed) = match begun {
-        Begun::Listed(listing) => {
+    let previous_age = mirror.age(now);
+    let (mut watch, listed) = match start {
+        ReadStart::Listed(listing) => {
             let items = listing.entries.into_iter().map(Item::from);
             mirror.replace(prefix, items.collect(), listing.revision, now);
             (kv.watch(prefix, listing.revision + 1).await?, true)
         }
-        Begun::Resumed(events, watch) => {
-            mirror.watched(prefix, events.into_iter().map(item).collect(), now);
+        ReadStart::Resumed(events, watch) => {
+            mirror.apply_watched(prefix, events.into_iter().map(to_item).collect(), now);
             (watch, false)
         }
-        Begun::Forgotten => return Err(Error::Compacted),
+        ReadStart::Compacted => return Err(Error::Compacted),
     };
-    mirror.confirm(prefix, asked, now);
+    mirror.record_confirmation(prefix, requested_at, now);
     tracing::info!(
         event = "platform_regained",
         prefix,
         listed,
-        revision = mirror.known(prefix),
-        before_ms = before.map(|age| age.as_millis())
+        revision = mirror.prefix_revision(prefix),
+        before_ms = previous_age.map(|age| age.as_millis())
     );
     while need() != Need::None {
-        let asked = Instant::now();
+        let requested_at = Instant::now();
         let events = watch.next().await?;
         retry.reset();
         let now = Instant::now();
         let changed = !events.is_empty();
-        mirror.watched(prefix, events.into_iter().map(item).collect(), now);
-        mirror.confirm(prefix, asked, now);
+        mirror.apply_watched(prefix, events.into_iter().map(to_item).collect(), now);
+        mirror.record_confirmation(prefix, requested_at, now);
         if changed {
-            tokio::time::sleep(GATHER).await;
+            tokio::time::sleep(BATCH_DELAY).await;
         }
     }
     tracing::info!(event = "platform_left", prefix);
     Ok(())
 }
 
-/// How a reading begins.
-enum Begun {
-    /// With all that is there.
+/// The result of the first call of a read.
+enum ReadStart {
+    /// All entries were listed.
     Listed(Listing),
-    /// With what changed since it was last known.
+    /// A watch was resumed; it returned the changes since the last read.
     Resumed(Vec<Event>, Box<dyn Watch>),
-    /// Not at all: the service has forgotten what changed since.
-    Forgotten,
+    /// The changes since the last read cannot be resumed: the service has compacted them.
+    Compacted,
 }
 
-/// Goes on where the prefix is known `through` a revision; lists all of it where that is 0.
-async fn resume(kv: &dyn KeyValue, prefix: &str, through: Revision) -> Result<Begun, Error> {
+/// Resumes the watch of a prefix that is complete up to the revision `through`, or lists the
+/// prefix if that is 0.
+async fn start_read(
+    kv: &dyn KeyValue,
+    prefix: &str,
+    through: Revision,
+) -> Result<ReadStart, Error> {
     if through > 0 {
         let resumed = async {
             let mut watch = kv.watch(prefix, through + 1).await?;
             let events = watch.next().await?;
-            Ok(Begun::Resumed(events, watch))
+            Ok(ReadStart::Resumed(events, watch))
         };
         match resumed.await {
-            Err(Error::Compacted) => return Ok(Begun::Forgotten),
+            Err(Error::Compacted) => return Ok(ReadStart::Compacted),
             resumed => return resumed,
         }
     }
-    kv.list(prefix).await.map(Begun::Listed)
+    kv.list(prefix).await.map(ReadStart::Listed)
 }
 
-/// Begins to read the prefix, and tells when that was asked. Where there is no answer for the
-/// time `beside`, one more call is made beside those that wait: one that the service took while
-/// it was silent is never answered, and the next one tells at once that it is back. The first
-/// call that ends decides.
-async fn begin(
+/// Starts to read a prefix; also returns when the call was sent. Each time that `hedge_delay`
+/// passes without a reply, one more concurrent call is made, because the service may never
+/// reply to a call that it received during an outage. The first call that ends gives the
+/// result.
+async fn start_with_hedging(
     kv: &dyn KeyValue,
     prefix: &str,
     through: Revision,
-    beside: Option<Duration>,
-) -> Result<(Begun, Instant), Error> {
-    let ask = || async {
-        let asked = Instant::now();
-        Ok((resume(kv, prefix, through).await?, asked))
+    hedge_delay: Option<Duration>,
+) -> Result<(ReadStart, Instant), Error> {
+    let call = || async {
+        let requested_at = Instant::now();
+        Ok((start_read(kv, prefix, through).await?, requested_at))
     };
-    let mut calls = FuturesUnordered::from_iter([ask()]);
+    let mut calls = FuturesUnordered::from_iter([call()]);
     loop {
-        let Some(beside) = beside else {
+        let Some(hedge_delay) = hedge_delay else {
             return calls.select_next_some().await;
         };
-        match tokio::time::timeout(beside, calls.select_next_some()).await {
-            Ok(answer) => return answer,
-            Err(_) => calls.push(ask()),
+        match tokio::time::timeout(hedge_delay, calls.select_next_some()).await {
+            Ok(result) => return result,
+            Err(_) => calls.push(call()),
         }
     }
 }
 
-fn item(event: Event) -> Item {
+fn to_item(event: Event) -> Item {
     match event {
         Event::Put(entry) => entry.into(),
         Event::Delete { key, revision } => Item {
--- a/crates/gradedyke-turns/src/mirror/items.rs
+++ b/crates/gradedyke-turns/src/mirror/items.rs
@@ -1,4 +1,4 @@
-//! The items of a copy, by key and in the order in which they were learned.
+//! The items of a copy, indexed by key and by the order in which they changed here.
 
 use std::collections::BTreeMap;
 
@@ -7,105 +7,110 @@
 
 use super::{Item, Packed};
 
-/// Bytes of keys and values from which on a page is full. An instance that tells hundreds of
-/// others the same has one page of each under way.
-const PAGE_BYTES: usize = 128 << 10;
+/// Size of keys and values at which a page is full, in bytes. It limits the memory of a
+/// process that sends pages to many followers at once.
+const PAGE_SIZE_BYTES: usize = 128 << 10;
 
-/// An item, and when it was learned.
-pub(super) struct Held {
+/// An item with the change that stored it.
+pub(super) struct StoredItem {
     pub(super) item: Item,
-    /// The change that brought it.
+    /// Sequence number of the change.
     change: u64,
-    pub(super) learned: Instant,
+    pub(super) received_at: Instant,
 }
 
-/// The items. A question for what changed costs what has changed, not what there is.
+/// The items. Finding the changed ones takes time in proportion to their number, not to the
+/// number of all items.
 #[derive(Default)]
 pub(super) struct Items {
-    by_key: BTreeMap<String, Held>,
+    by_key: BTreeMap<String, StoredItem>,
     by_change: BTreeMap<u64, String>,
-    change: u64,
+    last_change: u64,
 }
 
-/// Some items in the order in which they were learned.
+/// Some items in the order in which they changed.
 #[derive(Clone)]
 pub(super) struct Page {
     pub(super) items: Packed,
-    /// The last change that the page covers.
+    /// Sequence number of the last change that the page covers.
     pub(super) next: u64,
     /// Whether there are changes after it.
     pub(super) more: bool,
 }
 
 impl Items {
-    /// The last change.
-    pub(super) fn change(&self) -> u64 {
-        self.change
+    /// Returns the sequence number of the last change.
+    pub(super) fn last_change(&self) -> u64 {
+        self.last_change
     }
 
-    /// Counts a change that brings no item.
-    pub(super) fn advance(&mut self) -> u64 {
-        self.change += 1;
-        self.change
+    /// Allocates the sequence number of a new change.
+    pub(super) fn next_change(&mut self) -> u64 {
+        self.last_change += 1;
+        self.last_change
     }
 
     pub(super) fn get(&self, key: &str) -> Option<&Item> {
-        self.by_key.get(key).map(|held| &held.item)
+        self.by_key.get(key).map(|stored| &stored.item)
     }
 
-    /// Takes an item in, whatever is held of its key.
-    pub(super) fn put(&mut self, item: Item, learned: Instant) {
-        let change = self.advance();
+    /// Stores an item, whatever revision of its key is stored.
+    pub(super) fn insert(&mut self, item: Item, received_at: Instant) {
+        let change = self.next_change();
         let key = item.key.clone();
-        let held = Held {
+        let stored = StoredItem {
             item,
             change,
-            learned,
+            received_at,
         };
         self.by_change.insert(change, key.clone());
-        if let Some(former) = self.by_key.insert(key, held) {
-            self.by_change.remove(&former.change);
+        if let Some(replaced) = self.by_key.insert(key, stored) {
+            self.by_change.remove(&replaced.change);
         }
     }
 
-    /// All, in the order of their keys.
-    pub(super) fn all(&self) -> impl Iterator<Item = &Item> {
-        self.by_key.values().map(|held| &held.item)
+    /// Iterates over all items in the order of their keys.
+    pub(super) fn iter(&self) -> impl Iterator<Item = &Item> {
+        self.by_key.values().map(|stored| &stored.item)
     }
 
-    /// Those whose keys begin with `prefix`.
-    pub(super) fn under<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = &'a Held> {
+    /// Iterates over the items whose keys begin with `prefix`.
+    pub(super) fn with_prefix<'a>(
+        &'a self,
+        prefix: &'a str,
+    ) -> impl Iterator<Item = &'a StoredItem> {
         let from = self.by_key.range(prefix.to_owned()..);
-        let under = from.take_while(move |(key, _)| key.starts_with(prefix));
-        under.map(|(_, held)| held)
+        let matching = from.take_while(move |(key, _)| key.starts_with(prefix));
+        matching.map(|(_, stored)| stored)
     }
 
-    /// Those that were learned after a change, in that order.
-    pub(super) fn after(&self, change: u64) -> impl Iterator<Item = &Held> {
+    /// Iterates over the items that changed after `change`, in the order of their changes.
+    pub(super) fn changed_after(&self, change: u64) -> impl Iterator<Item = &StoredItem> {
         let changes = self.by_change.range(change.saturating_add(1)..);
         changes.filter_map(|(_, key)| self.by_key.get(key))
     }
 
-    /// A page of those that were learned after a change and are newer than a revision.
+    /// Returns a page of the items that changed after `change` and have a revision above
+    /// `above`.
     pub(super) fn page(&self, change: u64, above: Revision) -> Page {
         let mut items = Vec::new();
         let mut bytes = 0;
-        for held in self.after(change) {
-            if bytes >= PAGE_BYTES {
+        for stored in self.changed_after(change) {
+            if bytes >= PAGE_SIZE_BYTES {
                 return Page {
                     items: items.into(),
-                    next: held.change - 1,
+                    next: stored.change - 1,
                     more: true,
                 };
             }
-            if held.item.revision > above {
-                bytes += held.item.key.len() + held.item.value.as_ref().map_or(0, |v| v.len());
-                items.push(held.item.clone());
+            if stored.item.revision > above {
+                bytes += stored.item.key.len() + stored.item.value.as_ref().map_or(0, |v| v.len());
+                items.push(stored.item.clone());
             }
         }
         Page {
             items: items.into(),
-            next: self.change,
+            next: self.last_change,
             more: false,
         }
     }
--- a/crates/gradedyke-turns/src/mirror/packed.rs
+++ b/crates/gradedyke-turns/src/mirror/packed.rs
@@ -1,23 +1,23 @@
-//! Items as they travel: encoded and compressed once, for all who are told the same.
+//! Items in their encoding for transfer: encoded and compressed once for all receivers.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
 use super::Item;
 
-/// Encoded bytes from which on compression is worth its time.
-const COMPRESSED_BYTES: usize = 1 << 10;
+/// Smallest encoding that is compressed, in bytes.
+const MIN_COMPRESSED_BYTES: usize = 1 << 10;
 
-/// Most bytes of encoded items: a page, and the largest value that may fill it, with room to
-/// spare. Nothing is unpacked that says it is larger.
-const LARGEST_BYTES: usize = 4 << 20;
+/// Largest size of decompressed items, in bytes: more than a page with the largest value at
+/// its end. Anything larger is rejected before it is decompressed.
+const MAX_DECOMPRESSED_BYTES: usize = 4 << 20;
 
-/// Why packed items cannot be taken apart.
+/// Failure to decompress or decode packed items.
 #[derive(Clone, Debug, thiserror::Error)]
-#[error("packed items cannot be read ({0}); run the same version everywhere")]
+#[error("packed items cannot be decoded ({0}); run the same version on all instances")]
 pub struct Error(String);
 
-/// Encoded items.
+/// Encoded items, compressed if they are large.
 ///
 /// ```
 /// use gradedyke_turns::mirror::{Item, Packed};
@@ -29,7 +29,7 @@
 /// ```
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Packed {
-    /// None where there are no items.
+    /// Empty if there are no items.
     bytes: Bytes,
     compressed: bool,
 }
@@ -52,7 +52,7 @@
                 return Self::default();
             }
         };
-        let compressed = encoded.len() >= COMPRESSED_BYTES;
+        let compressed = encoded.len() >= MIN_COMPRESSED_BYTES;
         let bytes = match compressed {
             true => lz4_flex::compress_prepend_size(&encoded),
             false => encoded,
@@ -70,16 +70,16 @@
         self.bytes.is_empty()
     }
 
-    /// Their size in bytes, as they travel.
+    /// Size of the encoding in bytes.
     pub fn len(&self) -> usize {
         self.bytes.len()
     }
 
-    /// The items.
+    /// Decompresses and decodes the items.
     ///
     /// # Errors
     ///
-    /// [`Error`] when another version packed them.
+    /// [`Error`] if they cannot be decoded, which means that another version encoded them.
     pub fn unpack(&self) -> Result<Vec<Item>, Error> {
         if self.is_empty() {
             return Ok(Vec::new());
@@ -88,8 +88,10 @@
             return decode(&self.bytes);
         }
         let (size, compressed) = lz4_flex::block::uncompressed_size(&self.bytes)?;
-        if size > LARGEST_BYTES {
-            return Err(Error(format!("{size} bytes are more than {LARGEST_BYTES}")));
+        if size > MAX_DECOMPRESSED_BYTES {
+            return Err(Error(format!(
+                "size of {size} bytes exceeds the limit of {MAX_DECOMPRESSED_BYTES}"
+            )));
         }
         decode(&lz4_flex::decompress(compressed, size)?)
     }
--- a/crates/gradedyke-turns/src/mirror/state.rs
+++ b/crates/gradedyke-turns/src/mirror/state.rs
@@ -1,4 +1,4 @@
-//! What a copy holds, and how far it is known.
+//! The contents of a copy, and how complete and recent each prefix is.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -9,99 +9,111 @@
 use super::Item;
 use super::items::{Items, Page};
 
-/// Pages that are held for others who ask for the same.
-const PAGES: usize = 256;
+/// Largest number of cached pages.
+const MAX_CACHED_PAGES: usize = 256;
 
-/// How far a prefix is known.
+/// How complete and recent the copy of a prefix is.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Through {
-    /// Through which revision.
+pub(super) struct PrefixState {
+    /// The revision up to which the copy is complete.
     pub(super) revision: Revision,
-    /// The revision of the first listing: what was deleted after it is known as deleted.
-    pub(super) since: Revision,
-    /// When the service last confirmed that.
-    pub(super) confirmed: Option<Instant>,
-    /// When the question was sent that it confirmed it to: what the service had taken
-    /// by then is known.
-    pub(super) asked: Option<Instant>,
+    /// The revision of the first listing. All later deletions are known.
+    pub(super) first_listed: Revision,
+    /// When the service last confirmed the copy.
+    pub(super) confirmed_at: Option<Instant>,
+    /// When the request that it answered was sent. All changes made before are in the copy.
+    pub(super) requested_at: Option<Instant>,
 }
 
 #[derive(Default)]
 pub(super) struct State {
     pub(super) items: Items,
-    /// Pages that were told, with the change up to which they hold.
+    /// Cached pages by their start and lowest revision, and the last change when they were
+    /// made: any later change makes them invalid.
     pub(super) pages: (u64, HashMap<(u64, Revision), Page>),
-    /// Of each prefix that was listed.
-    pub(super) through: HashMap<String, Through>,
-    /// The change at which a prefix was last listed for the first time: who was told
-    /// something before has only what came from a disk, and is told all once more.
-    pub(super) listed: u64,
-    pub(super) steady: Option<Instant>,
+    /// The state of each prefix that has been listed.
+    pub(super) prefixes: HashMap<String, PrefixState>,
+    /// The change at which a prefix was last listed for the first time. Before it the items
+    /// were loaded from disk, so a follower with an earlier position needs a full listing.
+    pub(super) listed_at_change: u64,
+    /// Since when the service has answered without a failure.
+    pub(super) available_since: Option<Instant>,
     pub(super) neighbours: Vec<SocketAddr>,
 }
 
 impl State {
-    /// Through which revision all prefixes are known.
-    pub(super) fn complete(&self, prefixes: &[String]) -> Option<Revision> {
-        let through = prefixes.iter().map(|p| self.through.get(p));
-        through.map(|t| t.map(|t| t.revision)).min().flatten()
+    /// Returns the revision up to which all prefixes are complete; `None` if one was never
+    /// listed.
+    pub(super) fn complete_revision(&self, prefixes: &[String]) -> Option<Revision> {
+        let states = prefixes.iter().map(|p| self.prefixes.get(p));
+        states.map(|s| s.map(|s| s.revision)).min().flatten()
     }
 
-    /// Whether all that was deleted after a revision is known as deleted.
-    pub(super) fn covers(&self, prefixes: &[String], revision: Revision) -> bool {
-        let covers = |t: &Through| revision > 0 && revision >= t.since;
+    /// Whether all deletions after a revision are known.
+    pub(super) fn knows_deletions_since(&self, prefixes: &[String], revision: Revision) -> bool {
+        let covers = |s: &PrefixState| revision > 0 && revision >= s.first_listed;
         prefixes
             .iter()
-            .all(|p| self.through.get(p).is_some_and(covers))
+            .all(|p| self.prefixes.get(p).is_some_and(covers))
     }
 
-    /// When all prefixes were last confirmed.
-    pub(super) fn confirmed(&self, prefixes: &[String]) -> Option<Instant> {
-        self.least(prefixes, |t| t.confirmed)
+    /// Returns when the service last confirmed all prefixes.
+    pub(super) fn confirmed_at(&self, prefixes: &[String]) -> Option<Instant> {
+        self.earliest(prefixes, |s| s.confirmed_at)
     }
 
-    /// The earliest of a time over all prefixes.
-    pub(super) fn least(
+    /// Returns the earliest `time` of all prefixes; `None` if one has none.
+    pub(super) fn earliest(
         &self,
         prefixes: &[String],
-        time: impl Fn(&Through) -> Option<Instant>,
+        time: impl Fn(&PrefixState) -> Option<Instant>,
     ) -> Option<Instant> {
-        let each = prefixes.iter().map(|p| time(self.through.get(p)?));
-        each.min().flatten()
+        let times = prefixes.iter().map(|p| time(self.prefixes.get(p)?));
+        times.min().flatten()
     }
 
-    pub(super) fn confirm(&mut self, prefix: &str, asked: Option<Instant>, at: Option<Instant>) {
-        if let Some(through) = self.through.get_mut(prefix) {
-            through.confirmed = at.max(through.confirmed);
-            through.asked = asked.max(through.asked);
+    pub(super) fn record_confirmation(
+        &mut self,
+        prefix: &str,
+        requested_at: Option<Instant>,
+        confirmed_at: Option<Instant>,
+    ) {
+        if let Some(state) = self.prefixes.get_mut(prefix) {
+            state.confirmed_at = confirmed_at.max(state.confirmed_at);
+            state.requested_at = requested_at.max(state.requested_at);
         }
     }
 
-    /// A page of what changed. All who follow from the same point are told the same one.
+    /// Returns a page of the items that changed after a change and have a revision above
+    /// `above`. Pages are cached, because many followers ask for the same one.
     pub(super) fn page(&mut self, after: u64, above: Revision) -> Page {
-        let change = self.items.change();
+        let change = self.items.last_change();
         if self.pages.0 != change {
             self.pages = (change, HashMap::new());
         }
         let items = &self.items;
         let pages = &mut self.pages.1;
-        if pages.len() >= PAGES {
+        if pages.len() >= MAX_CACHED_PAGES {
             pages.clear();
         }
         let page = pages.entry((after, above));
         page.or_insert_with(|| items.page(after, above)).clone()
     }
 
-    pub(super) fn put(&mut self, item: Item, now: Instant) -> bool {
-        let held = self.items.get(&item.key);
-        if held.is_some_and(|held| held.revision >= item.revision) {
+    /// Stores an item unless the same or a newer revision is stored. Returns whether it was
+    /// stored.
+    pub(super) fn apply(&mut self, item: Item, now: Instant) -> bool {
+        let stored = self.items.get(&item.key);
+        if stored.is_some_and(|stored| stored.revision >= item.revision) {
             return false;
         }
-        self.items.put(item, now);
+        self.items.insert(item, now);
         true
     }
 
-    pub(super) fn replace(
+    /// Applies a complete listing of `prefix`: marks keys that are not in it as deleted and
+    /// stores newer items. Returns whether anything changed.
+    pub(super) fn apply_listing(
         &mut self,
         prefix: &str,
         items: Vec<Item>,
@@ -109,33 +121,37 @@
         now: Instant,
     ) -> bool {
         let listed: HashSet<&str> = items.iter().map(|i| i.key.as_str()).collect();
-        let gone = |item: &&Item| {
+        let is_deleted = |item: &&Item| {
             item.value.is_some() && item.revision <= revision && !listed.contains(item.key.as_str())
         };
-        let under = self.items.under(prefix).map(|held| &held.item);
-        let gone: Vec<String> = under.filter(gone).map(|i| i.key.clone()).collect();
-        let mut fresh = !gone.is_empty();
-        for key in gone {
-            // At least as new as what is held, and stands over it.
+        let stored = self.items.with_prefix(prefix).map(|stored| &stored.item);
+        let deleted: Vec<String> = stored.filter(is_deleted).map(|i| i.key.clone()).collect();
+        let mut changed = !deleted.is_empty();
+        for key in deleted {
+            // Not older than the stored revision, which may be equal: hence the insert
+            // without a comparison.
             let item = Item {
                 key,
                 value: None,
                 revision: revision.max(1),
             };
-            self.items.put(item, now);
+            self.items.insert(item, now);
         }
         for item in items {
-            fresh |= self.put(item, now);
+            changed |= self.apply(item, now);
         }
-        if !self.through.contains_key(prefix) {
-            self.listed = self.items.advance();
-            fresh = true;
+        if !self.prefixes.contains_key(prefix) {
+            self.listed_at_change = self.items.next_change();
+            changed = true;
         }
-        let through = self.through.entry(prefix.to_owned()).or_insert(Through {
-            since: revision,
-            ..Through::default()
-        });
-        through.revision = revision.max(through.revision);
-        fresh
+        let state = self
+            .prefixes
+            .entry(prefix.to_owned())
+            .or_insert(PrefixState {
+                first_listed: revision,
+                ..PrefixState::default()
+            });
+        state.revision = revision.max(state.revision);
+        changed
     }
 }
