--- a/crates/gradedyke-turns/src/conversation.rs
+++ b/crates/gradedyke-turns/src/conversation.rs
@@ -1,7 +1,7 @@
-//! A conversation: what was said in a turn and in all that it continues.
+//! Conversations: the inputs and outputs of a turn and of all turns that it continues.
 //!
-//! A part of it may be on disk only. Which parts those are is found out under the
-//! index's lock, and they are read without it.
+//! Some parts may be on disk only. They are located while the index's lock is held and read
+//! after it has been released.
 
 use bytes::{Bytes, BytesMut};
 use serde::{Deserialize, Serialize};
@@ -10,7 +10,7 @@
 use crate::log::Place;
 use crate::record::Id;
 
-/// The conversation up to and with a turn.
+/// The text of the conversation up to and including a turn.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chain {
     /// Inputs and outputs, oldest first.
@@ -19,16 +19,17 @@
     pub server: Id,
 }
 
-/// A part of a conversation.
+/// A turn of a conversation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Part {
-    /// It is in memory.
+    /// The turn is in memory.
     Held(Body),
-    /// It is on disk only.
+    /// The turn is on disk only, at this location.
     Stored(Place),
 }
 
-/// The conversation up to and with a turn, as far as it is in memory.
+/// The conversation up to and including a turn, with the locations of the parts that are not
+/// in memory.
 #[derive(Clone, Debug)]
 pub struct Conversation {
     /// Its turns, oldest first.
@@ -38,24 +39,24 @@
 }
 
 impl Conversation {
-    /// The turns that have to be read from disk.
+    /// Returns the locations of the turns that have to be read from disk, oldest first.
     pub fn stored(&self) -> Vec<Place> {
-        let places = self.parts.iter().filter_map(|(_, part)| match part {
+        let locations = self.parts.iter().filter_map(|(_, part)| match part {
             Part::Held(_) => None,
             Part::Stored(place) => Some(*place),
         });
-        places.collect()
+        locations.collect()
     }
 
-    /// The whole conversation, with `read` for the parts that are not in memory, in
-    /// their order; `None` if one is missing there.
-    pub fn chain(&self, read: &[Body]) -> Option<Chain> {
-        let mut read = read.iter();
+    /// Returns the whole conversation. `bodies` are the turns of [`Self::stored`], in that
+    /// order; `None` if one is missing.
+    pub fn chain(&self, bodies: &[Body]) -> Option<Chain> {
+        let mut bodies = bodies.iter();
         let mut body = BytesMut::new();
         for (_, part) in &self.parts {
             let turn = match part {
-                Part::Held(held) => held,
-                Part::Stored(_) => read.next()?,
+                Part::Held(in_memory) => in_memory,
+                Part::Stored(_) => bodies.next()?,
             };
             body.extend_from_slice(&turn.input);
             body.extend_from_slice(&turn.output);
--- a/crates/gradedyke-turns/src/message.rs
+++ b/crates/gradedyke-turns/src/message.rs
@@ -1,4 +1,4 @@
-//! What processes ask of a replica.
+//! Requests to a replica and its replies.
 
 use std::net::SocketAddr;
 
@@ -18,153 +18,154 @@
 /// Asks to begin an attempt at a turn.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Begin {
-    /// Version of the view it is sent under.
+    /// Version of the sender's view.
     pub view: u64,
-    /// What to reserve, if the program has a budget.
+    /// The tokens to reserve, if the program has a budget.
     pub reserve: Option<Reserved>,
     /// The turn that is continued.
     pub parent: Option<Id>,
-    /// Whether this replica is the nearest: then the whole conversation is
-    /// wanted, not only whether it is here, and what others have in progress.
+    /// Whether this replica is the nearest one. It then also returns the whole conversation
+    /// and the load of other gateways.
     pub nearest: bool,
-    /// What the asker has in progress.
+    /// The sender's requests in progress.
     pub load: Report,
-    /// What it let through for client accounts, if the turn is one's.
+    /// The requests that the sender admitted for client accounts, if the turn belongs to one.
     pub usage: Option<usage::Report>,
-    /// Whether it is a program's first turn, as far as that is known.
+    /// Whether it is a program's first turn, as far as the sender knows.
     pub first: bool,
-    /// How long the asker waits for the answer, in milliseconds.
+    /// How long the sender waits for the reply, in milliseconds.
     pub patience_ms: u32,
 }
 
 /// A request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Request {
-    /// Asks whether the replica is there.
+    /// Checks that the replica is reachable.
     Hello,
-    /// Asks how old the copy of the platform's service is.
+    /// Asks how old the copy of the platform's key-value service is.
     Age,
-    /// Asks an entry to pass a request on to a keeper.
+    /// Asks a gateway to forward a request to a replica.
     Via {
-        /// The keeper's address.
+        /// The replica's address.
         to: SocketAddr,
         /// The request, encoded.
         body: Bytes,
     },
     /// Begins an attempt.
     Begin(Begin),
-    /// Keeps a record.
+    /// Stores a record.
     Keep {
-        /// Version of the view it is sent under.
+        /// Version of the sender's view.
         view: u64,
         /// The record.
         record: Record,
-        /// What the asker let through for client accounts.
+        /// The requests that the sender admitted for client accounts.
         usage: Option<usage::Report>,
     },
-    /// Tells what the asker let through for client accounts, and asks for a sum.
+    /// Reports the requests that the sender admitted for client accounts, and asks for the
+    /// total of one account.
     Usage(usage::Report),
     /// Reads a conversation.
     Chain(Id),
-    /// Reads which records arrived.
+    /// Reads the keys of stored records.
     Keys {
-        /// Who asks.
+        /// Identifier of the sender's disk.
         disk: Disk,
-        /// The start of the replica that `from` belongs to.
+        /// Identifier of the replica's run that `from` belongs to.
         boot: u64,
-        /// From where on; all before is with the asker.
+        /// The position to start from; the sender has all records before it.
         from: Position,
     },
     /// Reads records.
     Records(Vec<Key>),
-    /// Reads what changed in the mirror of the platform's service.
+    /// Reads changes of the replica's copy of the platform's key-value service.
     Follow {
-        /// How far the asker has followed.
+        /// The sender's position.
         cursor: Cursor,
         /// How long to wait for a change, in milliseconds.
         wait_ms: u32,
-        /// Where the asker passes requests of others on, if it does.
+        /// The address where the sender forwards requests of other gateways, if it does.
         address: Option<SocketAddr>,
     },
-    /// Keeps records, all of them or the request has failed.
+    /// Stores several records. The request fails unless all are stored.
     KeepAll {
-        /// Version of the view it is sent under.
+        /// Version of the sender's view.
         view: u64,
         /// The records.
         records: Vec<Record>,
     },
 }
 
-/// What is known of a conversation.
+/// What a replica holds of a conversation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Found {
-    /// The turn is not here.
+    /// The replica does not have the turn.
     Missing,
-    /// It is here.
+    /// The replica has the turn; the conversation is not included.
     Here,
-    /// It is here, and this is it.
+    /// The replica has the turn; the conversation is included.
     Whole(Chain),
 }
 
-/// A page of keys.
+/// A page of record keys.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Keys {
-    /// The start of the replica; positions of another are void.
+    /// Identifier of the replica's run. Positions from another run are invalid.
     pub boot: u64,
-    /// Where to go on.
+    /// The position to continue from.
     pub next: Position,
-    /// Whether these were all.
+    /// Whether there are no more keys.
     pub all: bool,
     /// The keys.
     pub keys: Vec<Key>,
-    /// Version of the view the replica is in.
+    /// Version of the replica's view.
     pub view: u64,
 }
 
 /// A reply.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Reply {
-    /// The replica is there.
+    /// The replica is reachable.
     Hello,
-    /// Milliseconds since the service confirmed the copy; none if never.
+    /// Milliseconds since the service last confirmed the copy; `None` if it never did.
     Age(Option<u64>),
-    /// What the keeper replied, encoded.
+    /// The reply to the forwarded request, encoded.
     Via(Bytes),
-    /// The attempt's reservation is kept.
+    /// The attempt has begun and its reservation, if any, is stored.
     Began {
-        /// All attempts of the program, this one too.
+        /// All attempts of the program, including this one.
         attempts: Vec<Attempt>,
-        /// The conversation, where one is continued.
+        /// The conversation, if the turn continues one.
         parent: Option<Found>,
-        /// What other entries have in progress, if this replica is the nearest.
+        /// The requests that other gateways have in progress, if this replica is the nearest.
         load: Option<Vec<Busy>>,
-        /// What the client account has had run, if that was asked.
+        /// The client account's usage, if the request asked for it.
         usage: Option<Total>,
-        /// How the replica keeps up.
+        /// The replica's load level.
         pressure: Pressure,
     },
-    /// The record is kept.
+    /// The record is stored.
     Kept {
-        /// What the client account has had run, if that was asked.
+        /// The client account's usage, if the request asked for it.
         usage: Option<Total>,
     },
-    /// What the client account has had run.
+    /// The client account's usage.
     Usage(Total),
-    /// The conversation.
+    /// The conversation; `None` if the replica does not have it.
     Chain(Option<Chain>),
-    /// Which records arrived.
+    /// Keys of stored records.
     Keys(Keys),
-    /// The records that are here.
+    /// The requested records that the replica has.
     Records(Vec<Record>),
-    /// What changed.
+    /// Changes of the copy.
     News(News),
-    /// The asker's view is old; this is the replica's.
+    /// The sender's view is outdated; this is the replica's view.
     Stale(View),
-    /// The replica cannot serve this.
+    /// The request failed, with the reason.
     Failed(String),
-    /// The replica reads its disk still.
+    /// The replica is still reading its disk.
     Starting,
-    /// The replica has more to do than it can do in time; nothing was done.
+    /// The replica is overloaded and did not process the request.
     Busy(Pressure),
 }
 
@@ -179,7 +180,7 @@
     }
 }
 
-/// Decodes a message; `None` for one that another version wrote.
+/// Decodes a message; `None` if it is not valid, for example one of another version.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Option<T> {
     postcard::from_bytes(bytes).ok()
 }
--- a/crates/gradedyke-turns/src/mirror.rs
+++ b/crates/gradedyke-turns/src/mirror.rs
@@ -185,7 +185,8 @@
         self.lock().neighbours.clone()
     }
 
-    /// Returns since when the service has answered without a failure; `None` after a failure.
+    /// Returns since when the service has answered without a failure; `None` during an
+    /// outage.
     pub fn steady(&self) -> Option<Instant> {
         self.lock().available_since
     }
@@ -274,8 +275,9 @@
             0
         };
         let page = state.page(after, above);
-        let complete = state.complete_revision(&self.prefixes);
-        let through = complete.filter(|_| !page.more);
+        let through = state
+            .complete_revision(&self.prefixes)
+            .filter(|_| !page.more);
         let ms = |d: Duration| u64::try_from(d.as_millis()).unwrap_or(u64::MAX);
         let ms_since = |at: Instant| ms(now.saturating_duration_since(at));
         News {
--- a/crates/gradedyke-turns/src/record.rs
+++ b/crates/gradedyke-turns/src/record.rs
@@ -1,4 +1,4 @@
-//! Records: facts about attempts and turns that never change.
+//! Immutable records of attempts and turns.
 
 use std::fmt;
 use std::sync::Arc;
@@ -7,16 +7,17 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-/// The name of a request, program or backend server, as its maker chose it.
+/// Identifier of a request, program or backend server, chosen by its creator.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Id(Arc<str>);
 
-/// Longest name that is kept, in bytes; longer ones are refused at the border.
-const ID_BYTES: usize = 200;
+/// Longest identifier, in bytes.
+const MAX_ID_BYTES: usize = 200;
 
 impl Id {
-    /// Makes a name of `text`, unless it is empty, too long or not printable.
+    /// Creates an identifier from `text`; `None` if it is empty, longer than 200 bytes or has
+    /// characters other than printable ASCII without spaces.
     ///
     /// ```
     /// use gradedyke_turns::record::Id;
@@ -25,13 +26,13 @@
     /// assert!(Id::parse("two words").is_none());
     /// ```
     pub fn parse(text: &str) -> Option<Self> {
-        let usable = !text.is_empty() && text.len() <= ID_BYTES;
-        let graphic = text.bytes().all(|b| b.is_ascii_graphic());
-        (usable && graphic).then(|| Self(text.into()))
+        let is_valid_length = !text.is_empty() && text.len() <= MAX_ID_BYTES;
+        let is_graphic = text.bytes().all(|b| b.is_ascii_graphic());
+        (is_valid_length && is_graphic).then(|| Self(text.into()))
     }
 
-    /// This name within the names of `scope`: equal only for the same name in the same
-    /// scope, and never equal to a name that was parsed.
+    /// Qualifies this identifier with `scope`. The results are equal only for the same
+    /// identifier in the same scope, and never equal to a parsed identifier.
     ///
     /// ```
     /// use gradedyke_turns::record::Id;
@@ -42,11 +43,11 @@
     /// ```
     #[must_use]
     pub fn within(&self, scope: &Id) -> Self {
-        // No name that was parsed holds a space.
+        // Parsed identifiers contain no spaces.
         Self(format!("{} {}", scope.0, self.0).into())
     }
 
-    /// The name as text.
+    /// Returns the identifier as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -58,50 +59,50 @@
     }
 }
 
-/// Tokens of a program's budget that an attempt may use.
+/// A reservation of tokens of a program's budget for an attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reserved {
     /// The program.
     pub program: Id,
     /// The request.
     pub request: Id,
-    /// The most it may use, in tokens.
+    /// The largest number of tokens that the attempt may use.
     pub tokens: u32,
     /// How long the program's attempts count, in milliseconds.
     pub keep_ms: u32,
 }
 
-/// What an attempt used after all.
+/// The final token use of an attempt; replaces its reservation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Settled {
     /// The program.
     pub program: Id,
     /// The request.
     pub request: Id,
-    /// Tokens that reached the caller, at most.
+    /// Upper limit of the number of tokens that reached the caller.
     pub tokens: u32,
     /// How long the program's attempts count, in milliseconds.
     pub keep_ms: u32,
 }
 
-/// A turn that was answered whole.
+/// A turn with a complete answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Turn {
-    /// Its request, which later turns name.
+    /// Its request. Later turns refer to the turn by it.
     pub request: Id,
     /// The turn it continues.
     pub parent: Option<Id>,
-    /// What the caller brought.
+    /// The caller's input.
     pub input: Bytes,
-    /// What the answer adds for the turns after it.
+    /// The part of the answer that belongs to the conversation.
     pub output: Bytes,
-    /// The backend server that ran it, whose cache holds it.
+    /// The backend server that ran the turn and has it in its cache.
     pub server: Id,
-    /// The program whose budget it used, if that has one.
+    /// The program whose budget the turn used, if it has one.
     pub program: Option<Id>,
-    /// Tokens of the answer, which settle what was reserved.
+    /// Number of tokens of the answer; replaces the reservation.
     pub tokens: u32,
-    /// How long it is kept, in milliseconds.
+    /// How long the turn is retained, in milliseconds.
     pub keep_ms: u32,
 }
 
@@ -110,13 +111,13 @@
 pub enum Record {
     /// Tokens were reserved.
     Reserved(Reserved),
-    /// An attempt's use is known.
+    /// The token use of an attempt is final.
     Settled(Settled),
-    /// A turn ended whole.
+    /// A turn was completed.
     Turn(Turn),
 }
 
-/// Which kind of record.
+/// The kind of a [`Record`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Kind {
     /// [`Record::Reserved`].
@@ -127,17 +128,17 @@
     Turn,
 }
 
-/// What tells a record from all others.
+/// Unique key of a record.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key {
     /// The kind.
     pub kind: Kind,
-    /// The request it is about.
+    /// The request that the record belongs to.
     pub request: Id,
 }
 
 impl Settled {
-    /// Says that nothing of what was reserved is used.
+    /// Creates the record that releases the whole reservation.
     pub fn unused(reserved: &Reserved) -> Self {
         Self {
             program: reserved.program.clone(),
@@ -149,7 +150,7 @@
 }
 
 impl Record {
-    /// The record's key.
+    /// Returns the record's key.
     pub fn key(&self) -> Key {
         let (kind, request) = match self {
             Record::Reserved(r) => (Kind::Reserved, &r.request),
@@ -162,7 +163,7 @@
         }
     }
 
-    /// How long the record is kept.
+    /// Returns how long the record is retained.
     pub fn keep(&self) -> Duration {
         let ms = match self {
             Record::Reserved(r) => r.keep_ms,
--- a/crates/gradedyke-turns/src/usage.rs
+++ b/crates/gradedyke-turns/src/usage.rs
@@ -1,17 +1,18 @@
-//! What each client account has had run lately, over all entries.
+//! Recent usage of each client account, summed over all gateways.
 //!
-//! An allowance holds over all entries together, and each sees a part of the use. So an
-//! entry tells the keepers, with the exchanges that begin and end a turn, what it let
-//! through in the last window for the accounts that these exchanges concern or whose use
-//! has risen, and each keeper answers with the sum over all entries. A keeper that was
-//! started anew knows the use again from what it wrote down and as soon as entries tell
-//! theirs, because each tells all of its window; one that lost its disk is outvoted by
-//! the others, since the greatest sum counts.
+//! An account's allowance applies to all gateways together, while each gateway sees only its
+//! own requests. With the requests that begin and end a turn, a gateway therefore reports to
+//! the replicas what it admitted in the last window, for the accounts of these turns and for
+//! those whose usage has risen. Each replica replies with the sum over all gateways, and the
+//! gateway uses the greatest sum.
 //!
-//! Weighed against a share of the allowance for each entry (a fixed one refuses most of
-//! what is within it, because demand is uneven: 62 in 100 programs of a calm day of 58
-//! entries) and against one owner for each account that grants batches (a call more for
-//! each request, and a new owner knows of no use).
+//! A report covers the gateway's whole window, so a restarted replica is soon up to date, and
+//! it also saves the reports on disk. A replica that lost its disk returns a sum that is too
+//! low, which does not matter as long as another one returns the right sum.
+//!
+//! Two alternatives were rejected: a fixed share of the allowance for each gateway refuses
+//! requests within the allowance when demand is uneven, and an owner for each account that
+//! grants batches costs a call for each request and loses the usage when it changes.
 
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -22,34 +23,34 @@
 
 use crate::record::Id;
 
-/// An account's name in short, which travels with every turn.
+/// Hash of a client account's name, which is shorter to send.
 pub type Account = u64;
 
-/// The short name of an account.
+/// Returns the hash of an account's name.
 pub fn account(name: &Id) -> Account {
     let mut hasher = DefaultHasher::new();
     name.as_str().hash(&mut hasher);
     hasher.finish()
 }
 
-/// Parts of a window: what is told is as coarse as one of them, so a sum is up to a
-/// tenth too high where two meet, and never too low.
+/// Number of parts into which a window is divided. Usage expires part by part, so a sum may
+/// still include usage that is up to two parts older than the window.
 pub const PARTS: u32 = 20;
 
-/// Parts that are told: those of a window, and the one that has just begun.
-const TOLD: usize = PARTS as usize + 1;
+/// Number of parts that are reported: those of a window and the one in progress.
+const REPORTED_PARTS: usize = PARTS as usize + 1;
 
-/// Use of an account.
+/// Usage of an account.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Total {
-    /// Requests that were let through.
+    /// Number of admitted requests.
     pub requests: u32,
-    /// Requests that the programs begun are expected to need.
+    /// Number of requests that the started programs are expected to make.
     pub planned: u32,
 }
 
 impl Total {
-    /// The greater of two, each by itself.
+    /// Returns the maximum of each field.
     #[must_use]
     pub fn max(self, other: Self) -> Self {
         Self {
@@ -64,115 +65,123 @@
     }
 }
 
-/// What one entry let through for an account in the last window, in parts; the latest
-/// first.
+/// The requests that one gateway admitted for an account in the last window.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
     /// The account.
     pub account: Account,
-    /// The parts; those that are left out at the end are empty.
+    /// Usage by part of the window, the latest first. Missing parts at the end are zero.
     pub parts: Vec<Total>,
 }
 
-/// What one entry tells.
+/// A gateway's usage report to a replica.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// The entry, by the start of its process.
+    /// Random identifier of the gateway's process run.
     pub entry: u64,
     /// Length of a part, in milliseconds.
     pub part_ms: u32,
-    /// The account whose sum is asked for.
+    /// The account whose total the replica returns.
     pub asked: Account,
-    /// Its use of accounts.
+    /// The usage of accounts.
     pub rows: Vec<Row>,
 }
 
-/// Use of one account through one entry, part by part.
+/// Counts one account's usage through one gateway in a sliding window.
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
-    /// Number of the latest part since the start, and the parts, the latest first.
+    /// Sequence number of the latest part.
     latest: u64,
+    /// The latest part first.
     parts: std::collections::VecDeque<Total>,
 }
 
 impl Tally {
-    /// Counts `more` in the part with number `part`, which may be one that has passed.
-    pub fn add(&mut self, part: u64, more: Total) {
-        self.roll(part);
-        if let Some(held) = self.at(part) {
-            held.add(more);
+    /// Adds `amount` to the part with the sequence number `part`, which may be a past one.
+    pub fn add(&mut self, part: u64, amount: Total) {
+        self.advance_to(part);
+        if let Some(total) = self.part_mut(part) {
+            total.add(amount);
         }
     }
 
-    /// Takes back what was counted in a part.
-    pub fn undo(&mut self, part: u64, back: Total) {
-        if let Some(held) = self.at(part) {
-            held.requests = held.requests.saturating_sub(back.requests);
-            held.planned = held.planned.saturating_sub(back.planned);
+    /// Subtracts `amount` from a part, to which it was added before.
+    pub fn undo(&mut self, part: u64, amount: Total) {
+        if let Some(total) = self.part_mut(part) {
+            total.requests = total.requests.saturating_sub(amount.requests);
+            total.planned = total.planned.saturating_sub(amount.planned);
         }
     }
 
-    fn at(&mut self, part: u64) -> Option<&mut Total> {
-        let back = usize::try_from(self.latest.checked_sub(part)?).ok()?;
-        self.parts.get_mut(back)
+    fn part_mut(&mut self, part: u64) -> Option<&mut Total> {
+        let index = usize::try_from(self.latest.checked_sub(part)?).ok()?;
+        self.parts.get_mut(index)
     }
 
-    fn roll(&mut self, part: u64) {
-        let fresh = part.saturating_sub(self.latest).min(TOLD as u64);
-        for _ in 0..fresh {
+    fn advance_to(&mut self, part: u64) {
+        let new_parts = part.saturating_sub(self.latest).min(REPORTED_PARTS as u64);
+        for _ in 0..new_parts {
             self.parts.push_front(Total::default());
         }
         if self.parts.is_empty() {
             self.parts.push_front(Total::default());
         }
-        self.parts.truncate(TOLD);
+        self.parts.truncate(REPORTED_PARTS);
         self.latest = self.latest.max(part);
     }
 
-    /// All parts of the window that ends in `part`, the latest first.
+    /// Returns the parts of the window that ends in `part`, the latest first, without empty
+    /// parts at the end.
     pub fn told(&mut self, part: u64) -> Vec<Total> {
-        self.roll(part);
-        let full = |total: &Total| *total != Total::default();
-        let end = self.parts.iter().rposition(full).map_or(0, |at| at + 1);
+        self.advance_to(part);
+        let is_used = |total: &Total| *total != Total::default();
+        let end = self.parts.iter().rposition(is_used).map_or(0, |i| i + 1);
         self.parts.iter().take(end).copied().collect()
     }
 }
 
-/// What an entry told of an account, and when.
+/// The latest usage of an account that a gateway reported.
 #[derive(Clone, Debug)]
-struct Told {
-    at: Instant,
+struct ReportedRow {
+    received_at: Instant,
     parts: Vec<Total>,
 }
 
-/// What all entries told.
+/// The usage reported by all gateways.
 #[derive(Debug, Default)]
 pub struct Board {
-    rows: HashMap<Account, HashMap<u64, Told>>,
-    part: Duration,
+    /// Rows by account and gateway.
+    rows: HashMap<Account, HashMap<u64, ReportedRow>>,
+    part_length: Duration,
 }
 
-/// A row with its entry, as it is written down.
+/// A row with its gateway, as saved on disk.
 pub type Written = (u64, Row);
 
 impl Board {
-    /// Takes a report in.
+    /// Stores the rows of a report.
     pub fn put(&mut self, report: Report, now: Instant) {
-        self.part = Duration::from_millis(report.part_ms.into());
+        self.part_length = Duration::from_millis(report.part_ms.into());
         for row in report.rows {
-            self.place(report.entry, row, now);
+            self.insert_row(report.entry, row, now);
         }
     }
 
-    fn place(&mut self, entry: u64, row: Row, now: Instant) {
-        let window = self.part * PARTS;
-        let entries = self.rows.entry(row.account).or_default();
-        entries.retain(|_, told| now.saturating_duration_since(told.at) <= window);
+    fn insert_row(&mut self, gateway: u64, row: Row, now: Instant) {
+        let window = self.part_length * PARTS;
+        let gateways = self.rows.entry(row.account).or_default();
+        gateways.retain(|_, row| now.saturating_duration_since(row.received_at) <= window);
         let parts = row.parts;
-        entries.insert(entry, Told { at: now, parts });
+        gateways.insert(
+            gateway,
+            ReportedRow {
+                received_at: now,
+                parts,
+            },
+        );
     }
 
-    /// What all entries together let through for an account in the last window.
+    /// Returns an account's usage in the last window over all gateways.
     ///
     /// ```
     /// use gradedyke_turns::usage::{Board, Report, Row, Total};
@@ -186,62 +195,64 @@
     ///     board.put(Report { entry, part_ms: 250, asked: 7, rows }, now);
     /// }
     /// assert_eq!(board.total(7, now).requests, 10);
-    /// // The window is 5 s long, and what is told is as coarse as a part.
+    /// // The window is 5 s long, and usage expires by parts of 250 ms.
     /// assert_eq!(board.total(7, now + Duration::from_millis(5_100)).requests, 4);
     /// assert_eq!(board.total(7, now + Duration::from_millis(5_300)).requests, 0);
     /// ```
     pub fn total(&self, account: Account, now: Instant) -> Total {
         let mut total = Total::default();
-        for told in self.rows.get(&account).into_iter().flat_map(|e| e.values()) {
-            for part in self.left(told, now) {
+        for row in self.rows.get(&account).into_iter().flat_map(|g| g.values()) {
+            for part in self.parts_in_window(row, now) {
                 total.add(*part);
             }
         }
         total
     }
 
-    /// The parts of a row that are in the window still.
-    fn left<'a>(&self, told: &'a Told, now: Instant) -> &'a [Total] {
-        let left = TOLD.saturating_sub(self.passed(told.at, now));
-        &told.parts[..left.min(told.parts.len())]
+    /// Returns the parts of a row that are still in the window.
+    fn parts_in_window<'a>(&self, row: &'a ReportedRow, now: Instant) -> &'a [Total] {
+        let remaining = REPORTED_PARTS.saturating_sub(self.elapsed_parts(row.received_at, now));
+        &row.parts[..remaining.min(row.parts.len())]
     }
 
-    /// Parts that have passed between two moments.
-    fn passed(&self, at: Instant, now: Instant) -> usize {
-        let passed = now.saturating_duration_since(at).as_millis();
-        let passed = passed.checked_div(self.part.as_millis());
-        passed.map_or(0, |p| usize::try_from(p).unwrap_or(TOLD))
+    /// Returns the number of whole parts between two times.
+    fn elapsed_parts(&self, since: Instant, now: Instant) -> usize {
+        let elapsed = now.saturating_duration_since(since).as_millis();
+        let parts = elapsed.checked_div(self.part_length.as_millis());
+        parts.map_or(0, |p| usize::try_from(p).unwrap_or(REPORTED_PARTS))
     }
 
-    /// All that is in the window still, to be written down.
+    /// Returns the length of a part in milliseconds and all usage that is still in the
+    /// window, to be saved on disk.
     pub fn written(&self, now: Instant) -> (u32, Vec<Written>) {
         let mut all = Vec::new();
-        for (account, entries) in &self.rows {
-            for (entry, told) in entries {
-                let mut parts = vec![Total::default(); self.passed(told.at, now)];
-                parts.extend_from_slice(self.left(told, now));
-                parts.truncate(TOLD);
+        for (account, gateways) in &self.rows {
+            for (gateway, reported) in gateways {
+                let mut parts =
+                    vec![Total::default(); self.elapsed_parts(reported.received_at, now)];
+                parts.extend_from_slice(self.parts_in_window(reported, now));
+                parts.truncate(REPORTED_PARTS);
                 let row = Row {
                     account: *account,
                     parts,
                 };
                 if row.parts.iter().any(|p| *p != Total::default()) {
-                    all.push((*entry, row));
+                    all.push((*gateway, row));
                 }
             }
         }
         (
-            u32::try_from(self.part.as_millis()).unwrap_or_default(),
+            u32::try_from(self.part_length.as_millis()).unwrap_or_default(),
             all,
         )
     }
 
-    /// Takes in what was written down, as if it were told at `now`: the time that has
-    /// passed since is not known, and to take it for none lets nothing through too much.
+    /// Restores saved usage as if it had been reported at `now`. The time since it was saved
+    /// is not known; assuming none never admits more than the allowance.
     pub fn restore(&mut self, (part_ms, rows): (u32, Vec<Written>), now: Instant) {
-        self.part = Duration::from_millis(part_ms.into());
-        for (entry, row) in rows {
-            self.place(entry, row, now);
+        self.part_length = Duration::from_millis(part_ms.into());
+        for (gateway, row) in rows {
+            self.insert_row(gateway, row, now);
         }
     }
 }
--- a/crates/gradedyke-turns/tests/listing.rs
+++ b/crates/gradedyke-turns/tests/listing.rs
@@ -1,7 +1,6 @@
-//! What a copy tells its followers: how much, and that nothing is missed by it.
+//! Updates sent to followers: their sizes, and that no change is missed.
 //!
-//! The platform's service holds ten keys for each instance here, as with ten backend servers
-//! for each.
+//! The tests use ten keys for each instance, one for each of ten backend servers.
 
 use std::sync::Arc;
 
@@ -12,16 +11,16 @@
 use rand::{RngExt, SeedableRng};
 use tokio::time::Instant;
 
-/// Longest reply, in bytes: a page, and the item that fills it.
-const REPLY_BYTES: usize = 132 << 10;
-/// Longest reply that tells of no more than two changes, in bytes.
-const CHANGE_BYTES: usize = 1 << 10;
-/// Bytes of a value, as backend servers write them.
+/// Largest reply, in bytes: a page with the item that fills it.
+const MAX_REPLY_BYTES: usize = 132 << 10;
+/// Largest reply with at most two changes, in bytes.
+const MAX_CHANGES_REPLY_BYTES: usize = 1 << 10;
+/// Size in bytes of a value that a backend server writes.
 const VALUE_BYTES: usize = 230;
-/// Instances of deployments that grow.
-const SIZES: [usize; 4] = [30, 100, 300, 1_000];
+/// Numbers of instances of the tested deployments.
+const INSTANCE_COUNTS: [usize; 4] = [30, 100, 300, 1_000];
 
-/// An item whose value cannot be compressed.
+/// An item with an incompressible value.
 fn item(key: usize, revision: u64) -> Item {
     let mut random = StdRng::seed_from_u64(key as u64);
     let value: Vec<u8> = (0..VALUE_BYTES).map(|_| random.random()).collect();
@@ -32,152 +31,158 @@
     }
 }
 
-fn gone(key: usize, revision: u64) -> Item {
+fn deleted_item(key: usize, revision: u64) -> Item {
     Item {
         value: None,
         ..item(key, revision)
     }
 }
 
-/// A copy of `keys` keys as the service listed them at `revision`.
-fn listed(keys: usize, revision: u64, now: Instant) -> Arc<Mirror> {
+/// Creates a mirror from a listing of `keys` keys at `revision`.
+fn listed_mirror(keys: usize, revision: u64, now: Instant) -> Arc<Mirror> {
     let mirror = Mirror::new(&[""]);
     let items = (0..keys).map(|key| item(key, 1 + key as u64)).collect();
     mirror.replace("", items, revision, now);
     mirror
 }
 
-/// Brings changes that the service told of after all before.
-fn changed(mirror: &Mirror, items: Vec<Item>, now: Instant) {
+/// Applies changes that are newer than all items of `mirror`.
+fn apply_changes(mirror: &Mirror, items: Vec<Item>, now: Instant) {
     let through = items.iter().map(|i| i.revision).max();
-    let news = News {
+    let update = News {
         through,
         ..News::default()
     };
-    mirror.learn(news, items, now, now);
+    mirror.learn(update, items, now, now);
 }
 
-/// Follows `source` until nothing is left to tell; returns the sizes of its replies.
+/// Follows `source` until `mirror` is up to date; returns the sizes of the replies.
 fn follow(mirror: &Mirror, source: &Mirror, cursor: &mut Cursor, now: Instant) -> Vec<usize> {
     let mut sizes = Vec::new();
     let mut items = Vec::new();
     loop {
         cursor.through = mirror.through();
-        let news = source.news(cursor, now, now);
-        sizes.push(encode(&Reply::News(news.clone())).len());
-        cursor.boot = news.boot;
-        cursor.change = news.next;
-        cursor.listing = news.listing && news.more;
-        items.extend(news.items.unpack().unwrap());
-        if !news.more {
-            mirror.learn(news, items, now, now);
+        let update = source.news(cursor, now, now);
+        sizes.push(encode(&Reply::News(update.clone())).len());
+        cursor.boot = update.boot;
+        cursor.change = update.next;
+        cursor.listing = update.listing && update.more;
+        items.extend(update.items.unpack().unwrap());
+        if !update.more {
+            mirror.learn(update, items, now, now);
             return sizes;
         }
     }
 }
 
-fn held(mirror: &Mirror) -> Vec<Item> {
+fn contents(mirror: &Mirror) -> Vec<Item> {
     mirror.items()
 }
 
 #[test]
-fn a_listing_comes_in_pages_of_the_same_size_however_large_the_deployment() {
+fn listing_pages_are_bounded_for_any_deployment_size() {
     let now = Instant::now();
-    for size in SIZES {
-        let keys = 10 * size;
-        let source = listed(keys, 1 + keys as u64, now);
+    for instances in INSTANCE_COUNTS {
+        let keys = 10 * instances;
+        let source = listed_mirror(keys, 1 + keys as u64, now);
         let mirror = Mirror::new(&[""]);
         let sizes = follow(&mirror, &source, &mut Cursor::default(), now);
-        assert!(sizes.iter().all(|s| *s <= REPLY_BYTES), "{size}: {sizes:?}");
-        assert_eq!(held(&mirror), held(&source), "{size}");
-        assert_eq!(mirror.through(), source.through(), "{size}");
+        assert!(
+            sizes.iter().all(|s| *s <= MAX_REPLY_BYTES),
+            "{instances}: {sizes:?}"
+        );
+        assert_eq!(contents(&mirror), contents(&source), "{instances}");
+        assert_eq!(mirror.through(), source.through(), "{instances}");
     }
 }
 
 #[test]
-fn what_changes_between_two_pages_is_not_missed() {
+fn changes_between_two_pages_are_not_missed() {
     let now = Instant::now();
     let keys = 5_000;
-    let source = listed(keys, 5_000, now);
+    let source = listed_mirror(keys, 5_000, now);
     let mirror = Mirror::new(&[""]);
-    // Held from before, and gone since.
+    // A key that was deleted before the listing.
     mirror.put(vec![item(9_999, 7)], now);
     let mut cursor = Cursor::default();
     let mut items = Vec::new();
     let mut revision = 5_000;
     loop {
-        let news = source.news(&cursor, now, now);
-        (cursor.boot, cursor.change) = (news.boot, news.next);
-        cursor.listing = news.more;
-        items.extend(news.items.unpack().unwrap());
-        if !news.more {
-            mirror.learn(news, items, now, now);
+        let update = source.news(&cursor, now, now);
+        (cursor.boot, cursor.change) = (update.boot, update.next);
+        cursor.listing = update.more;
+        items.extend(update.items.unpack().unwrap());
+        if !update.more {
+            mirror.learn(update, items, now, now);
             break;
         }
         if revision < 5_012 {
-            // One that was told, and one that was not yet; one of them is deleted.
-            let early = usize::try_from(revision).unwrap() - 5_000;
-            let late = keys - 1 - early;
-            let changes = vec![item(early, revision + 1), gone(late, revision + 2)];
-            changed(&source, changes, now);
+            // Changes a key that was sent already, and deletes one that was not sent yet.
+            let sent = usize::try_from(revision).unwrap() - 5_000;
+            let unsent = keys - 1 - sent;
+            let changes = vec![item(sent, revision + 1), deleted_item(unsent, revision + 2)];
+            apply_changes(&source, changes, now);
             revision += 2;
         }
     }
-    assert_eq!(held(&mirror), held(&source));
+    assert_eq!(contents(&mirror), contents(&source));
     assert_eq!(mirror.through(), 5_012);
 }
 
 #[test]
-fn who_changes_its_source_is_told_what_it_does_not_know_however_large_the_deployment() {
+fn a_follower_that_changes_its_source_receives_only_new_changes() {
     let now = Instant::now();
-    for size in SIZES {
-        let keys = 10 * size;
+    for instances in INSTANCE_COUNTS {
+        let keys = 10 * instances;
         let revision = 1 + keys as u64;
-        let (first, second) = (listed(keys, revision, now), listed(keys, revision, now));
+        let (first, second) = (
+            listed_mirror(keys, revision, now),
+            listed_mirror(keys, revision, now),
+        );
         let mirror = Mirror::new(&[""]);
         follow(&mirror, &first, &mut Cursor::default(), now);
-        // Nothing happened since.
+        // Nothing has changed since.
         let sizes = follow(&mirror, &second, &mut Cursor::default(), now);
         assert!(
-            sizes.len() == 1 && sizes[0] < CHANGE_BYTES,
-            "{size}: {sizes:?}"
+            sizes.len() == 1 && sizes[0] < MAX_CHANGES_REPLY_BYTES,
+            "{instances}: {sizes:?}"
         );
-        // A change and a deletion happened, of which the other source told only one.
-        changed(&first, vec![item(1, revision + 1)], now);
+        // A change and a deletion, of which the first source sent only the change.
+        apply_changes(&first, vec![item(1, revision + 1)], now);
         let mut cursor = Cursor::default();
         follow(&mirror, &first, &mut cursor, now);
-        let both = vec![item(1, revision + 1), gone(2, revision + 2)];
-        changed(&second, both, now);
+        let both = vec![item(1, revision + 1), deleted_item(2, revision + 2)];
+        apply_changes(&second, both, now);
         let sizes = follow(&mirror, &second, &mut Cursor::default(), now);
         assert!(
-            sizes.len() == 1 && sizes[0] < CHANGE_BYTES,
-            "{size}: {sizes:?}"
+            sizes.len() == 1 && sizes[0] < MAX_CHANGES_REPLY_BYTES,
+            "{instances}: {sizes:?}"
         );
-        assert_eq!(held(&mirror), held(&second), "{size}");
-        // And back to the first, which is behind by now.
+        assert_eq!(contents(&mirror), contents(&second), "{instances}");
+        // The follower returns to the first source, which is behind.
         let sizes = follow(&mirror, &first, &mut cursor, now);
         assert!(
-            sizes.len() == 1 && sizes[0] < CHANGE_BYTES,
-            "{size}: {sizes:?}"
+            sizes.len() == 1 && sizes[0] < MAX_CHANGES_REPLY_BYTES,
+            "{instances}: {sizes:?}"
         );
-        assert_eq!(held(&mirror), held(&second), "{size}");
+        assert_eq!(contents(&mirror), contents(&second), "{instances}");
     }
 }
 
 #[test]
-fn a_source_that_does_not_know_what_was_deleted_tells_all() {
+fn a_source_that_may_have_missed_deletions_sends_a_full_listing() {
     let now = Instant::now();
-    let first = listed(100, 200, now);
+    let first = listed_mirror(100, 200, now);
     let mirror = Mirror::new(&[""]);
     follow(&mirror, &first, &mut Cursor::default(), now);
-    // This one has listed the service after a deletion of which it never heard.
-    let second = listed(99, 300, now);
+    // The second source listed the service after a deletion that it did not see.
+    let second = listed_mirror(99, 300, now);
     follow(&mirror, &second, &mut Cursor::default(), now);
-    assert_eq!(held(&mirror), held(&second));
+    assert_eq!(contents(&mirror), contents(&second));
     assert_eq!(mirror.through(), 300);
-    // One that read a disk vouches for nothing, and takes nothing away.
+    // A source that only loaded its copy from disk removes nothing from the follower's.
     let third = Mirror::new(&[""]);
     third.put(vec![item(3, 4)], now);
     follow(&mirror, &third, &mut Cursor::default(), now);
-    assert_eq!(held(&mirror), held(&second));
+    assert_eq!(contents(&mirror), contents(&second));
 }
--- a/crates/gradedyke-turns/tests/mirror.rs
+++ b/crates/gradedyke-turns/tests/mirror.rs
@@ -1,11 +1,11 @@
-//! How old what a copy says may be.
+//! The age of a copy and the time up to which it is complete.
 
 use std::time::Duration;
 
 use gradedyke_turns::mirror::{Cursor, Item, Mirror, News};
 use tokio::time::Instant;
 
-fn news(asked_ms: Option<i64>) -> News {
+fn update(asked_ms: Option<i64>) -> News {
     News {
         whole: Some(7),
         age_ms: Some(20),
@@ -15,25 +15,25 @@
 }
 
 #[tokio::test]
-async fn what_lay_here_unread_is_as_old_as_the_question() {
-    let asked = Instant::now();
+async fn a_reply_that_waited_unread_is_as_old_as_the_request() {
+    let sent = Instant::now();
     let mirror = Mirror::new(&[""]);
     assert_eq!(mirror.vouched(), None);
-    // The process was stopped for 10 s between the question and the answer.
-    let read = asked + Duration::from_secs(10);
-    mirror.learn(news(Some(300)), Vec::new(), asked, read);
+    // The process was suspended for 10 s between the request and reading the reply.
+    let read = sent + Duration::from_secs(10);
+    mirror.learn(update(Some(300)), Vec::new(), sent, read);
     assert_eq!(
         mirror.vouched(),
-        asked.checked_sub(Duration::from_millis(300))
+        sent.checked_sub(Duration::from_millis(300))
     );
     assert_eq!(mirror.age(read), Some(Duration::from_millis(20)));
 }
 
 #[tokio::test]
-async fn a_copy_from_a_disk_vouches_for_nothing() {
+async fn a_copy_from_disk_is_not_confirmed() {
     let now = Instant::now();
     let mirror = Mirror::new(&[""]);
-    mirror.learn(news(None), Vec::new(), now, now);
+    mirror.learn(update(None), Vec::new(), now, now);
     assert_eq!(mirror.vouched(), None);
     assert_eq!(mirror.news(&Cursor::default(), now, now).asked_ms, None);
 }
@@ -42,67 +42,66 @@
 async fn the_age_grows_with_each_hop() {
     let start = Instant::now();
     let (first, second) = (Mirror::new(&[""]), Mirror::new(&[""]));
-    first.learn(news(Some(300)), Vec::new(), start, start);
-    // The second asks 50 ms later, and the first answers 100 ms after that.
-    let asked = start + Duration::from_millis(50);
-    let answered = asked + Duration::from_millis(100);
-    let told = first.news(&Cursor::default(), asked, answered);
-    assert_eq!(told.asked_ms, Some(351));
-    second.learn(told, Vec::new(), asked, answered + Duration::from_millis(5));
-    let vouched = second.vouched().unwrap();
-    assert!(vouched <= first.vouched().unwrap());
-    assert_eq!(answered - vouched, Duration::from_millis(451));
+    first.learn(update(Some(300)), Vec::new(), start, start);
+    // The second asks 50 ms later, and the first replies 100 ms after that.
+    let sent = start + Duration::from_millis(50);
+    let replied = sent + Duration::from_millis(100);
+    let reply = first.news(&Cursor::default(), sent, replied);
+    assert_eq!(reply.asked_ms, Some(351));
+    second.learn(reply, Vec::new(), sent, replied + Duration::from_millis(5));
+    let requested_at = second.vouched().unwrap();
+    assert!(requested_at <= first.vouched().unwrap());
+    assert_eq!(replied - requested_at, Duration::from_millis(451));
 }
 
 #[tokio::test]
-async fn news_that_came_while_a_question_waited_are_younger_than_it() {
-    let asked = Instant::now();
+async fn an_update_received_during_a_long_poll_is_newer_than_the_request() {
+    let sent = Instant::now();
     let (first, second) = (Mirror::new(&[""]), Mirror::new(&[""]));
-    // The service was asked 200 ms after the question to the first came in.
-    let later = asked + Duration::from_millis(200);
+    // The service was asked 200 ms after the first process received the request.
+    let later = sent + Duration::from_millis(200);
     first.learn(
-        news(Some(0)),
+        update(Some(0)),
         Vec::new(),
         later,
         later + Duration::from_millis(50),
     );
-    let told = first.news(
-        &Cursor::default(),
-        asked,
-        asked + Duration::from_millis(300),
-    );
-    assert_eq!(told.asked_ms, Some(-200));
-    second.learn(told, Vec::new(), asked, asked + Duration::from_millis(310));
+    let reply = first.news(&Cursor::default(), sent, sent + Duration::from_millis(300));
+    assert_eq!(reply.asked_ms, Some(-200));
+    second.learn(reply, Vec::new(), sent, sent + Duration::from_millis(310));
     assert_eq!(second.vouched(), Some(later));
 }
 
 #[tokio::test]
-async fn who_joined_a_copy_from_a_disk_learns_when_the_service_has_confirmed_it() {
+async fn a_follower_of_a_copy_from_disk_learns_when_the_service_confirms_it() {
     let now = Instant::now();
     let item = Item {
         key: "key".to_owned(),
         value: Some("value".into()),
         revision: 3,
     };
-    let (keeper, entry) = (Mirror::new(&[""]), Mirror::new(&[""]));
-    keeper.put(vec![item.clone()], now);
-    let told = keeper.news(&Cursor::default(), now, now);
+    let (source, follower) = (Mirror::new(&[""]), Mirror::new(&[""]));
+    source.put(vec![item.clone()], now);
+    let reply = source.news(&Cursor::default(), now, now);
     let cursor = Cursor {
-        boot: told.boot,
-        change: told.next,
+        boot: reply.boot,
+        change: reply.next,
         ..Cursor::default()
     };
-    let items = told.items.unpack().unwrap();
-    entry.learn(told, items, now, now);
-    assert_eq!((entry.get("key").is_some(), entry.vouched()), (true, None));
-    // The service holds the same still, so that nothing changes but what is known of it.
-    let mut changed = keeper.watch();
+    let items = reply.items.unpack().unwrap();
+    follower.learn(reply, items, now, now);
+    assert_eq!(
+        (follower.get("key").is_some(), follower.vouched()),
+        (true, None)
+    );
+    // The service confirms the same contents, so only the confirmation is new.
+    let mut changed = source.watch();
     changed.mark_unchanged();
-    keeper.learn(news(Some(10)), vec![item], now, now);
+    source.learn(update(Some(10)), vec![item], now, now);
     assert!(changed.has_changed().unwrap());
-    let told = keeper.news(&cursor, now, now);
-    let items = told.items.unpack().unwrap();
-    entry.learn(told, items, now, now);
-    assert!(entry.vouched().is_some());
-    assert!(entry.age(now).is_some());
+    let reply = source.news(&cursor, now, now);
+    let items = reply.items.unpack().unwrap();
+    follower.learn(reply, items, now, now);
+    assert!(follower.vouched().is_some());
+    assert!(follower.age(now).is_some());
 }
