--- a/crates/gradedyke-turns/src/feed.rs
+++ b/crates/gradedyke-turns/src/feed.rs
@@ -29,32 +29,32 @@
 /// Delay before the next source is selected, and first delay before a source that
 /// failed is asked for its age again.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
-/// How long a source with a stale copy is followed before a source is selected anew.
+/// How long a source with a stale copy is followed before sources are compared again.
 const STALE_SOURCE_TIMEOUT: Duration = Duration::from_millis(800);
 /// How long to wait for a source with a fresh copy once one with a stale copy has
 /// answered. A replica needs about this long to list the service after its start.
 const FRESH_SOURCE_WAIT: Duration = Duration::from_millis(60);
-/// Shortest time for which a source other than the preferred one is followed before a
-/// source is selected anew; the longest is twice this. After a start only the processes
-/// that read the service are fresh, and without this all others would stay with them.
+/// Shortest time for which a source other than the preferred one is followed before sources
+/// are compared again; the longest is twice this. After a start only the processes that read
+/// the service are fresh, and without the comparison all others would stay with them.
 const RESELECT_INTERVAL: Duration = Duration::from_secs(2);
 /// Delay between the first requests to successive sources.
 const STAGGER_DELAY: Duration = Duration::from_millis(3);
-/// Upper limit for the wait that a follower asks for.
+/// Longest time for which a request of a follower is held, whatever it asks for.
 const MAX_LONG_POLL_WAIT: Duration = Duration::from_secs(5);
 
 /// Returns what changed in `mirror` after `cursor`, waiting up to `wait` for a change. If
 /// nothing changed, the result still holds the age of the copy.
 pub async fn tell(mirror: &Mirror, cursor: &Cursor, wait: Duration) -> News {
-    let arrived = Instant::now();
+    let received_at = Instant::now();
     let mut changed = mirror.watch();
-    let update = mirror.news(cursor, arrived, arrived);
+    let update = mirror.news(cursor, received_at, received_at);
     if !update.items.is_empty() || update.listing {
         return update;
     }
     let change = changed.wait_for(|change| *change > cursor.change);
     let _ = tokio::time::timeout(wait.min(MAX_LONG_POLL_WAIT), change).await;
-    mirror.news(cursor, arrived, Instant::now())
+    mirror.news(cursor, received_at, Instant::now())
 }
 
 /// Returns the reply to [`Request::Age`]: how old the copy in `mirror` is.
@@ -63,7 +63,7 @@
     Reply::Age(age.map(|a| u64::try_from(a.as_millis()).unwrap_or(u64::MAX)))
 }
 
-/// Access to the other processes.
+/// Calls to the other processes of the deployment.
 #[async_trait]
 pub trait Peers: Send + Sync {
     /// The address where this process forwards requests of other gateways, if it does.
@@ -94,7 +94,7 @@
     Failed(#[from] gradedyke_peer::Error),
     /// The reply cannot be decoded.
     #[error("the reply cannot be decoded; run the same version on all instances")]
-    NotUnderstood,
+    InvalidReply,
 }
 
 #[async_trait]
@@ -115,7 +115,7 @@
     ) -> Result<Reply, Unanswered> {
         let client = self.client(peer);
         let reply = client.call(message::encode(request), timeout).await?;
-        message::decode(&reply).ok_or(Unanswered::NotUnderstood)
+        message::decode(&reply).ok_or(Unanswered::InvalidReply)
     }
 }
 
@@ -160,9 +160,9 @@
     }
 }
 
-/// Other gateways to follow while no replica can be reached; empty otherwise. Turns go on
-/// through forwarded requests then, and API keys may be used only while the platform's
-/// service confirms them, so the copy has to stay fresh.
+/// Returns other gateways to follow while no replica can be reached directly; empty
+/// otherwise. Turns continue through forwarded requests then, but API keys are accepted only
+/// while the platform's service confirms them, so the copy has to stay fresh.
 fn neighbours(mirror: &Mirror, peers: &dyn Peers) -> Vec<SocketAddr> {
     let Some(own) = peers.own().filter(|_| peers.cut_off()) else {
         return Vec::new();
@@ -191,7 +191,7 @@
     is_neighbour: bool,
     /// Whether `feed_joined` has been logged for the source.
     is_logged: bool,
-    /// When to select a source anew; `None` for the preferred one.
+    /// When to compare sources again; `None` for the preferred one.
     reselect_at: Option<Instant>,
 }
 
@@ -215,7 +215,8 @@
     }
 }
 
-/// When to select a source anew, if `source` is not the preferred one of `candidates`.
+/// Returns when to compare sources again, unless `source` is the preferred one of
+/// `candidates`.
 fn reselect_at(candidates: &[SocketAddr], source: SocketAddr, now: Instant) -> Option<Instant> {
     let is_preferred = candidates.first() == Some(&source);
     let wait = RESELECT_INTERVAL.mul_f64(1.0 + rand::random::<f64>());
@@ -245,7 +246,7 @@
     let mut deadline = Instant::now() + CALL_TIMEOUT;
     let mut stale = None;
     while let Ok(Some((source, age))) = tokio::time::timeout_at(deadline, requests.next()).await {
-        if reader.fresh(age) {
+        if reader.is_fresh(age) {
             return Some(source);
         }
         if neighbours.contains(&source) {
@@ -274,7 +275,7 @@
 }
 
 /// Follows one source until a call fails, its copy has been stale for
-/// [`STALE_SOURCE_TIMEOUT`], or a source has to be selected anew.
+/// [`STALE_SOURCE_TIMEOUT`], or sources have to be compared again.
 async fn follow(
     mirror: &Mirror,
     peers: &dyn Peers,
@@ -286,7 +287,7 @@
     let started = Instant::now();
     loop {
         let cursor = Cursor {
-            through: mirror.through(),
+            through: mirror.complete_revision(),
             ..session.position.cursor
         };
         let request = Request::Follow {
@@ -297,7 +298,7 @@
         let sent = Instant::now();
         let update = match peers.ask(source, &request, CALL_TIMEOUT).await {
             Ok(Reply::News(update)) => update,
-            Ok(_) | Err(Unanswered::NotUnderstood) => return EndReason::InvalidReply,
+            Ok(_) | Err(Unanswered::InvalidReply) => return EndReason::InvalidReply,
             Err(Unanswered::Failed(_)) => return EndReason::NoReply,
         };
         let items = match update.items.unpack() {
@@ -308,11 +309,11 @@
             }
         };
         let age = update.age_ms.map(Duration::from_millis);
-        let is_fresh = reader.fresh(age);
+        let is_fresh = reader.is_fresh(age);
         let now = Instant::now();
         // A neighbour may itself follow this process, so its answers do not count.
         if !session.is_neighbour {
-            reader.heard(is_fresh, now);
+            reader.record_update(is_fresh, now);
         }
         let Some(items) = session.position.advance(&update, items) else {
             continue;
--- a/crates/gradedyke-turns/src/feed/reader.rs
+++ b/crates/gradedyke-turns/src/feed/reader.rs
@@ -70,12 +70,12 @@
     }
 
     /// Whether a copy of this age is fresh enough to follow.
-    pub fn fresh(&self, age: Option<Duration>) -> bool {
+    pub fn is_fresh(&self, age: Option<Duration>) -> bool {
         age.is_some_and(|age| age <= self.in_force.mul_f64(STALE_AGE_RATIO))
     }
 
     /// Records an update from a replica, and whether its copy was fresh.
-    pub fn heard(&self, is_fresh: bool, now: Instant) {
+    pub fn record_update(&self, is_fresh: bool, now: Instant) {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         state.answered_at = now;
         if is_fresh {
@@ -102,9 +102,9 @@
     /// assert_eq!(reader.need(fresh, after(2_800)), Need::Low);
     /// assert_eq!(reader.need(stale, after(2_800)), Need::High);
     /// // Replicas send stale updates.
-    /// reader.heard(false, after(3_000));
+    /// reader.record_update(false, after(3_000));
     /// assert_eq!(reader.need(stale, after(3_100)), Need::Low);
-    /// reader.heard(true, after(3_200));
+    /// reader.record_update(true, after(3_200));
     /// assert_eq!(reader.need(fresh, after(3_300)), Need::None);
     /// ```
     pub fn need(&self, age: Option<Duration>, now: Instant) -> Need {
--- a/crates/gradedyke-turns/src/message.rs
+++ b/crates/gradedyke-turns/src/message.rs
@@ -141,7 +141,7 @@
         load: Option<Vec<Busy>>,
         /// The client account's usage, if the request asked for it.
         usage: Option<Total>,
-        /// The replica's load level.
+        /// The share of attempts that the replica rejected recently.
         pressure: Pressure,
     },
     /// The record is stored.
@@ -165,7 +165,8 @@
     Failed(String),
     /// The replica is still reading its disk.
     Starting,
-    /// The replica is overloaded and did not process the request.
+    /// The replica is overloaded and did not process the request; with the share of attempts
+    /// that it rejected recently.
     Busy(Pressure),
 }
 
--- a/crates/gradedyke-turns/src/mirror.rs
+++ b/crates/gradedyke-turns/src/mirror.rs
@@ -192,7 +192,7 @@
     }
 
     /// Returns the revision up to which the copy is complete; 0 if it is incomplete.
-    pub fn through(&self) -> Revision {
+    pub fn complete_revision(&self) -> Revision {
         self.lock()
             .complete_revision(&self.prefixes)
             .unwrap_or_default()
--- a/crates/gradedyke-turns/src/mirror/follow.rs
+++ b/crates/gradedyke-turns/src/mirror/follow.rs
@@ -39,8 +39,8 @@
     pub first: Duration,
     /// Longest delay between failed calls while the need is high.
     pub patience: Duration,
-    /// Longest delay between failed calls while the need is low, if it is longer than the
-    /// one for a high need.
+    /// Longest delay between failed calls while the need is low. The delay for a high need
+    /// applies if it is longer.
     pub unhurried: Duration,
 }
 
--- a/crates/gradedyke-turns/tests/listing.rs
+++ b/crates/gradedyke-turns/tests/listing.rs
@@ -61,7 +61,7 @@
     let mut sizes = Vec::new();
     let mut items = Vec::new();
     loop {
-        cursor.through = mirror.through();
+        cursor.through = mirror.complete_revision();
         let update = source.news(cursor, now, now);
         sizes.push(encode(&Reply::News(update.clone())).len());
         cursor.boot = update.boot;
@@ -92,7 +92,11 @@
             "{instances}: {sizes:?}"
         );
         assert_eq!(contents(&mirror), contents(&source), "{instances}");
-        assert_eq!(mirror.through(), source.through(), "{instances}");
+        assert_eq!(
+            mirror.complete_revision(),
+            source.complete_revision(),
+            "{instances}"
+        );
     }
 }
 
@@ -126,7 +130,7 @@
         }
     }
     assert_eq!(contents(&mirror), contents(&source));
-    assert_eq!(mirror.through(), 5_012);
+    assert_eq!(mirror.complete_revision(), 5_012);
 }
 
 #[test]
@@ -179,7 +183,7 @@
     let second = listed_mirror(99, 300, now);
     follow(&mirror, &second, &mut Cursor::default(), now);
     assert_eq!(contents(&mirror), contents(&second));
-    assert_eq!(mirror.through(), 300);
+    assert_eq!(mirror.complete_revision(), 300);
     // A source that only loaded its copy from disk removes nothing from the follower's.
     let third = Mirror::new(&[""]);
     third.put(vec![item(3, 4)], now);
