--- a/crates/gradedyke-turns/src/archive.rs
+++ b/crates/gradedyke-turns/src/archive.rs
@@ -1,26 +1,25 @@
-//! Records on disk that are not in the index yet.
+//! Segments on disk whose records are not in the index yet.
 //!
-//! A replica that starts serves from here at once: what is asked for is read from
-//! disk when it is asked for, while all the rest is taken in one segment after the
-//! other. Reading all of it first would take 1.4 s for 107,000 records on 0.3 of a
-//! core, in which programs run out of time.
+//! A replica serves requests while it recovers: records that a request needs are read
+//! from disk on demand, and the others are indexed in the background, segment by
+//! segment. Reading all records before serving would delay requests.
 
 use std::collections::HashSet;
 
 use crate::log::{Place, Segment, Table};
 use crate::record::Id;
 
-/// Records on disk by program and by turn.
+/// Tables of the segments that are not in the index yet.
 #[derive(Debug, Default)]
 pub struct Archive {
-    /// The oldest segment first.
+    /// Sorted by segment, oldest first.
     tables: Vec<(Segment, Table)>,
-    /// Programs whose records have all been taken in.
-    taken: HashSet<Id>,
+    /// Programs whose records are all in the index.
+    indexed_programs: HashSet<Id>,
 }
 
 impl Archive {
-    /// The records that `tables` tell of, the oldest segment first.
+    /// Creates an archive from the tables of all segments, oldest first.
     ///
     /// ```
     /// use gradedyke_turns::archive::Archive;
@@ -34,48 +33,51 @@
     pub fn new(tables: Vec<(Segment, Table)>) -> Self {
         Self {
             tables,
-            taken: HashSet::new(),
+            indexed_programs: HashSet::new(),
         }
     }
 
-    /// Whether nothing is left to be taken in.
+    /// Returns whether all segments have been indexed.
     pub fn is_empty(&self) -> bool {
         self.tables.is_empty()
     }
 
-    /// The newest segment that is left. Programs under way have their records there.
+    /// Returns the newest segment that is not indexed yet. Recovery starts with it because
+    /// active programs have their records there.
     pub fn newest(&self) -> Option<Segment> {
         self.tables.last().map(|(segment, _)| *segment)
     }
 
-    /// Forgets a segment whose records have all been taken in, and with the last one
-    /// what was asked for meanwhile.
+    /// Removes a segment whose records are all in the index. Removing the last one also
+    /// clears the set of indexed programs.
     pub fn remove(&mut self, segment: Segment) {
         self.tables.retain(|(s, _)| *s != segment);
         if self.tables.is_empty() {
-            self.taken = HashSet::new();
+            self.indexed_programs = HashSet::new();
         }
     }
 
-    /// Notes that all records of a program have been taken in.
+    /// Records that all records of a program are in the index.
     pub fn note(&mut self, program: &Id) {
-        self.taken.insert(program.clone());
+        self.indexed_programs.insert(program.clone());
     }
 
-    /// Where records of a program may be that have not been taken in.
+    /// Returns the candidate locations of a program's records, or none if they are all in
+    /// the index. Records of other programs may be among them.
     pub fn program(&self, program: &Id) -> Vec<Place> {
-        if self.taken.contains(program) {
+        if self.indexed_programs.contains(program) {
             return Vec::new();
         }
         let tables = self.tables.iter();
-        let places = tables.flat_map(|(segment, table)| table.program(*segment, program));
-        places.collect()
+        let locations = tables.flat_map(|(segment, table)| table.find_program(*segment, program));
+        locations.collect()
     }
 
-    /// Where a turn may be.
+    /// Returns the candidate locations of a request's turn. Records of other requests may
+    /// be among them.
     pub fn turn(&self, request: &Id) -> Vec<Place> {
         let tables = self.tables.iter();
-        let places = tables.flat_map(|(segment, table)| table.turn(*segment, request));
-        places.collect()
+        let locations = tables.flat_map(|(segment, table)| table.find_turn(*segment, request));
+        locations.collect()
     }
 }
--- a/crates/gradedyke-turns/src/body.rs
+++ b/crates/gradedyke-turns/src/body.rs
@@ -1,10 +1,9 @@
-//! Bodies of turns in memory: the newest and those in use, up to a limit.
+//! Memory cache for turn bodies.
 //!
-//! Conversations are by far the largest part of what a replica keeps, and most
-//! of them are never read again. All are on disk; the memory holds what was
-//! written or read last. Which body goes first is decided by second chance: one
-//! that was read since its turn came is passed over once. Exact recency was
-//! given up, because it would move an entry with each read.
+//! All bodies are on disk as well; the cache holds the most recently written or read
+//! ones up to a limit. Eviction uses the second-chance algorithm: a body that was
+//! read since it was last considered for eviction is skipped once. Unlike LRU, this
+//! does not reorder an entry on each read.
 
 use std::collections::VecDeque;
 
@@ -14,53 +13,53 @@
 /// What a turn adds to its conversation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Body {
-    /// What the caller brought.
+    /// Request content sent by the caller.
     pub input: Bytes,
-    /// What the answer adds.
+    /// Content that the response adds to the conversation.
     pub output: Bytes,
 }
 
 impl Body {
-    /// Its size in bytes.
+    /// Returns the size of input and output in bytes.
     pub fn bytes(&self) -> usize {
         self.input.len() + self.output.len()
     }
 }
 
-struct Slot {
+struct Entry {
     body: Body,
-    read: bool,
+    /// Whether the body was read since it was last considered for eviction.
+    referenced: bool,
 }
 
-/// Bodies in memory, by the key of their turn.
+/// A size-limited cache of turn bodies by the key of their turn.
 pub struct Cache<K: Key> {
-    /// Only what is held takes memory here: three in four requests hold nothing.
-    /// Only bodies take memory here. By the place of the key, each request that there is
-    /// would: 80 bytes.
-    slots: SparseSecondaryMap<K, Slot>,
-    /// The order in which they go.
-    order: VecDeque<K>,
+    /// Sparse because most requests have no cached body.
+    entries: SparseSecondaryMap<K, Entry>,
+    /// Keys in the order of eviction. May contain keys without an entry.
+    eviction_queue: VecDeque<K>,
     bytes: usize,
-    limit: usize,
+    max_bytes: usize,
 }
 
 impl<K: Key> Cache<K> {
-    /// An empty cache that holds up to `limit` bytes of bodies.
-    pub fn new(limit: usize) -> Self {
+    /// Creates an empty cache for up to `max_bytes` bytes of bodies.
+    pub fn new(max_bytes: usize) -> Self {
         Self {
-            slots: SparseSecondaryMap::new(),
-            order: VecDeque::new(),
+            entries: SparseSecondaryMap::new(),
+            eviction_queue: VecDeque::new(),
             bytes: 0,
-            limit,
+            max_bytes,
         }
     }
 
-    /// Bytes of all bodies held.
+    /// Returns the size of all cached bodies in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Takes a body in; it is the last to go. Nothing goes before [`Cache::trim`].
+    /// Inserts a body at the end of the eviction queue, unless the turn has one already.
+    /// Evicts nothing; call [`Cache::evict`] afterwards.
     ///
     /// ```
     /// use gradedyke_turns::body::{Body, Cache};
@@ -69,60 +68,66 @@
     /// let (first, second) = (turns.insert("a"), turns.insert("b"));
     /// let mut cache = Cache::new(6);
     /// for turn in [first, second] {
-    ///     cache.put(turn, Body { input: "in".into(), output: "out".into() });
+    ///     cache.insert(turn, Body { input: "in".into(), output: "out".into() });
     /// }
-    /// cache.trim(|_| true);
+    /// cache.evict(|_| true);
     /// assert!(cache.get(first).is_none());
     /// assert!(cache.get(second).is_some());
     /// ```
-    pub fn put(&mut self, turn: K, body: Body) {
-        if self.slots.contains_key(turn) {
+    pub fn insert(&mut self, turn: K, body: Body) {
+        if self.entries.contains_key(turn) {
             return;
         }
         self.bytes += body.bytes();
-        self.order.push_back(turn);
-        self.slots.insert(turn, Slot { body, read: false });
+        self.eviction_queue.push_back(turn);
+        self.entries.insert(
+            turn,
+            Entry {
+                body,
+                referenced: false,
+            },
+        );
     }
 
-    /// Takes a body in that was read from disk because it is in use.
-    pub fn restore(&mut self, turn: K, body: Body) {
-        self.put(turn, body);
-        if let Some(slot) = self.slots.get_mut(turn) {
-            slot.read = true;
+    /// Inserts a body that was read from disk for a request, and marks it as referenced.
+    pub fn insert_referenced(&mut self, turn: K, body: Body) {
+        self.insert(turn, body);
+        if let Some(entry) = self.entries.get_mut(turn) {
+            entry.referenced = true;
         }
     }
 
-    /// The body of a turn, if it is held.
+    /// Returns the body of a turn and marks it as referenced, or `None` if it is not cached.
     pub fn get(&mut self, turn: K) -> Option<Body> {
-        let slot = self.slots.get_mut(turn)?;
-        slot.read = true;
-        Some(slot.body.clone())
+        let entry = self.entries.get_mut(turn)?;
+        entry.referenced = true;
+        Some(entry.body.clone())
     }
 
-    /// Forgets the body of a turn.
+    /// Removes the body of a turn.
     pub fn remove(&mut self, turn: K) {
-        // Its place in the order is passed over when it comes up.
-        if let Some(slot) = self.slots.remove(turn) {
-            self.bytes -= slot.body.bytes();
+        // The key stays in the eviction queue, and `evict` skips it.
+        if let Some(entry) = self.entries.remove(turn) {
+            self.bytes -= entry.body.bytes();
         }
     }
 
-    /// Forgets bodies until the limit is kept, as far as `stored` says that they
-    /// can be read again.
-    pub fn trim(&mut self, stored: impl Fn(K) -> bool) {
-        // Each is looked at twice at most: the first look may only unmark it.
-        let mut looks = 2 * self.order.len();
-        while self.bytes > self.limit && looks > 0 {
-            looks -= 1;
-            let Some(turn) = self.order.pop_front() else {
+    /// Evicts bodies until the size limit is met. Evicts only turns for which `is_stored`
+    /// returns true, since the others cannot be read again.
+    pub fn evict(&mut self, is_stored: impl Fn(K) -> bool) {
+        // At most two visits for each key: the first may only clear `referenced`.
+        let mut visits_left = 2 * self.eviction_queue.len();
+        while self.bytes > self.max_bytes && visits_left > 0 {
+            visits_left -= 1;
+            let Some(turn) = self.eviction_queue.pop_front() else {
                 return;
             };
-            let Some(slot) = self.slots.get_mut(turn) else {
+            let Some(entry) = self.entries.get_mut(turn) else {
                 continue;
             };
-            let kept = std::mem::take(&mut slot.read);
-            if kept || !stored(turn) {
-                self.order.push_back(turn);
+            let referenced = std::mem::take(&mut entry.referenced);
+            if referenced || !is_stored(turn) {
+                self.eviction_queue.push_back(turn);
             } else {
                 self.remove(turn);
             }
--- a/crates/gradedyke-turns/src/decay.rs
+++ b/crates/gradedyke-turns/src/decay.rs
@@ -1,37 +1,40 @@
-//! Counts that forget.
+//! Exponentially decaying counters.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// A count in which what was seen a half-life ago counts half.
+/// A counter whose value halves with each half-life that passes.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Count {
     value: f64,
-    at: Option<Instant>,
+    updated_at: Option<Instant>,
 }
 
 impl Count {
-    /// The count now.
+    /// Returns the value at `now`, for a half-life of `half_life`.
     ///
     /// ```
     /// use gradedyke_turns::decay::Count;
     /// use std::time::Duration;
     ///
-    /// let (now, half) = (tokio::time::Instant::now(), Duration::from_secs(2));
+    /// let (now, half_life) = (tokio::time::Instant::now(), Duration::from_secs(2));
     /// let mut count = Count::default();
-    /// count.add(half, now);
-    /// assert_eq!(count.at(half, now + half), 0.5);
+    /// count.add(half_life, now);
+    /// assert_eq!(count.at(half_life, now + half_life), 0.5);
     /// ```
-    pub fn at(&self, half: Duration, now: Instant) -> f64 {
-        let Some(at) = self.at else { return 0.0 };
-        let halves = now.saturating_duration_since(at).as_secs_f64() / half.as_secs_f64();
-        self.value * 0.5_f64.powf(halves)
+    pub fn at(&self, half_life: Duration, now: Instant) -> f64 {
+        let Some(updated_at) = self.updated_at else {
+            return 0.0;
+        };
+        let half_lives =
+            now.saturating_duration_since(updated_at).as_secs_f64() / half_life.as_secs_f64();
+        self.value * 0.5_f64.powf(half_lives)
     }
 
-    /// Counts one more.
-    pub fn add(&mut self, half: Duration, now: Instant) {
-        self.value = self.at(half, now) + 1.0;
-        self.at = Some(now);
+    /// Adds one to the value at `now`.
+    pub fn add(&mut self, half_life: Duration, now: Instant) {
+        self.value = self.at(half_life, now) + 1.0;
+        self.updated_at = Some(now);
     }
 }
--- a/crates/gradedyke-turns/src/index.rs
+++ b/crates/gradedyke-turns/src/index.rs
@@ -1,14 +1,16 @@
-//! What follows from the records, in memory.
+//! In-memory index of the records that a replica stores.
 //!
-//! Records may come in any order and more than once. A turn is kept as long as
-//! any turn that continues it: each use of a turn renews its whole chain. What was
-//! said in a turn is held in memory up to a limit; the rest is read from disk.
+//! Records may be applied in any order and more than once. A turn is retained at
+//! least as long as any turn that continues it: applying a turn renews the expiry of
+//! all its ancestors. Turn bodies are cached in memory up to a limit and are read
+//! from disk otherwise.
 //!
-//! Requests and programs lie in arenas and refer to each other by small keys: a
-//! name is looked up once for a record, and a chain is walked without hashing.
+//! Requests and programs are stored in slot maps and refer to each other by key, so
+//! an ID is hashed once for each record and ancestors are followed without hashing.
 //!
-//! `request` holds what is known of one request or program, `answer` makes records of it
-//! again, and `expire` forgets.
+//! - `request`: the entries for requests, programs and turns.
+//! - `answer`: rebuilds records from the index.
+//! - `expire`: removes expired entries.
 
 mod answer;
 mod expire;
@@ -25,177 +27,189 @@
 use crate::conversation::{Conversation, Part};
 use crate::log::{Place, Segment};
 use crate::record::{Id, Key, Kind, Record, Turn};
-use request::{Kept, Program, Request, Spot};
+use request::{Program, Request, TurnEntry, WriteState};
 
 pub use answer::Answer;
 
-/// Kept beyond the time asked for: a caller's clock starts when the last byte
-/// reaches it, ours when the record is applied.
-const KEEP_MARGIN: Duration = Duration::from_secs(5);
+/// Added to the requested retention time: the caller measures it from the last byte
+/// it receives, the replica from when the record is applied.
+const RETENTION_MARGIN: Duration = Duration::from_secs(5);
 
-/// What one attempt used of its program's budget.
+/// Tokens of a program's budget that one attempt reserved or used.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Attempt {
-    /// The request.
+    /// ID of the request.
     pub request: Id,
-    /// Tokens reserved, or used once it is settled.
+    /// Tokens used if `settled`, tokens reserved otherwise.
     pub tokens: u32,
-    /// Whether the use is known.
+    /// Whether the number of tokens used is known.
     pub settled: bool,
 }
 
 new_key_type! {
-    /// A request of which there are records, or which a turn continues.
+    /// Key of a request that has records, or whose turn is continued by another turn.
     pub struct RequestKey;
     struct ProgramKey;
 }
 
-/// Where in the stream of arrivals a reader stands.
+/// Position in the sequence of records in the order in which they were applied.
 pub type Position = u64;
 
-/// Bytes of conversations that a replica holds in memory: those of the last 16 s at
-/// 0.74 MB a second, of 8 s at 1.4, in which most turns are continued; a tenth of a
-/// memory of 120 MB. What is older is read from disk.
+/// Limit for the turn bodies that a replica caches in memory, in bytes. Older bodies
+/// are read from disk.
 pub const BODIES: usize = 12 << 20;
 
-/// The state of a replica.
+/// Index of a replica's records by request and program.
 pub struct Index {
     requests: SlotMap<RequestKey, Request>,
-    names: HashMap<Id, RequestKey>,
+    request_keys: HashMap<Id, RequestKey>,
     programs: SlotMap<ProgramKey, Program>,
-    program_names: HashMap<Id, ProgramKey>,
-    /// Servers that ran turns, one name for all their turns.
+    program_keys: HashMap<Id, ProgramKey>,
+    /// IDs of the backend servers that ran turns, interned so that turns share them.
     servers: HashSet<Id>,
     bodies: Cache<RequestKey>,
-    /// Turns that are kept.
-    turns: usize,
-    /// Records in the order of their arrival, for replicas that follow.
+    /// Number of turns in the index.
+    turn_count: usize,
+    /// Records in the order in which they were applied, for replicas that follow this one.
     arrivals: VecDeque<(Kind, RequestKey)>,
-    /// Position of the first of them.
-    first: Position,
-    /// Records that each segment holds.
-    live: BTreeMap<Segment, usize>,
+    /// Position of the first element of `arrivals`.
+    first_position: Position,
+    /// Number of unexpired records in each segment.
+    live_records: BTreeMap<Segment, usize>,
 }
 
 impl Index {
-    /// An empty index that holds up to `bodies` bytes of conversations in memory.
-    pub fn new(bodies: usize) -> Self {
+    /// Creates an empty index that caches up to `max_body_bytes` bytes of turn bodies.
+    pub fn new(max_body_bytes: usize) -> Self {
         Self {
             requests: SlotMap::with_key(),
-            names: HashMap::new(),
+            request_keys: HashMap::new(),
             programs: SlotMap::with_key(),
-            program_names: HashMap::new(),
+            program_keys: HashMap::new(),
             servers: HashSet::new(),
-            bodies: Cache::new(bodies),
-            turns: 0,
+            bodies: Cache::new(max_body_bytes),
+            turn_count: 0,
             arrivals: VecDeque::new(),
-            first: 0,
-            live: BTreeMap::new(),
+            first_position: 0,
+            live_records: BTreeMap::new(),
         }
     }
 
-    /// Whether a record with `key` is here.
-    pub fn has(&self, key: &Key) -> bool {
-        self.find(&key.request).is_some_and(|r| r.has(key.kind))
+    /// Returns whether the index contains the record with `key`.
+    pub fn contains(&self, key: &Key) -> bool {
+        self.find(&key.request)
+            .is_some_and(|r| r.has_record(key.kind))
     }
 
-    /// Whether a record with `key` is on disk here.
+    /// Returns whether the record with `key` is stored on this replica's disk.
     pub fn stored(&self, key: &Key) -> bool {
-        let spot = self.find(&key.request);
-        let spot = spot.and_then(|r| r.spots[key.kind as usize]);
-        spot.is_some_and(|s| s.place().is_some())
+        let request = self.find(&key.request);
+        let state = request.and_then(|r| r.write_states[key.kind as usize]);
+        state.is_some_and(|s| s.location().is_some())
     }
 
     fn find(&self, id: &Id) -> Option<&Request> {
-        self.requests.get(*self.names.get(id)?)
+        self.requests.get(*self.request_keys.get(id)?)
     }
 
-    /// The key of a request, made if it is new.
-    fn key(&mut self, id: &Id) -> RequestKey {
-        if let Some(key) = self.names.get(id) {
+    /// Returns the key of a request and inserts an empty entry if there is none.
+    fn get_or_insert_key(&mut self, id: &Id) -> RequestKey {
+        if let Some(key) = self.request_keys.get(id) {
             return *key;
         }
         let key = self.requests.insert(Request::new(id.clone()));
-        self.names.insert(id.clone(), key);
+        self.request_keys.insert(id.clone(), key);
         key
     }
 
-    /// Takes a record in that is written to `segment`. Tells whether it is new.
+    /// Applies a record that is being written to `segment`. Returns whether it is new.
     pub fn apply(&mut self, record: &Record, segment: Segment, now: Instant) -> bool {
-        self.take(record, segment, true, now)
+        self.insert_record(record, segment, true, now)
     }
 
-    /// Takes a record in that is on disk at `place`; what was said in a turn only if
-    /// it is to be held. Tells whether the record is new.
-    pub fn recover(&mut self, record: &Record, place: Place, hold: bool, now: Instant) -> bool {
-        let new = self.take(record, place.segment, hold, now);
+    /// Applies a record that is on disk at `location`. Caches the body of a turn only if
+    /// `cache_body` is set. Returns whether the record is new.
+    pub fn recover(
+        &mut self,
+        record: &Record,
+        location: Place,
+        cache_body: bool,
+        now: Instant,
+    ) -> bool {
+        let new = self.insert_record(record, location.segment, cache_body, now);
         if new {
-            self.place(&record.key(), place);
+            self.place(&record.key(), location);
         }
         new
     }
 
-    fn take(&mut self, record: &Record, segment: Segment, hold: bool, now: Instant) -> bool {
+    fn insert_record(
+        &mut self,
+        record: &Record,
+        segment: Segment,
+        cache_body: bool,
+        now: Instant,
+    ) -> bool {
         let Key { kind, request } = record.key();
-        let key = self.key(&request);
-        if self.requests[key].has(kind) {
+        let key = self.get_or_insert_key(&request);
+        if self.requests[key].has_record(kind) {
             return false;
         }
-        let until = now + record.keep() + KEEP_MARGIN;
+        let expires_at = now + record.keep() + RETENTION_MARGIN;
         match record {
             Record::Reserved(reserved) => {
-                self.attempt(&reserved.program, key, until);
+                self.add_attempt(&reserved.program, key, expires_at);
                 self.requests[key].reserved = Some(reserved.tokens);
             }
             Record::Settled(settled) => {
-                self.attempt(&settled.program, key, until);
+                self.add_attempt(&settled.program, key, expires_at);
                 self.requests[key].settled = Some(settled.tokens);
             }
             Record::Turn(turn) => {
-                self.insert(key, turn, until, now);
-                if hold {
-                    self.hold(key, turn);
+                self.insert_turn(key, turn, expires_at, now);
+                if cache_body {
+                    self.cache_body(key, turn);
                 }
             }
         }
-        self.requests[key].spots[kind as usize] = Some(Spot::Coming(segment));
-        *self.live.entry(segment).or_default() += 1;
+        self.requests[key].write_states[kind as usize] = Some(WriteState::Pending(segment));
+        *self.live_records.entry(segment).or_default() += 1;
         self.arrivals.push_back((kind, key));
         true
     }
 
-    fn insert(&mut self, key: RequestKey, turn: &Turn, until: Instant, now: Instant) {
+    fn insert_turn(&mut self, key: RequestKey, turn: &Turn, expires_at: Instant, now: Instant) {
         if let Some(program) = &turn.program {
-            self.attempt(program, key, until);
+            self.add_attempt(program, key, expires_at);
             self.requests[key].settled = Some(turn.tokens);
         }
         let program = turn.program.as_ref().and(self.requests[key].program);
-        let program = program.map(|key| self.programs[key].name.clone());
-        let server = self.server(&turn.server);
-        let parent = turn.parent.as_ref().map(|id| self.key(id));
-        self.renew(parent, now);
-        self.turns += 1;
-        self.requests[key].turn = Some(Box::new(Kept {
+        let program = program.map(|key| self.programs[key].id.clone());
+        let server = self.intern_server(&turn.server);
+        let parent = turn.parent.as_ref().map(|id| self.get_or_insert_key(id));
+        self.renew_chain(parent, now);
+        self.turn_count += 1;
+        self.requests[key].turn = Some(Box::new(TurnEntry {
             parent,
             server,
             program,
             tokens: turn.tokens,
             keep_ms: turn.keep_ms,
-            until,
+            expires_at,
         }));
     }
 
-    /// Holds what was said in a turn in memory.
-    fn hold(&mut self, key: RequestKey, turn: &Turn) {
+    /// Caches the body of a turn in memory.
+    fn cache_body(&mut self, key: RequestKey, turn: &Turn) {
         let body = Body {
             input: turn.input.clone(),
             output: turn.output.clone(),
         };
-        self.bodies.put(key, body);
+        self.bodies.insert(key, body);
     }
 
-    /// The one name of a server.
-    fn server(&mut self, id: &Id) -> Id {
+    /// Returns the interned ID of a backend server.
+    fn intern_server(&mut self, id: &Id) -> Id {
         if let Some(known) = self.servers.get(id) {
             return known.clone();
         }
@@ -203,64 +217,66 @@
         id.clone()
     }
 
-    /// Notes where a record is on disk, once that is known. From then on it need
-    /// not be in memory.
-    pub fn place(&mut self, key: &Key, place: Place) {
-        let request = self.names.get(&key.request).copied();
+    /// Sets the location of a record that has been written to disk. The body of a turn
+    /// may be evicted from memory from then on.
+    pub fn place(&mut self, key: &Key, location: Place) {
+        let request = self.request_keys.get(&key.request).copied();
         let request = request.and_then(|r| self.requests.get_mut(r));
-        let spot = request.and_then(|r| r.spots[key.kind as usize].as_mut());
-        let Some(spot) = spot else {
+        let state = request.and_then(|r| r.write_states[key.kind as usize].as_mut());
+        let Some(state) = state else {
             return;
         };
-        let before = std::mem::replace(spot, Spot::Stored(place));
-        if let Some(live) = self.live.get_mut(&before.segment()) {
-            *live -= 1;
+        let previous = std::mem::replace(state, WriteState::Stored(location));
+        if let Some(count) = self.live_records.get_mut(&previous.segment()) {
+            *count -= 1;
         }
-        *self.live.entry(place.segment).or_default() += 1;
-        self.trim();
+        *self.live_records.entry(location.segment).or_default() += 1;
+        self.evict_bodies();
     }
 
-    /// Brings a turn's body, as it was read from disk, back into memory.
+    /// Caches a turn's body that was read from disk.
     pub fn restore(&mut self, request: &Id, body: Body) {
-        let Some(key) = self.names.get(request).copied() else {
+        let Some(key) = self.request_keys.get(request).copied() else {
             return;
         };
         if self.requests[key].turn.is_some() {
-            self.bodies.restore(key, body);
-            self.trim();
+            self.bodies.insert_referenced(key, body);
+            self.evict_bodies();
         }
     }
 
-    fn trim(&mut self) {
+    fn evict_bodies(&mut self) {
         let requests = &self.requests;
-        let stored = |key: RequestKey| {
-            let spot = requests.get(key).and_then(|r| r.spots[Kind::Turn as usize]);
-            spot.is_some_and(|s| s.place().is_some())
+        let is_stored = |key: RequestKey| {
+            let request = requests.get(key);
+            let state = request.and_then(|r| r.write_states[Kind::Turn as usize]);
+            state.is_some_and(|s| s.location().is_some())
         };
-        self.bodies.trim(stored);
+        self.bodies.evict(is_stored);
     }
 
-    /// Bytes of conversations in memory.
+    /// Returns the size of the cached turn bodies in bytes.
     pub fn body_bytes(&self) -> usize {
         self.bodies.bytes()
     }
 
-    /// Counts a request as an attempt of a program, until then.
-    fn attempt(&mut self, program: &Id, request: RequestKey, until: Instant) {
-        let key = match self.program_names.get(program) {
+    /// Adds a request to a program's attempts, and retains the program at least until
+    /// `expires_at`.
+    fn add_attempt(&mut self, program: &Id, request: RequestKey, expires_at: Instant) {
+        let key = match self.program_keys.get(program) {
             Some(key) => *key,
             None => {
                 let key = self.programs.insert(Program {
-                    name: program.clone(),
+                    id: program.clone(),
                     attempts: Vec::new(),
-                    until,
+                    expires_at,
                 });
-                self.program_names.insert(program.clone(), key);
+                self.program_keys.insert(program.clone(), key);
                 key
             }
         };
         let program = &mut self.programs[key];
-        program.until = program.until.max(until);
+        program.expires_at = program.expires_at.max(expires_at);
         let owner = &mut self.requests[request].program;
         if owner.is_none() {
             *owner = Some(key);
@@ -268,18 +284,18 @@
         }
     }
 
-    /// Keeps a turn and all it continues for their whole time from `now`.
-    fn renew(&mut self, mut next: Option<RequestKey>, now: Instant) {
+    /// Restarts the retention time of a turn and its ancestors at `now`.
+    fn renew_chain(&mut self, mut next: Option<RequestKey>, now: Instant) {
         while let Some(turn) = next.and_then(|key| self.requests[key].turn.as_mut()) {
-            let keep = Duration::from_millis(turn.keep_ms.into());
-            turn.until = now + keep + KEEP_MARGIN;
+            let retention = Duration::from_millis(turn.keep_ms.into());
+            turn.expires_at = now + retention + RETENTION_MARGIN;
             next = turn.parent;
         }
     }
 
-    /// The attempts of a program.
+    /// Returns the attempts of a program, or none if the program is unknown.
     pub fn attempts(&self, program: &Id) -> Vec<Attempt> {
-        let Some(program) = self.program_names.get(program) else {
+        let Some(program) = self.program_keys.get(program) else {
             return Vec::new();
         };
         let requests = self.programs[*program].attempts.iter();
@@ -292,14 +308,15 @@
         requests.map(attempt).collect()
     }
 
-    /// Whether a turn and all it continues are here.
+    /// Returns whether the index contains a turn and all its ancestors.
     pub fn has_chain(&self, id: &Id) -> bool {
         self.missing(id).is_none()
     }
 
-    /// The first of a turn and all it continues that is not here.
+    /// Returns the first of a turn and its ancestors, newest first, that the index does
+    /// not contain.
     pub fn missing(&self, id: &Id) -> Option<Id> {
-        let Some(mut key) = self.names.get(id).copied() else {
+        let Some(mut key) = self.request_keys.get(id).copied() else {
             return Some(id.clone());
         };
         loop {
@@ -311,9 +328,10 @@
         }
     }
 
-    /// The conversation up to and with a turn, if all of it is here.
+    /// Returns the conversation up to and including a turn, or `None` if a turn of it is
+    /// missing.
     pub fn conversation(&mut self, id: &Id) -> Option<Conversation> {
-        let last = *self.names.get(id)?;
+        let last = *self.request_keys.get(id)?;
         let server = self.requests[last].turn.as_ref()?.server.clone();
         let mut parts = Vec::new();
         let mut next = Some(last);
@@ -330,24 +348,24 @@
         if let Some(body) = self.bodies.get(key) {
             return Some(Part::Held(body));
         }
-        let spot = self.requests[key].spots[Kind::Turn as usize]?;
-        spot.place().map(Part::Stored)
+        let state = self.requests[key].write_states[Kind::Turn as usize]?;
+        state.location().map(Part::Stored)
     }
 
-    /// The position after the last arrival.
+    /// Returns the position after the last applied record.
     pub fn end(&self) -> Position {
-        self.first + self.arrivals.len() as u64
+        self.first_position + self.arrivals.len() as u64
     }
 
-    /// Up to `most` keys that arrived from `from` on, and the position after
-    /// them. Positions before the first that is remembered start there: what
-    /// was forgotten has expired.
-    pub fn arrived(&self, from: Position, most: usize) -> (Vec<Key>, Position) {
-        let from = from.clamp(self.first, self.end());
-        let skip = usize::try_from(from - self.first).unwrap_or(usize::MAX);
-        let page = self.arrivals.iter().skip(skip).take(most);
+    /// Returns the keys of up to `limit` records from position `from` on, without those
+    /// that have expired, and the position after them. A `from` before the first known
+    /// position starts at that one: all records before it have expired.
+    pub fn arrived(&self, from: Position, limit: usize) -> (Vec<Key>, Position) {
+        let from = from.clamp(self.first_position, self.end());
+        let skip = usize::try_from(from - self.first_position).unwrap_or(usize::MAX);
+        let page = self.arrivals.iter().skip(skip).take(limit);
         let next = from + page.len() as u64;
-        // What has expired among them is passed over.
+        // Requests that have been removed are skipped.
         let keys = page.filter_map(|(kind, key)| {
             let request = self.requests.get(*key)?.id.clone();
             Some(Key {
@@ -358,13 +376,13 @@
         (keys.collect(), next)
     }
 
-    /// Forgets a segment that was removed from the disk.
+    /// Stops tracking a segment that was removed from disk.
     pub fn removed(&mut self, segment: Segment) {
-        self.live.remove(&segment);
+        self.live_records.remove(&segment);
     }
 
-    /// Turns and programs that are kept.
+    /// Returns the number of turns and the number of programs in the index.
     pub fn sizes(&self) -> (usize, usize) {
-        (self.turns, self.programs.len())
+        (self.turn_count, self.programs.len())
     }
 }
--- a/crates/gradedyke-turns/src/index/answer.rs
+++ b/crates/gradedyke-turns/src/index/answer.rs
@@ -1,4 +1,4 @@
-//! Records as they follow from the index, for replicas that fetch them.
+//! Rebuilds records from the index, for replicas that fetch them.
 
 use tokio::time::Instant;
 
@@ -8,59 +8,60 @@
 use crate::log::Place;
 use crate::record::{Id, Key, Kind, Record, Reserved, Settled, Turn};
 
-/// A record that was asked for.
+/// A record found in the index.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// It follows from what is in memory.
+    /// The record, rebuilt from memory.
     Held(Record),
-    /// It is on disk only.
+    /// The location of a record that is only on disk.
     Stored(Place),
 }
 
 impl Index {
-    /// The record of a key, if it is here. What it says of how long it is kept counts from
-    /// `now`.
+    /// Returns the record with `key`, or `None` if the index does not contain it. The
+    /// retention time of a reservation or settlement is what is left of it at `now`.
     pub fn record(&mut self, key: &Key, now: Instant) -> Option<Answer> {
-        let request = *self.names.get(&key.request)?;
+        let request = *self.request_keys.get(&key.request)?;
         match key.kind {
-            Kind::Turn => self.turn(request),
-            Kind::Reserved => self.reserved(request, now).map(Answer::Held),
-            Kind::Settled => self.settled(request, now).map(Answer::Held),
+            Kind::Turn => self.turn_record(request),
+            Kind::Reserved => self.reserved_record(request, now).map(Answer::Held),
+            Kind::Settled => self.settled_record(request, now).map(Answer::Held),
         }
     }
 
-    fn turn(&mut self, key: RequestKey) -> Option<Answer> {
+    fn turn_record(&mut self, key: RequestKey) -> Option<Answer> {
         let part = self.part(key)?;
         let request = &self.requests[key];
-        let kept = request.turn.as_ref()?;
+        let turn = request.turn.as_ref()?;
         let body = match part {
             Part::Held(body) => body,
-            Part::Stored(place) => return Some(Answer::Stored(place)),
+            Part::Stored(location) => return Some(Answer::Stored(location)),
         };
-        let parent = kept.parent.map(|key| self.requests[key].id.clone());
+        let parent = turn.parent.map(|key| self.requests[key].id.clone());
         Some(Answer::Held(Record::Turn(Turn {
             request: request.id.clone(),
             parent,
             input: body.input,
             output: body.output,
-            server: kept.server.clone(),
-            program: kept.program.clone(),
-            tokens: kept.tokens,
-            keep_ms: kept.keep_ms,
+            server: turn.server.clone(),
+            program: turn.program.clone(),
+            tokens: turn.tokens,
+            keep_ms: turn.keep_ms,
         })))
     }
 
-    /// The name of an attempt's program, and how long its attempts count still.
-    fn owner(&self, request: &Request, now: Instant) -> Option<(Id, u32)> {
+    /// Returns the ID of a request's program and the program's remaining retention time
+    /// in milliseconds.
+    fn program_retention(&self, request: &Request, now: Instant) -> Option<(Id, u32)> {
         let program = &self.programs[request.program?];
-        let left = program.until.saturating_duration_since(now);
+        let left = program.expires_at.saturating_duration_since(now);
         let keep_ms = u32::try_from(left.as_millis()).unwrap_or(u32::MAX);
-        Some((program.name.clone(), keep_ms))
+        Some((program.id.clone(), keep_ms))
     }
 
-    fn reserved(&self, key: RequestKey, now: Instant) -> Option<Record> {
+    fn reserved_record(&self, key: RequestKey, now: Instant) -> Option<Record> {
         let request = &self.requests[key];
-        let (program, keep_ms) = self.owner(request, now)?;
+        let (program, keep_ms) = self.program_retention(request, now)?;
         Some(Record::Reserved(Reserved {
             program,
             request: request.id.clone(),
@@ -69,9 +70,9 @@
         }))
     }
 
-    fn settled(&self, key: RequestKey, now: Instant) -> Option<Record> {
+    fn settled_record(&self, key: RequestKey, now: Instant) -> Option<Record> {
         let request = &self.requests[key];
-        let (program, keep_ms) = self.owner(request, now)?;
+        let (program, keep_ms) = self.program_retention(request, now)?;
         Some(Record::Settled(Settled {
             program,
             request: request.id.clone(),
--- a/crates/gradedyke-turns/src/index/expire.rs
+++ b/crates/gradedyke-turns/src/index/expire.rs
@@ -1,48 +1,50 @@
-//! Forgetting what has expired.
+//! Removal of expired entries.
 
 use std::collections::{BTreeMap, HashSet};
 
 use tokio::time::Instant;
 
-use super::request::{Kept, Spot};
+use super::request::{TurnEntry, WriteState};
 use super::{Index, RequestKey};
 use crate::log::Segment;
 use crate::record::{Id, Kind};
 
 impl Index {
-    /// Forgets what has expired and returns the segments that hold nothing any
-    /// more.
+    /// Removes what has expired and returns the segments without unexpired records.
     pub fn expire(&mut self, now: Instant) -> Vec<Segment> {
         self.expire_turns(now);
         self.expire_programs(now);
-        self.remove_empty();
+        self.remove_unreferenced();
         while self.arrivals.front().is_some_and(|(kind, key)| {
             let request = self.requests.get(*key);
-            !request.is_some_and(|r| r.has(*kind))
+            !request.is_some_and(|r| r.has_record(*kind))
         }) {
             self.arrivals.pop_front();
-            self.first += 1;
+            self.first_position += 1;
         }
-        let empty = self.live.iter().filter(|(_, live)| **live == 0);
+        let empty = self.live_records.iter().filter(|(_, count)| **count == 0);
         empty.map(|(segment, _)| *segment).collect()
     }
 
     fn expire_turns(&mut self, now: Instant) {
         for (key, request) in &mut self.requests {
-            if request.turn.as_ref().is_some_and(|t| t.until <= now) {
+            if request.turn.as_ref().is_some_and(|t| t.expires_at <= now) {
                 request.turn = None;
-                self.turns -= 1;
+                self.turn_count -= 1;
                 self.bodies.remove(key);
-                forget(&mut self.live, &mut request.spots[Kind::Turn as usize]);
+                release(
+                    &mut self.live_records,
+                    &mut request.write_states[Kind::Turn as usize],
+                );
             }
         }
     }
 
     fn expire_programs(&mut self, now: Instant) {
         let programs = &mut self.programs;
-        let (requests, live) = (&mut self.requests, &mut self.live);
-        self.program_names.retain(|_, key| {
-            if programs[*key].until > now {
+        let (requests, live_records) = (&mut self.requests, &mut self.live_records);
+        self.program_keys.retain(|_, key| {
+            if programs[*key].expires_at > now {
                 return true;
             }
             for attempt in programs.remove(*key).into_iter().flat_map(|p| p.attempts) {
@@ -50,39 +52,47 @@
                 request.program = None;
                 request.reserved = None;
                 request.settled = None;
-                forget(live, &mut request.spots[Kind::Reserved as usize]);
-                forget(live, &mut request.spots[Kind::Settled as usize]);
+                release(
+                    live_records,
+                    &mut request.write_states[Kind::Reserved as usize],
+                );
+                release(
+                    live_records,
+                    &mut request.write_states[Kind::Settled as usize],
+                );
             }
             false
         });
     }
 
-    fn kept(&self) -> impl Iterator<Item = &Kept> {
+    fn turns(&self) -> impl Iterator<Item = &TurnEntry> {
         self.requests.values().filter_map(|r| r.turn.as_deref())
     }
 
-    /// Removes requests of which there is nothing, unless a turn continues them.
-    fn remove_empty(&mut self) {
-        let continued: HashSet<RequestKey> = self.kept().filter_map(|t| t.parent).collect();
-        let used: HashSet<Id> = self.kept().map(|t| t.server.clone()).collect();
+    /// Removes requests that have no records and no program, unless a turn continues
+    /// them, and backend server IDs that no turn uses.
+    fn remove_unreferenced(&mut self) {
+        let continued: HashSet<RequestKey> = self.turns().filter_map(|t| t.parent).collect();
+        let used: HashSet<Id> = self.turns().map(|t| t.server.clone()).collect();
         self.servers.retain(|id| used.contains(id));
-        let names = &mut self.names;
+        let request_keys = &mut self.request_keys;
         self.requests.retain(|key, request| {
-            let keep = !request.is_empty() || request.program.is_some() || continued.contains(&key);
-            if !keep {
-                names.remove(&request.id);
+            let retain =
+                !request.is_empty() || request.program.is_some() || continued.contains(&key);
+            if !retain {
+                request_keys.remove(&request.id);
             }
-            keep
+            retain
         });
     }
 }
 
-/// Counts a record out of its segment.
-fn forget(live: &mut BTreeMap<Segment, usize>, spot: &mut Option<Spot>) {
-    let Some(spot) = spot.take() else {
+/// Clears the write state of a record and decrements the record count of its segment.
+fn release(live_records: &mut BTreeMap<Segment, usize>, state: &mut Option<WriteState>) {
+    let Some(state) = state.take() else {
         return;
     };
-    if let Some(live) = live.get_mut(&spot.segment()) {
-        *live -= 1;
+    if let Some(count) = live_records.get_mut(&state.segment()) {
+        *count -= 1;
     }
 }
--- a/crates/gradedyke-turns/src/index/request.rs
+++ b/crates/gradedyke-turns/src/index/request.rs
@@ -1,4 +1,4 @@
-//! What is known of one request, and of one program.
+//! Entries of the index: requests, programs and turns.
 
 use tokio::time::Instant;
 
@@ -6,44 +6,46 @@
 use crate::log::{Place, Segment};
 use crate::record::{Id, Kind};
 
-/// Where a record is.
+/// Whether a record has been written to disk, and where.
 #[derive(Clone, Copy)]
-pub(super) enum Spot {
-    /// It is being written to this segment.
-    Coming(Segment),
-    /// It is on disk.
+pub(super) enum WriteState {
+    /// The record is being written to this segment.
+    Pending(Segment),
+    /// The record is on disk at this location.
     Stored(Place),
 }
 
-impl Spot {
+impl WriteState {
     pub(super) fn segment(self) -> Segment {
         match self {
-            Self::Coming(segment) => segment,
-            Self::Stored(place) => place.segment,
+            Self::Pending(segment) => segment,
+            Self::Stored(location) => location.segment,
         }
     }
 
-    pub(super) fn place(self) -> Option<Place> {
+    pub(super) fn location(self) -> Option<Place> {
         match self {
-            Self::Coming(_) => None,
-            Self::Stored(place) => Some(place),
+            Self::Pending(_) => None,
+            Self::Stored(location) => Some(location),
         }
     }
 }
 
-/// What the records of one request say.
+/// Contents of the records of one request.
 pub(super) struct Request {
     pub(super) id: Id,
     pub(super) program: Option<ProgramKey>,
+    /// Tokens reserved.
     pub(super) reserved: Option<u32>,
+    /// Tokens used.
     pub(super) settled: Option<u32>,
-    pub(super) turn: Option<Box<Kept>>,
-    /// Where its records are, by kind.
-    pub(super) spots: [Option<Spot>; KINDS],
+    pub(super) turn: Option<Box<TurnEntry>>,
+    /// Write states of the request's records, indexed by [`Kind`].
+    pub(super) write_states: [Option<WriteState>; KIND_COUNT],
 }
 
-/// Kinds of record.
-const KINDS: usize = 3;
+/// Number of variants of [`Kind`].
+const KIND_COUNT: usize = 3;
 
 impl Request {
     pub(super) fn new(id: Id) -> Self {
@@ -53,31 +55,32 @@
             reserved: None,
             settled: None,
             turn: None,
-            spots: [None; KINDS],
+            write_states: [None; KIND_COUNT],
         }
     }
 
-    pub(super) fn has(&self, kind: Kind) -> bool {
-        self.spots[kind as usize].is_some()
+    pub(super) fn has_record(&self, kind: Kind) -> bool {
+        self.write_states[kind as usize].is_some()
     }
 
     pub(super) fn is_empty(&self) -> bool {
-        self.spots.iter().all(Option::is_none)
+        self.write_states.iter().all(Option::is_none)
     }
 }
 
+/// A program and the requests that are attempts of it.
 pub(super) struct Program {
-    pub(super) name: Id,
+    pub(super) id: Id,
     pub(super) attempts: Vec<RequestKey>,
-    pub(super) until: Instant,
+    pub(super) expires_at: Instant,
 }
 
-/// A turn without what was said in it.
-pub(super) struct Kept {
+/// A turn without its body.
+pub(super) struct TurnEntry {
     pub(super) parent: Option<RequestKey>,
     pub(super) server: Id,
     pub(super) program: Option<Id>,
     pub(super) tokens: u32,
     pub(super) keep_ms: u32,
-    pub(super) until: Instant,
+    pub(super) expires_at: Instant,
 }
--- a/crates/gradedyke-turns/src/lib.rs
+++ b/crates/gradedyke-turns/src/lib.rs
@@ -1,34 +1,32 @@
-//! Conversation turns and token budgets, kept on several disks.
+//! Replicated storage for conversation turns and token budgets.
 //!
-//! A program is a tree of turns: each turn names the one it continues, and
-//! several may continue the same one. What has to outlast any process is, for
-//! each turn, its input and its answer, and for each program the tokens its
-//! attempts may have used. Both are records that never change once written:
-//! a turn is named by its request, and an attempt's use only goes from reserved
-//! to settled. So copies need no order among them, and no process has to be the
-//! owner of a program. Whoever serves a turn writes its records to all members
-//! of the [`view`] and goes on when a majority has them on disk; any two
-//! majorities share a member, so a reservation is seen by every later one.
+//! A program is a tree of turns: each turn names the turn it continues, and several
+//! turns may continue the same one. The replicas store the input and output of each
+//! turn, and the tokens that each attempt of a program reserved or used. Records are
+//! immutable: a turn is identified by its request, and an attempt goes from reserved
+//! to settled. Replicas may therefore receive records in any order, and a program
+//! needs no leader. An `entry` writes the records of a turn to all members of the
+//! [`view`] and continues when a majority has synced them to disk. Two majorities
+//! always share a member, so later reservations see every earlier one.
 //!
-//! Weighed against a log with one owner for each program ([`gradedyke_journal`]
-//! in this repository): the owner is a hop more for each turn, and each of its
-//! deaths costs a takeover before the next turn. Given up: with two
-//! reservations at the same moment each may count the other, so the last turns
-//! of a budget can be refused to both.
+//! Compared with a log that has one owner for each program ([`gradedyke_journal`]),
+//! this saves a hop for each turn and a takeover when an owner fails. The drawback:
+//! two concurrent reservations may each count the other, so that both are refused
+//! near the end of a budget.
 //!
-//! - [`record`]: the records; [`message`]: what processes ask of a replica.
-//! - [`log`]: records on a disk; [`index`]: what follows from them;
-//!   [`body`]: what was said, as far as it is in memory; [`conversation`]: all of
-//!   it up to a turn.
-//! - [`desk`] and [`replica`]: the answering side; [`archive`] and [`recovery`]: how it serves
-//!   before it has read its disk; [`sync`]: replicas bring each other up to date; [`tally`]
-//!   and [`backlog`]: what one is asked, and has begun; [`pressure`]: how it
-//!   keeps up; [`decay`]: counts that forget.
-//! - [`view`]: who the replicas are; [`membership`]: how that changes.
-//! - [`quorum`]: the asking side; [`detour`]: ways around a cut;
-//!   [`load`]: how busy backend servers are; [`usage`]: what client accounts have had.
-//! - [`mirror`]: a copy of the platform's service; [`feed`]: how it spreads;
-//!   [`snapshot`]: its copy on disk.
+//! - [`record`]: the records; [`message`]: requests to a replica and their replies.
+//! - [`log`]: the records on disk; [`index`]: the records in memory; [`body`]: cache
+//!   of turn bodies; [`conversation`]: all turns up to a given one.
+//! - [`desk`] and [`replica`]: the server side; [`archive`] and [`recovery`]: serving
+//!   requests before all records on disk are indexed; [`sync`]: replication between
+//!   replicas; [`tally`] and [`backlog`]: statistics of received and in-flight requests;
+//!   [`pressure`]: load feedback to callers; [`decay`]: decaying counters.
+//! - [`view`]: the set of replicas; [`membership`]: changes of the view.
+//! - [`quorum`]: the client side; [`detour`]: forwarding around broken network links;
+//!   [`load`]: load of the backend servers; [`usage`]: usage of the client accounts.
+//! - [`mirror`]: a local copy of the platform's key-value service; [`feed`]: updates of
+//!   the mirror from a replica; [`snapshot`]: the mirror and the usage of client accounts
+//!   on disk.
 //!
 //! [`gradedyke_journal`]: https://docs.rs/gradedyke-journal
 
--- a/crates/gradedyke-turns/src/log/mod.rs
+++ b/crates/gradedyke-turns/src/log/mod.rs
@@ -1,16 +1,14 @@
-//! Records on a disk: files that are only appended to, in segments.
+//! Append-only log of records on disk, split into segment files.
 //!
-//! One thread writes. It takes all records that wait, writes them, syncs once
-//! and answers them all, so that a sync's cost is shared. A record stands
-//! behind its length and checksum. A power loss leaves what was synced, and any
-//! part of what was not; reading stops at the first record that is not whole,
-//! and the rest is cut off before anything is appended. redb was not taken
-//! here: its commits write several pages for each of our small records.
+//! A single thread writes. It takes all queued records, writes them, syncs once and
+//! replies to all callers (group commit). Each record is preceded by its length and
+//! checksum. A power loss may leave a partial record at the end of a segment; reading
+//! stops at the first incomplete or corrupt record. Each start begins a new segment, so
+//! nothing is appended after one.
 //!
-//! Beside each segment that is no longer written stands a [`Table`] of where its
-//! records are, so that a start reads no more than the tables and the last
-//! segment, however long the history is. A table that is missing or torn is made
-//! anew from its segment.
+//! Each segment that is no longer written has a [`Table`] file with the locations of
+//! its records, so that a start reads only the tables and the last segment. A missing
+//! or corrupt table is rebuilt from its segment.
 
 mod outline;
 mod table;
@@ -27,132 +25,135 @@
 
 pub use self::outline::Outline;
 pub use self::table::Table;
-use self::writer::{Saver, Wait, Writer};
+use self::writer::{PendingWrite, TableSaver, Writer};
 use crate::record::Record;
 
-/// A segment's number; later ones are greater.
+/// A segment number. Newer segments have greater numbers.
 pub type Segment = u32;
 
-/// Where a record is on disk.
+/// Location of a record on disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Place {
-    /// Its segment.
+    /// Segment that contains the record.
     pub segment: Segment,
-    /// Where it begins there, in bytes; a segment ends long before four gigabytes.
-    pub at: u32,
-    /// Its bytes, with length and checksum.
-    pub bytes: u32,
+    /// Offset of the record's header in the segment, in bytes.
+    pub offset: u32,
+    /// Length of the record with its header, in bytes.
+    pub len: u32,
 }
 
-/// Bytes after which a new segment is begun. The last segment is read whole at the
-/// start, in 17 ms from a disk of 120 MB a second; shorter ones would make more
-/// files to look in.
-const SEGMENT_BYTES: usize = 2 << 20;
-/// Records that may wait for the thread.
-const QUEUE: usize = 4_096;
-/// Bytes of length and checksum in front of a record.
-const HEAD: usize = 8;
-/// Longest record that is believed when reading.
-const RECORD_BYTES: usize = 64 << 20;
+/// Size in bytes above which a new segment is started. A start reads the last segment
+/// whole, so larger segments slow it down; smaller ones make more files to search.
+const SEGMENT_ROTATION_BYTES: usize = 2 << 20;
+/// Maximum number of records queued for the writer thread.
+const WRITE_QUEUE_LEN: usize = 4_096;
+/// Size of a record's header, its length and checksum, in bytes.
+const RECORD_HEADER_BYTES: usize = 8;
+/// Maximum length of a record body in bytes. A greater length is treated as corruption.
+const MAX_RECORD_BYTES: usize = 64 << 20;
 
-/// What the log fails with.
+/// Errors of the log.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The folder cannot be used.
-    #[error("the data folder {0} cannot be used ({1}); check that it exists and has space")]
+    /// The data folder cannot be read or written.
+    #[error("cannot use data folder {0} ({1}); check that it exists and has free space")]
     Folder(PathBuf, io::Error),
-    /// A record cannot be read back.
-    #[error("a record cannot be read back ({0}); check the disk, other replicas have it")]
+    /// A record cannot be read.
+    #[error("cannot read a record from the log ({0}); check the disk; other replicas have copies")]
     Read(io::Error),
-    /// A write failed; the process must start again to know what is kept.
-    #[error("the disk failed a write; nothing more is kept until the process is restarted")]
+    /// A write failed. What is on disk is unknown until the process is restarted.
+    #[error("cannot write to the log; no more records are stored until the process is restarted")]
     Write,
 }
 
-/// An open log. Clones share it.
+/// Handle to an open log. Clones share the log.
 #[derive(Clone)]
 pub struct Log {
-    queue: mpsc::Sender<Wait>,
-    active: Arc<AtomicU32>,
+    queue: mpsc::Sender<PendingWrite>,
+    active_segment: Arc<AtomicU32>,
     folder: Arc<Path>,
-    saved: watch::Receiver<usize>,
+    saved_tables: watch::Receiver<usize>,
 }
 
-fn path(folder: &Path, segment: Segment) -> PathBuf {
+fn segment_path(folder: &Path, segment: Segment) -> PathBuf {
     folder.join(format!("turns-{segment:08}.log"))
 }
 
-fn segments(folder: &Path) -> io::Result<Vec<Segment>> {
-    let mut found = Vec::new();
+/// Lists the segments in `folder`, oldest first.
+fn list_segments(folder: &Path) -> io::Result<Vec<Segment>> {
+    let mut segments = Vec::new();
     for entry in fs::read_dir(folder)? {
         let name = entry?.file_name();
         let name = name.to_string_lossy();
         let number = name
             .strip_prefix("turns-")
             .and_then(|n| n.strip_suffix(".log"));
-        found.extend(number.and_then(|n| n.parse::<Segment>().ok()));
+        segments.extend(number.and_then(|n| n.parse::<Segment>().ok()));
     }
-    found.sort_unstable();
-    Ok(found)
+    segments.sort_unstable();
+    Ok(segments)
 }
 
-/// Makes names in `folder` last through a loss of power.
+/// Syncs a directory, so that files created or renamed in it survive a power loss.
 ///
 /// # Errors
 ///
-/// Those of the operating system.
+/// Returns the error of the operating system.
 pub fn sync_folder(folder: &Path) -> io::Result<()> {
     File::open(folder)?.sync_all()
 }
 
-/// Passes the bytes of each whole record at the start of `bytes` to `found`, with
-/// where it begins and its length in the file, until `found` refuses one; returns
-/// how long they are together.
-fn parse(bytes: &[u8], mut found: impl FnMut(&[u8], usize, usize) -> Option<()>) -> usize {
-    let mut at = 0;
-    while let Some(body) = parse_one(&bytes[at..]) {
-        let length = HEAD + body.len();
-        if found(body, at, length).is_none() {
+/// Calls `visit` for each complete record from the start of `bytes` on, with the
+/// record's body, its offset and its length with the header. Stops at the first record
+/// that is incomplete or corrupt, or for which `visit` returns `None`. Returns the
+/// offset at which it stopped.
+fn parse_records(bytes: &[u8], mut visit: impl FnMut(&[u8], usize, usize) -> Option<()>) -> usize {
+    let mut offset = 0;
+    while let Some(body) = parse_record(&bytes[offset..]) {
+        let len = RECORD_HEADER_BYTES + body.len();
+        if visit(body, offset, len).is_none() {
             break;
         }
-        at += length;
+        offset += len;
     }
-    at
+    offset
 }
 
-/// The bytes of the record at the start of `bytes`, if it is whole.
-fn parse_one(bytes: &[u8]) -> Option<&[u8]> {
-    let head = bytes.get(..HEAD)?;
-    let length = u32::from_le_bytes(head[..4].try_into().ok()?) as usize;
-    let sum = u32::from_le_bytes(head[4..].try_into().ok()?);
-    if length == 0 || length > RECORD_BYTES {
+/// Returns the body of the record at the start of `bytes`, or `None` if the record is
+/// incomplete or corrupt.
+fn parse_record(bytes: &[u8]) -> Option<&[u8]> {
+    let header = bytes.get(..RECORD_HEADER_BYTES)?;
+    let len = u32::from_le_bytes(header[..4].try_into().ok()?) as usize;
+    let checksum = u32::from_le_bytes(header[4..].try_into().ok()?);
+    if len == 0 || len > MAX_RECORD_BYTES {
         return None;
     }
-    let body = bytes.get(HEAD..HEAD + length)?;
-    (crc32fast::hash(body) == sum).then_some(body)
+    let body = bytes.get(RECORD_HEADER_BYTES..RECORD_HEADER_BYTES + len)?;
+    (crc32fast::hash(body) == checksum).then_some(body)
 }
 
-fn decode(body: &[u8]) -> Option<Record> {
+fn decode_record(body: &[u8]) -> Option<Record> {
     postcard::from_bytes(body).ok()
 }
 
-fn encode(record: &Record) -> Vec<u8> {
+/// Encodes a record with its header.
+fn encode_record(record: &Record) -> Vec<u8> {
     let body = postcard::to_stdvec(record).unwrap_or_default();
-    let length = u32::try_from(body.len()).unwrap_or_default();
-    let mut bytes = Vec::with_capacity(HEAD + body.len());
-    bytes.extend_from_slice(&length.to_le_bytes());
+    let len = u32::try_from(body.len()).unwrap_or_default();
+    let mut bytes = Vec::with_capacity(RECORD_HEADER_BYTES + body.len());
+    bytes.extend_from_slice(&len.to_le_bytes());
     bytes.extend_from_slice(&crc32fast::hash(&body).to_le_bytes());
     bytes.extend_from_slice(&body);
     bytes
 }
 
 impl Log {
-    /// Opens the log in `folder`, which must exist, and tells where the records in
-    /// it are, the oldest segment first.
+    /// Opens the log in `folder`, which must exist. Returns the log and the tables of its
+    /// segments, oldest first.
     ///
     /// # Errors
     ///
-    /// [`Error::Folder`] when it cannot be read or written.
+    /// Returns [`Error::Folder`] if the folder cannot be read or written.
     ///
     /// ```
     /// let folder = tempfile::tempdir().unwrap();
@@ -161,105 +162,104 @@
     /// ```
     pub fn open(folder: &Path) -> Result<(Self, Vec<(Segment, Table)>), Error> {
         let wrap = |e| Error::Folder(folder.to_owned(), e);
-        let numbers = segments(folder).map_err(wrap)?;
-        // A new segment is begun at each start, so a torn end is never appended
-        // to and nothing has to be cut.
-        let next = numbers.last().map_or(1, |n| n + 1);
-        let saver = Saver::new(folder);
+        let segments = list_segments(folder).map_err(wrap)?;
+        // Each start begins a new segment, so nothing is appended after a partial
+        // record and nothing has to be truncated.
+        let next = segments.last().map_or(1, |n| n + 1);
+        let saver = TableSaver::new(folder);
         let mut tables = Vec::new();
-        for number in numbers {
-            let table = table(folder, number, &saver).map_err(wrap)?;
-            tables.extend(table.map(|t| (number, t)));
+        for segment in segments {
+            let table = load_or_build_table(folder, segment, &saver).map_err(wrap)?;
+            tables.extend(table.map(|t| (segment, t)));
         }
-        let file = create(folder, next).map_err(wrap)?;
-        let (queue, waiting) = mpsc::channel(QUEUE);
-        let active = Arc::new(AtomicU32::new(next));
-        let saved = saver.saved();
-        let writer = Writer::new(folder, file, active.clone(), saver);
+        let file = create_segment(folder, next).map_err(wrap)?;
+        let (queue, pending) = mpsc::channel(WRITE_QUEUE_LEN);
+        let active_segment = Arc::new(AtomicU32::new(next));
+        let saved_tables = saver.saved_count();
+        let writer = Writer::new(folder, file, active_segment.clone(), saver);
         std::thread::Builder::new()
             .name("turn-log".to_owned())
-            .spawn(move || writer.run(waiting))
+            .spawn(move || writer.run(pending))
             .map_err(wrap)?;
         let log = Self {
             queue,
-            active,
+            active_segment,
             folder: folder.into(),
-            saved,
+            saved_tables,
         };
         Ok((log, tables))
     }
 
-    /// The segment that is written now.
+    /// Returns the number of the segment that is being written.
     pub fn segment(&self) -> Segment {
-        self.active.load(Ordering::Acquire)
+        self.active_segment.load(Ordering::Acquire)
     }
 
-    /// How many tables were written beside segments since the log was opened. They are
-    /// written beside the records, some after the record that begins the next segment.
-    pub fn saved(&self) -> watch::Receiver<usize> {
-        self.saved.clone()
+    /// Returns a receiver for the number of tables saved since the log was opened. Tables
+    /// are saved in the background, possibly after the first record of the next segment.
+    pub fn saved_tables(&self) -> watch::Receiver<usize> {
+        self.saved_tables.clone()
     }
 
-    /// Writes a record and returns where it is once it is synced.
+    /// Appends a record and returns its location once it has been synced to disk.
     ///
     /// # Errors
     ///
-    /// [`Error::Write`]; the record may or may not be kept.
+    /// Returns [`Error::Write`] if the write failed. The record may or may not be on disk.
     pub async fn append(&self, record: &Record) -> Result<Place, Error> {
-        let (done, synced) = oneshot::channel();
-        let wait = Wait {
-            bytes: encode(record),
-            done,
+        let (reply, synced) = oneshot::channel();
+        let write = PendingWrite {
+            bytes: encode_record(record),
+            reply,
         };
-        self.queue.send(wait).await.map_err(|_| Error::Write)?;
+        self.queue.send(write).await.map_err(|_| Error::Write)?;
         match synced.await {
-            Ok(Some(place)) => Ok(place),
+            Ok(Some(location)) => Ok(location),
             _ => Err(Error::Write),
         }
     }
 
-    /// Reads records back. It waits for the disk. Each segment is opened once for
-    /// those that follow each other in it: what is read together, a conversation, lies
-    /// in few segments.
+    /// Reads the records at `locations`. Blocks on disk I/O. Opens a segment once for
+    /// consecutive locations in it.
     ///
     /// # Errors
     ///
-    /// [`Error::Read`] when one is not there whole.
-    pub fn read(&self, places: &[Place]) -> Result<Vec<Record>, Error> {
-        let mut records = Vec::with_capacity(places.len());
-        for together in places.chunk_by(|a, b| a.segment == b.segment) {
-            let segment = path(&self.folder, together[0].segment);
-            let file = File::open(segment).map_err(Error::Read)?;
-            for place in together {
-                records.push(read_one(&file, *place).map_err(Error::Read)?);
+    /// Returns [`Error::Read`] if a record is missing, incomplete or corrupt.
+    pub fn read(&self, locations: &[Place]) -> Result<Vec<Record>, Error> {
+        let mut records = Vec::with_capacity(locations.len());
+        for chunk in locations.chunk_by(|a, b| a.segment == b.segment) {
+            let path = segment_path(&self.folder, chunk[0].segment);
+            let file = File::open(path).map_err(Error::Read)?;
+            for location in chunk {
+                records.push(read_record(&file, *location).map_err(Error::Read)?);
             }
         }
         Ok(records)
     }
 
-    /// Reads all records of a segment, in the order they were written. It waits for
-    /// the disk.
+    /// Reads all records of a segment in the order in which they were written. Blocks on
+    /// disk I/O.
     ///
     /// # Errors
     ///
-    /// [`Error::Read`] when the segment cannot be read.
+    /// Returns [`Error::Read`] if the segment cannot be read.
     pub fn records(&self, segment: Segment) -> Result<Vec<(Record, Place)>, Error> {
         let mut records = Vec::new();
-        scan(&self.folder, segment, |body, place| {
-            records.push((decode(body)?, place));
+        scan_segment(&self.folder, segment, |body, location| {
+            records.push((decode_record(body)?, location));
             Some(())
         })
         .map_err(Error::Read)?;
         Ok(records)
     }
 
-    /// Removes a segment that holds nothing any more. The one that is written
-    /// now stays.
+    /// Removes a segment and its table from disk, unless the segment is being written.
+    /// Returns whether the segment was removed.
     pub fn remove(&self, segment: Segment) -> bool {
         if segment >= self.segment() {
             return false;
         }
-        let removed = fs::remove_file(path(&self.folder, segment));
+        let removed = fs::remove_file(segment_path(&self.folder, segment));
         if let Err(error) = &removed {
             tracing::warn!(event = "segment_not_removed", segment, %error);
         }
@@ -268,21 +268,21 @@
     }
 }
 
-/// Passes the bytes of each record of a segment to `found`, with its place; returns
-/// how many bytes of records there are.
-fn scan(
+/// Calls `visit` with the body and the location of each record of a segment, as
+/// [`parse_records`] does. Returns the length of the records in bytes.
+fn scan_segment(
     folder: &Path,
     segment: Segment,
-    mut found: impl FnMut(&[u8], Place) -> Option<()>,
+    mut visit: impl FnMut(&[u8], Place) -> Option<()>,
 ) -> io::Result<usize> {
-    let bytes = fs::read(path(folder, segment))?;
-    let whole = parse(&bytes, |body, at, length| {
-        let place = Place {
+    let bytes = fs::read(segment_path(folder, segment))?;
+    let whole = parse_records(&bytes, |body, offset, len| {
+        let location = Place {
             segment,
-            at: short(at),
-            bytes: short(length),
+            offset: saturating_u32(offset),
+            len: saturating_u32(len),
         };
-        found(body, place)
+        visit(body, location)
     });
     if whole < bytes.len() {
         let bytes = bytes.len();
@@ -291,46 +291,50 @@
     Ok(whole)
 }
 
-/// The table of a segment, made and saved if there is none. A segment without
-/// records is removed.
-fn table(folder: &Path, segment: Segment, saver: &Saver) -> io::Result<Option<Table>> {
-    let length = fs::metadata(path(folder, segment))?.len();
-    if let Some(table) = Table::load(folder, segment, length) {
+/// Loads the table of a segment, or builds and saves it if there is no valid one.
+/// Removes the segment and returns `None` if it has no records.
+fn load_or_build_table(
+    folder: &Path,
+    segment: Segment,
+    saver: &TableSaver,
+) -> io::Result<Option<Table>> {
+    let segment_len = fs::metadata(segment_path(folder, segment))?.len();
+    if let Some(table) = Table::load(folder, segment, segment_len) {
         return Ok(Some(table));
     }
     let mut table = Table::default();
-    let whole = scan(folder, segment, |body, place| {
-        table.add(&Outline::read(body)?, place);
+    let valid_bytes = scan_segment(folder, segment, |body, location| {
+        table.insert(&Outline::decode(body)?, location);
         Some(())
     })?;
-    if whole == 0 {
-        fs::remove_file(path(folder, segment))?;
+    if valid_bytes == 0 {
+        fs::remove_file(segment_path(folder, segment))?;
         return Ok(None);
     }
     table.sort();
-    saver.save(segment, length, table.clone());
+    saver.save(segment, segment_len, table.clone());
     Ok(Some(table))
 }
 
-fn read_one(file: &File, place: Place) -> io::Result<Record> {
-    let mut bytes = vec![0; place.bytes as usize];
-    file.read_exact_at(&mut bytes, place.at.into())?;
-    let record = parse_one(&bytes).and_then(decode);
+fn read_record(file: &File, location: Place) -> io::Result<Record> {
+    let mut bytes = vec![0; location.len as usize];
+    file.read_exact_at(&mut bytes, location.offset.into())?;
+    let record = parse_record(&bytes).and_then(decode_record);
     record.ok_or_else(|| io::Error::from(io::ErrorKind::InvalidData))
 }
 
-/// A length within a segment. One that does not fit is no record's, and what is read
-/// there fails its checksum.
-fn short(bytes: usize) -> u32 {
-    u32::try_from(bytes).unwrap_or(u32::MAX)
+/// Converts an offset or length within a segment. No record has one that does not fit;
+/// reading at the saturated value fails.
+fn saturating_u32(value: usize) -> u32 {
+    u32::try_from(value).unwrap_or(u32::MAX)
 }
 
-fn create(folder: &Path, segment: Segment) -> io::Result<File> {
+fn create_segment(folder: &Path, segment: Segment) -> io::Result<File> {
     let mut options = OpenOptions::new();
     let file = options
         .create(true)
         .append(true)
-        .open(path(folder, segment))?;
+        .open(segment_path(folder, segment))?;
     file.sync_all()?;
     sync_folder(folder)?;
     Ok(file)
--- a/crates/gradedyke-turns/src/log/outline.rs
+++ b/crates/gradedyke-turns/src/log/outline.rs
@@ -1,31 +1,31 @@
-//! What a record is about, read from its bytes without copying what was said.
+//! The kind and IDs of an encoded record, decoded without copying its body.
 
 use serde::Deserialize;
 
 use crate::record::{Kind, Record};
 
-/// What a record is about.
+/// Kind and IDs of a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Outline<'a> {
-    /// Its kind.
+    /// Kind of the record.
     pub kind: Kind,
-    /// The request.
+    /// ID of the request.
     pub request: &'a str,
-    /// The program whose budget it concerns, if any.
+    /// ID of the program whose budget the record affects, if any.
     pub program: Option<&'a str>,
 }
 
-/// A [`Record`] that borrows from its bytes. The order of variants and fields is
-/// the one that is written.
+/// A [`Record`] that borrows from its encoded bytes. The order of variants and fields
+/// must match that of [`Record`].
 #[derive(Deserialize)]
 enum Borrowed<'a> {
-    Reserved(#[serde(borrow)] Use<'a>),
-    Settled(#[serde(borrow)] Use<'a>),
+    Reserved(#[serde(borrow)] Usage<'a>),
+    Settled(#[serde(borrow)] Usage<'a>),
     Turn(#[serde(borrow)] Turn<'a>),
 }
 
 #[derive(Deserialize)]
-struct Use<'a> {
+struct Usage<'a> {
     program: &'a str,
     request: &'a str,
 }
@@ -41,13 +41,14 @@
 }
 
 impl<'a> Outline<'a> {
-    /// Reads it from a record's bytes; `None` where these are no record.
-    pub fn read(bytes: &'a [u8]) -> Option<Self> {
-        // What follows the fields wanted is left unread.
+    /// Decodes the outline of a record from the record's encoded bytes. Returns `None` if
+    /// they are not a valid record.
+    pub fn decode(bytes: &'a [u8]) -> Option<Self> {
+        // The remaining fields are not decoded.
         let (record, _) = postcard::take_from_bytes(bytes).ok()?;
         Some(match record {
-            Borrowed::Reserved(reserved) => Self::of_use(Kind::Reserved, &reserved),
-            Borrowed::Settled(settled) => Self::of_use(Kind::Settled, &settled),
+            Borrowed::Reserved(reserved) => Self::from_usage(Kind::Reserved, &reserved),
+            Borrowed::Settled(settled) => Self::from_usage(Kind::Settled, &settled),
             Borrowed::Turn(turn) => Self {
                 kind: Kind::Turn,
                 request: turn.request,
@@ -56,11 +57,11 @@
         })
     }
 
-    fn of_use(kind: Kind, of: &Use<'a>) -> Self {
+    fn from_usage(kind: Kind, usage: &Usage<'a>) -> Self {
         Self {
             kind,
-            request: of.request,
-            program: Some(of.program),
+            request: usage.request,
+            program: Some(usage.program),
         }
     }
 }
--- a/crates/gradedyke-turns/src/log/table.rs
+++ b/crates/gradedyke-turns/src/log/table.rs
@@ -1,9 +1,8 @@
-//! Where the records of a segment are, by program and by turn.
+//! Locations of the records of a segment by program and by turn.
 //!
-//! A replica that starts reads these tables, a hundredth of what is on its disk,
-//! and fetches the records of a program when somebody asks for it. A name is
-//! kept as a hash of eight bytes; whoever reads a record back compares its name,
-//! so names that share a hash cost a read and nothing else.
+//! A replica reads these tables when it starts, and reads the records of a program from
+//! disk when a request needs them. An ID is stored as a 64-bit hash. A hash collision
+//! only causes an unneeded read, since each record contains its full IDs.
 
 use std::path::{Path, PathBuf};
 use std::{fs, io};
@@ -11,51 +10,51 @@
 use super::{Outline, Place, Segment};
 use crate::record::{Id, Kind};
 
-/// Begins the file of a table. Another layout gets another mark, and files with
-/// an unknown one are made anew from their segment.
-const MARK: [u8; 8] = *b"gdtable1";
-/// Bytes of an entry in a file.
-const ENTRY: usize = 16;
-/// Bytes of the mark, the segment's length, the two counts and the checksum.
-const HEAD: usize = 8 + 8 + 4 + 4 + 4;
+/// First bytes of a table file. They change with the file format; a table in another
+/// format is rebuilt from its segment.
+const FILE_MAGIC: [u8; 8] = *b"gdtable1";
+/// Size of an encoded entry in bytes.
+const ENTRY_BYTES: usize = 16;
+/// Size of a file's header in bytes: magic, segment length, two entry counts, checksum.
+const HEADER_BYTES: usize = 8 + 8 + 4 + 4 + 4;
 
-/// Where one record is.
+/// Location of one record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Entry {
-    /// Hash of the name it is found by.
-    name: u64,
-    /// Where it begins in its segment, in bytes.
-    at: u32,
-    /// Its bytes, with length and checksum.
-    bytes: u32,
+    /// Hash of the program ID or request ID.
+    id_hash: u64,
+    /// Offset of the record in its segment, in bytes.
+    offset: u32,
+    /// Length of the record with its header, in bytes.
+    len: u32,
 }
 
-/// Where the records of a segment are.
+/// Locations of the records of a segment.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Table {
-    /// All records that concern a program's budget, by program.
+    /// Records that affect a program's budget, sorted by program.
     programs: Vec<Entry>,
-    /// All turns, by request.
+    /// Turns, sorted by request.
     turns: Vec<Entry>,
 }
 
-fn hash(name: &str) -> u64 {
-    let hash = blake3::hash(name.as_bytes());
+fn hash_id(id: &str) -> u64 {
+    let hash = blake3::hash(id.as_bytes());
     let [a, b, c, d, e, f, g, h, ..] = *hash.as_bytes();
     u64::from_le_bytes([a, b, c, d, e, f, g, h])
 }
 
-fn file(folder: &Path, segment: Segment) -> PathBuf {
+fn table_path(folder: &Path, segment: Segment) -> PathBuf {
     folder.join(format!("turns-{segment:08}.table"))
 }
 
 impl Table {
-    /// Notes where a record is. Call [`Table::sort`] before anything is looked up.
-    pub fn add(&mut self, outline: &Outline<'_>, place: Place) {
-        let entry = |name: &str| Entry {
-            name: hash(name),
-            at: place.at,
-            bytes: place.bytes,
+    /// Inserts the location of a record. Call [`Table::sort`] before the first lookup.
+    pub fn insert(&mut self, outline: &Outline<'_>, location: Place) {
+        let entry = |id: &str| Entry {
+            id_hash: hash_id(id),
+            offset: location.offset,
+            len: location.len,
         };
         self.programs.extend(outline.program.map(entry));
         if outline.kind == Kind::Turn {
@@ -63,7 +62,7 @@
         }
     }
 
-    /// Puts the entries in the order in which they are looked up.
+    /// Sorts the entries for lookup.
     ///
     /// ```
     /// use gradedyke_turns::log::{Outline, Place, Table};
@@ -71,51 +70,53 @@
     ///
     /// let mut table = Table::default();
     /// let outline = Outline { kind: Kind::Turn, request: "r", program: Some("p") };
-    /// let place = Place { segment: 3, at: 100, bytes: 20 };
-    /// table.add(&outline, place);
+    /// let location = Place { segment: 3, offset: 100, len: 20 };
+    /// table.insert(&outline, location);
     /// table.sort();
-    /// assert_eq!(table.program(3, &Id::parse("p").unwrap()), [place]);
-    /// assert_eq!(table.turn(3, &Id::parse("r").unwrap()), [place]);
-    /// assert!(table.turn(3, &Id::parse("p").unwrap()).is_empty());
+    /// assert_eq!(table.find_program(3, &Id::parse("p").unwrap()), [location]);
+    /// assert_eq!(table.find_turn(3, &Id::parse("r").unwrap()), [location]);
+    /// assert!(table.find_turn(3, &Id::parse("p").unwrap()).is_empty());
     /// ```
     pub fn sort(&mut self) {
         self.programs.sort_unstable();
         self.turns.sort_unstable();
     }
 
-    /// Where records of a program may be; this is the table of `segment`.
-    pub fn program(&self, segment: Segment, program: &Id) -> Vec<Place> {
-        find(&self.programs, segment, program)
+    /// Returns the candidate locations of a program's records. `segment` is the segment
+    /// that this table belongs to.
+    pub fn find_program(&self, segment: Segment, program: &Id) -> Vec<Place> {
+        find_entries(&self.programs, segment, program)
     }
 
-    /// Where the turn of a request may be; this is the table of `segment`.
-    pub fn turn(&self, segment: Segment, request: &Id) -> Vec<Place> {
-        find(&self.turns, segment, request)
+    /// Returns the candidate locations of a request's turn. `segment` is the segment that
+    /// this table belongs to.
+    pub fn find_turn(&self, segment: Segment, request: &Id) -> Vec<Place> {
+        find_entries(&self.turns, segment, request)
     }
 
-    /// Writes the table of a segment of `length` bytes beside it, so that it is there
-    /// whole or not at all.
+    /// Writes the table of a segment of `segment_len` bytes to `folder`, atomically: to a
+    /// temporary file that is then renamed.
     ///
     /// # Errors
     ///
-    /// Those of the operating system.
-    pub fn save(&self, folder: &Path, segment: Segment, length: u64) -> io::Result<()> {
-        let path = file(folder, segment);
-        let new = path.with_extension("table-new");
-        fs::write(&new, self.encode(length))?;
-        fs::File::open(&new)?.sync_all()?;
-        fs::rename(&new, &path)
+    /// Returns the error of the operating system.
+    pub fn save(&self, folder: &Path, segment: Segment, segment_len: u64) -> io::Result<()> {
+        let path = table_path(folder, segment);
+        let temporary_path = path.with_extension("table-new");
+        fs::write(&temporary_path, self.encode(segment_len))?;
+        fs::File::open(&temporary_path)?.sync_all()?;
+        fs::rename(&temporary_path, &path)
     }
 
-    /// Reads the table of a segment of `length` bytes; `None` if there is no whole
-    /// one, or it is one of other bytes.
-    pub fn load(folder: &Path, segment: Segment, length: u64) -> Option<Self> {
-        Self::decode(&fs::read(file(folder, segment)).ok()?, length)
+    /// Loads the table of a segment of `segment_len` bytes. Returns `None` if the table is
+    /// missing, is corrupt or was saved for another segment length.
+    pub fn load(folder: &Path, segment: Segment, segment_len: u64) -> Option<Self> {
+        Self::decode(&fs::read(table_path(folder, segment)).ok()?, segment_len)
     }
 
     /// Removes the table of a segment, if there is one.
     pub fn remove(folder: &Path, segment: Segment) {
-        let removed = fs::remove_file(file(folder, segment));
+        let removed = fs::remove_file(table_path(folder, segment));
         if let Err(error) = removed
             && error.kind() != io::ErrorKind::NotFound
         {
@@ -123,18 +124,18 @@
         }
     }
 
-    fn encode(&self, length: u64) -> Vec<u8> {
+    fn encode(&self, segment_len: u64) -> Vec<u8> {
         let count = self.programs.len() + self.turns.len();
-        let mut body = Vec::with_capacity(count * ENTRY);
+        let mut body = Vec::with_capacity(count * ENTRY_BYTES);
         for entry in self.programs.iter().chain(&self.turns) {
-            body.extend_from_slice(&entry.name.to_le_bytes());
-            body.extend_from_slice(&entry.at.to_le_bytes());
-            body.extend_from_slice(&entry.bytes.to_le_bytes());
+            body.extend_from_slice(&entry.id_hash.to_le_bytes());
+            body.extend_from_slice(&entry.offset.to_le_bytes());
+            body.extend_from_slice(&entry.len.to_le_bytes());
         }
         let count = |entries: &[Entry]| u32::try_from(entries.len()).unwrap_or(u32::MAX);
-        let mut bytes = Vec::with_capacity(HEAD + body.len());
-        bytes.extend_from_slice(&MARK);
-        bytes.extend_from_slice(&length.to_le_bytes());
+        let mut bytes = Vec::with_capacity(HEADER_BYTES + body.len());
+        bytes.extend_from_slice(&FILE_MAGIC);
+        bytes.extend_from_slice(&segment_len.to_le_bytes());
         bytes.extend_from_slice(&count(&self.programs).to_le_bytes());
         bytes.extend_from_slice(&count(&self.turns).to_le_bytes());
         bytes.extend_from_slice(&crc32fast::hash(&body).to_le_bytes());
@@ -142,51 +143,53 @@
         bytes
     }
 
-    fn decode(bytes: &[u8], length: u64) -> Option<Self> {
-        let body = bytes.strip_prefix(&MARK)?;
-        let body = body.strip_prefix(&length.to_le_bytes())?;
-        let (programs, body) = number(body)?;
-        let (turns, body) = number(body)?;
-        let (sum, body) = number(body)?;
-        let split = programs as usize * ENTRY;
-        let whole = body.len() == split + turns as usize * ENTRY;
-        if !whole || crc32fast::hash(body) != sum {
+    fn decode(bytes: &[u8], segment_len: u64) -> Option<Self> {
+        let body = bytes.strip_prefix(&FILE_MAGIC)?;
+        let body = body.strip_prefix(&segment_len.to_le_bytes())?;
+        let (programs, body) = split_u32(body)?;
+        let (turns, body) = split_u32(body)?;
+        let (checksum, body) = split_u32(body)?;
+        let split = programs as usize * ENTRY_BYTES;
+        let is_complete = body.len() == split + turns as usize * ENTRY_BYTES;
+        if !is_complete || crc32fast::hash(body) != checksum {
             return None;
         }
         Some(Self {
-            programs: entries(&body[..split]),
-            turns: entries(&body[split..]),
+            programs: decode_entries(&body[..split]),
+            turns: decode_entries(&body[split..]),
         })
     }
 }
 
-/// The number at the start of `bytes`, and what follows.
-fn number(bytes: &[u8]) -> Option<(u32, &[u8])> {
-    let (number, rest) = bytes.split_first_chunk()?;
-    Some((u32::from_le_bytes(*number), rest))
+/// Decodes the little-endian `u32` at the start of `bytes`. Returns it and the remaining
+/// bytes.
+fn split_u32(bytes: &[u8]) -> Option<(u32, &[u8])> {
+    let (value, rest) = bytes.split_first_chunk()?;
+    Some((u32::from_le_bytes(*value), rest))
 }
 
-fn entries(bytes: &[u8]) -> Vec<Entry> {
-    let (chunks, _) = bytes.as_chunks::<ENTRY>();
-    let entry = |chunk: &[u8; ENTRY]| {
+fn decode_entries(bytes: &[u8]) -> Vec<Entry> {
+    let (chunks, _) = bytes.as_chunks::<ENTRY_BYTES>();
+    let entry = |chunk: &[u8; ENTRY_BYTES]| {
         let [a, b, c, d, e, f, g, h, i, j, k, l, m, n, o, p] = *chunk;
         Entry {
-            name: u64::from_le_bytes([a, b, c, d, e, f, g, h]),
-            at: u32::from_le_bytes([i, j, k, l]),
-            bytes: u32::from_le_bytes([m, n, o, p]),
+            id_hash: u64::from_le_bytes([a, b, c, d, e, f, g, h]),
+            offset: u32::from_le_bytes([i, j, k, l]),
+            len: u32::from_le_bytes([m, n, o, p]),
         }
     };
     chunks.iter().map(entry).collect()
 }
 
-fn find(entries: &[Entry], segment: Segment, name: &Id) -> Vec<Place> {
-    let name = hash(name.as_str());
-    let from = entries.partition_point(|e| e.name < name);
-    let same = entries[from..].iter().take_while(|e| e.name == name);
-    let place = |entry: &Entry| Place {
+/// Returns the locations of the entries with the hash of `id`. `entries` must be sorted.
+fn find_entries(entries: &[Entry], segment: Segment, id: &Id) -> Vec<Place> {
+    let id_hash = hash_id(id.as_str());
+    let first = entries.partition_point(|e| e.id_hash < id_hash);
+    let matching = entries[first..].iter().take_while(|e| e.id_hash == id_hash);
+    let location = |entry: &Entry| Place {
         segment,
-        at: entry.at,
-        bytes: entry.bytes,
+        offset: entry.offset,
+        len: entry.len,
     };
-    same.map(place).collect()
+    matching.map(location).collect()
 }
--- a/crates/gradedyke-turns/src/log/writer.rs
+++ b/crates/gradedyke-turns/src/log/writer.rs
@@ -1,4 +1,4 @@
-//! The thread that writes.
+//! The thread that writes the log.
 
 use std::fs::File;
 use std::io::{self, Write};
@@ -8,130 +8,146 @@
 
 use tokio::sync::{mpsc, oneshot, watch};
 
-use super::{HEAD, Outline, Place, SEGMENT_BYTES, Segment, Table, create, short};
+use super::{
+    Outline, Place, RECORD_HEADER_BYTES, SEGMENT_ROTATION_BYTES, Segment, Table, create_segment,
+    saturating_u32,
+};
 
-/// An encoded record, and where to say where it is kept.
-pub(super) struct Wait {
+/// A record to be written.
+pub(super) struct PendingWrite {
+    /// The encoded record with its header.
     pub bytes: Vec<u8>,
-    pub done: oneshot::Sender<Option<Place>>,
+    /// Receives the record's location, or `None` if the write failed.
+    pub reply: oneshot::Sender<Option<Place>>,
 }
 
+/// Writes records to the active segment and starts new segments.
 pub(super) struct Writer {
     folder: PathBuf,
     file: File,
-    bytes: usize,
-    active: Arc<AtomicU32>,
+    /// Length of the active segment in bytes.
+    segment_bytes: usize,
+    active_segment: Arc<AtomicU32>,
+    /// Table of the active segment.
     table: Table,
-    saver: Saver,
+    saver: TableSaver,
 }
 
 impl Writer {
-    /// Writes to `file`, the segment that `active` names.
-    pub(super) fn new(folder: &Path, file: File, active: Arc<AtomicU32>, saver: Saver) -> Self {
+    /// Creates a writer that appends to `file`, which is the segment `active_segment`.
+    pub(super) fn new(
+        folder: &Path,
+        file: File,
+        active_segment: Arc<AtomicU32>,
+        saver: TableSaver,
+    ) -> Self {
         Self {
             folder: folder.to_owned(),
             file,
-            bytes: 0,
-            active,
+            segment_bytes: 0,
+            active_segment,
             table: Table::default(),
             saver,
         }
     }
 
-    pub(super) fn run(mut self, mut waiting: mpsc::Receiver<Wait>) {
-        while let Some(first) = waiting.blocking_recv() {
+    /// Writes records in batches until the channel is closed or a write fails.
+    pub(super) fn run(mut self, mut pending: mpsc::Receiver<PendingWrite>) {
+        while let Some(first) = pending.blocking_recv() {
             let mut batch = vec![first];
-            while let Ok(next) = waiting.try_recv() {
+            while let Ok(next) = pending.try_recv() {
                 batch.push(next);
             }
-            let written = self.write(&batch);
+            let written = self.write_batch(&batch);
             if let Err(error) = &written {
                 tracing::error!(event = "log_write_failed", %error,
                     remedy = "check the disk and restart the process");
             }
-            self.answer(batch, written.as_ref().ok().copied());
+            self.reply(batch, written.as_ref().ok().copied());
             if written.is_err() {
                 return;
             }
         }
     }
 
-    /// Tells where each record is, from `at` on; nowhere if the write failed.
-    fn answer(&mut self, batch: Vec<Wait>, at: Option<usize>) {
-        let mut next = at.unwrap_or_default();
-        let segment = self.active.load(Ordering::Acquire);
-        for wait in batch {
-            let place = Place {
+    /// Adds the records to the table and sends each location, for a batch that starts at
+    /// `first_offset`; sends `None` if `first_offset` is `None` because the write failed.
+    fn reply(&mut self, batch: Vec<PendingWrite>, first_offset: Option<usize>) {
+        let mut next_offset = first_offset.unwrap_or_default();
+        let segment = self.active_segment.load(Ordering::Acquire);
+        for write in batch {
+            let location = Place {
                 segment,
-                at: short(next),
-                bytes: short(wait.bytes.len()),
+                offset: saturating_u32(next_offset),
+                len: saturating_u32(write.bytes.len()),
             };
-            next += wait.bytes.len();
-            if let Some(outline) = Outline::read(&wait.bytes[HEAD..]) {
-                self.table.add(&outline, place);
+            next_offset += write.bytes.len();
+            if let Some(outline) = Outline::decode(&write.bytes[RECORD_HEADER_BYTES..]) {
+                self.table.insert(&outline, location);
             }
-            // Whoever stopped waiting learns of the record another way.
-            let _: Result<(), _> = wait.done.send(at.map(|_| place));
+            // Sending fails if the caller is no longer waiting for the reply.
+            let _: Result<(), _> = write.reply.send(first_offset.map(|_| location));
         }
     }
 
-    /// Writes and syncs records; returns where the first begins.
-    fn write(&mut self, batch: &[Wait]) -> io::Result<usize> {
-        if self.bytes > SEGMENT_BYTES {
+    /// Writes and syncs a batch of records. Returns the offset of the first one.
+    fn write_batch(&mut self, batch: &[PendingWrite]) -> io::Result<usize> {
+        if self.segment_bytes > SEGMENT_ROTATION_BYTES {
             self.rotate()?;
         }
-        let bytes: usize = batch.iter().map(|w| w.bytes.len()).sum();
-        let mut joined = Vec::with_capacity(bytes);
-        for wait in batch {
-            joined.extend_from_slice(&wait.bytes);
+        let batch_bytes: usize = batch.iter().map(|w| w.bytes.len()).sum();
+        let mut joined = Vec::with_capacity(batch_bytes);
+        for write in batch {
+            joined.extend_from_slice(&write.bytes);
         }
         self.file.write_all(&joined)?;
         self.file.sync_data()?;
-        let at = self.bytes;
-        self.bytes += bytes;
-        Ok(at)
+        let first_offset = self.segment_bytes;
+        self.segment_bytes += batch_bytes;
+        Ok(first_offset)
     }
 
+    /// Starts a new segment and saves the table of the previous one.
     fn rotate(&mut self) -> io::Result<()> {
-        let ended = self.active.load(Ordering::Acquire);
-        let next = ended + 1;
-        self.file = create(&self.folder, next)?;
-        let length = std::mem::take(&mut self.bytes);
-        self.active.store(next, Ordering::Release);
+        let previous = self.active_segment.load(Ordering::Acquire);
+        let next = previous + 1;
+        self.file = create_segment(&self.folder, next)?;
+        let segment_len = std::mem::take(&mut self.segment_bytes);
+        self.active_segment.store(next, Ordering::Release);
         let mut table = std::mem::take(&mut self.table);
         table.sort();
-        self.saver.save(ended, length as u64, table);
+        self.saver.save(previous, segment_len as u64, table);
         Ok(())
     }
 }
 
-/// Saves tables in threads of their own: records do not wait for them, and without one
-/// the next start only reads the segment.
+/// Saves tables in background threads, so that writes don't wait for them. A missing
+/// table only makes the next start read the whole segment.
 #[derive(Clone)]
-pub(super) struct Saver {
+pub(super) struct TableSaver {
     folder: PathBuf,
-    /// How many were saved.
-    saved: watch::Sender<usize>,
+    /// Number of tables saved.
+    saved_count: watch::Sender<usize>,
 }
 
-impl Saver {
+impl TableSaver {
     pub(super) fn new(folder: &Path) -> Self {
         Self {
             folder: folder.to_owned(),
-            saved: watch::Sender::new(0),
+            saved_count: watch::Sender::new(0),
         }
     }
 
-    /// Sees each table that is saved from now on.
-    pub(super) fn saved(&self) -> watch::Receiver<usize> {
-        self.saved.subscribe()
+    /// Returns a receiver for the number of tables saved.
+    pub(super) fn saved_count(&self) -> watch::Receiver<usize> {
+        self.saved_count.subscribe()
     }
 
-    /// Saves the table of a segment of `length` bytes.
-    pub(super) fn save(&self, segment: Segment, length: u64, table: Table) {
+    /// Saves the table of a segment of `segment_len` bytes in the background.
+    pub(super) fn save(&self, segment: Segment, segment_len: u64, table: Table) {
         let saver = self.clone();
-        let save = move || match table.save(&saver.folder, segment, length) {
-            Ok(()) => saver.saved.send_modify(|saved| *saved += 1),
+        let save = move || match table.save(&saver.folder, segment, segment_len) {
+            Ok(()) => saver.saved_count.send_modify(|count| *count += 1),
             Err(error) => tracing::warn!(event = "table_not_saved", segment, %error),
         };
         let thread = std::thread::Builder::new().name("turn-table".to_owned());
--- a/crates/gradedyke-turns/tests/index.rs
+++ b/crates/gradedyke-turns/tests/index.rs
@@ -1,4 +1,4 @@
-//! What follows from records, in whatever order they come.
+//! The index of records: application order, expiry, and the cache of turn bodies.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use proptest::prelude::*;
 use tokio::time::Instant;
 
-const KEEP_MS: u32 = 60_000;
+const RETENTION_MS: u32 = 60_000;
 
 fn id(text: &str) -> Id {
     Id::parse(text).unwrap()
@@ -25,7 +25,7 @@
         server: id(&format!("server-of-{request}")),
         program: Some(id("p")),
         tokens,
-        keep_ms: KEEP_MS,
+        keep_ms: RETENTION_MS,
     })
 }
 
@@ -34,7 +34,7 @@
         program: id("p"),
         request: id(request),
         tokens,
-        keep_ms: KEEP_MS,
+        keep_ms: RETENTION_MS,
     })
 }
 
@@ -43,11 +43,11 @@
         program: id("p"),
         request: id(request),
         tokens,
-        keep_ms: KEEP_MS,
+        keep_ms: RETENTION_MS,
     })
 }
 
-/// Three attempts: one that ended whole, one that broke off, one still open.
+/// Records of a completed, an aborted and a pending attempt, and of two more turns.
 fn records() -> Vec<Record> {
     vec![
         reserved("a", 10),
@@ -60,37 +60,38 @@
     ]
 }
 
-/// A conversation that is in memory.
+/// Returns a conversation whose turn bodies are all in memory.
 fn chain(index: &mut Index, request: &str) -> Option<Chain> {
     index.conversation(&id(request))?.chain(&[])
 }
 
-fn place(segment: u32, at: u32) -> Place {
+fn location(segment: u32, offset: u32) -> Place {
     Place {
         segment,
-        at,
-        bytes: 10,
+        offset,
+        len: 10,
     }
 }
 
-fn used(index: &Index) -> Vec<(String, u32, bool)> {
+/// Returns request, tokens and settled state of the program's attempts, sorted.
+fn attempts(index: &Index) -> Vec<(String, u32, bool)> {
     let attempts = index.attempts(&id("p")).into_iter();
-    let mut used: Vec<_> = attempts
+    let mut attempts: Vec<_> = attempts
         .map(|a| (a.request.to_string(), a.tokens, a.settled))
         .collect();
-    used.sort();
-    used
+    attempts.sort();
+    attempts
 }
 
 proptest! {
     #[test]
-    fn the_order_of_records_does_not_matter(
+    fn application_order_and_duplicates_do_not_matter(
         order in Just(records()).prop_shuffle(),
-        again in proptest::sample::subsequence(records(), 0..=7),
+        repeated in proptest::sample::subsequence(records(), 0..=7),
     ) {
         let mut index = Index::new(BODIES);
         let now = Instant::now();
-        for record in order.iter().chain(&again) {
+        for record in order.iter().chain(&repeated) {
             index.apply(record, 1, now);
         }
         let expected = [
@@ -100,7 +101,7 @@
             ("d".to_owned(), 1, true),
             ("e".to_owned(), 1, true),
         ];
-        prop_assert_eq!(used(&index), expected);
+        prop_assert_eq!(attempts(&index), expected);
         let chain = chain(&mut index, "e").unwrap();
         prop_assert_eq!(&chain.body[..], b"in-a;out-a\nin-d;out-d\nin-e;out-e\n");
         prop_assert_eq!(chain.server, id("server-of-e"));
@@ -109,7 +110,7 @@
 }
 
 #[test]
-fn a_conversation_with_a_missing_turn_is_not_told() {
+fn a_conversation_with_a_missing_turn_is_not_returned() {
     let mut index = Index::new(BODIES);
     let now = Instant::now();
     index.apply(&turn("a", None, 1), 1, now);
@@ -120,18 +121,18 @@
 }
 
 #[test]
-fn a_turn_lives_as_long_as_those_that_continue_it() {
+fn a_turn_is_retained_as_long_as_its_descendants() {
     let mut index = Index::new(BODIES);
     let start = Instant::now();
     index.apply(&turn("a", None, 1), 1, start);
     index.apply(&turn("x", None, 1), 1, start);
-    let half = start + Duration::from_millis(u64::from(KEEP_MS) / 2);
-    index.apply(&turn("b", Some("a"), 1), 2, half);
-    let after = start + Duration::from_millis(u64::from(KEEP_MS) + 6_000);
-    index.expire(after);
+    let halfway = start + Duration::from_millis(u64::from(RETENTION_MS) / 2);
+    index.apply(&turn("b", Some("a"), 1), 2, halfway);
+    let after_first_expiry = start + Duration::from_millis(u64::from(RETENTION_MS) + 6_000);
+    index.expire(after_first_expiry);
     assert!(index.has_chain(&id("b")));
     assert!(!index.has_chain(&id("x")));
-    let empty = index.expire(half + Duration::from_millis(u64::from(KEEP_MS) + 6_000));
+    let empty = index.expire(halfway + Duration::from_millis(u64::from(RETENTION_MS) + 6_000));
     assert!(!index.has_chain(&id("a")));
     let mut empty: Vec<_> = empty.into_iter().collect();
     empty.sort_unstable();
@@ -139,7 +140,7 @@
 }
 
 #[test]
-fn a_segment_holds_what_was_placed_in_it() {
+fn a_moved_record_leaves_its_old_segment_empty() {
     let mut index = Index::new(BODIES);
     let start = Instant::now();
     index.apply(&turn("a", None, 1), 1, start);
@@ -147,72 +148,72 @@
         kind: Kind::Turn,
         request: id("a"),
     };
-    index.place(&key, place(2, 0));
-    // Segment 1 holds nothing any more, segment 2 does.
+    index.place(&key, location(2, 0));
+    // The only record has moved from segment 1 to segment 2.
     assert_eq!(index.expire(start), [1]);
 }
 
 #[test]
-fn followers_are_told_each_arrival_once() {
+fn arrived_returns_each_record_once() {
     let mut index = Index::new(BODIES);
     let now = Instant::now();
     for record in records() {
         index.apply(&record, 1, now);
     }
     let (first, next) = index.arrived(0, 3);
-    let (rest, end) = index.arrived(next, 100);
-    assert_eq!((first.len(), rest.len(), end), (3, 4, index.end()));
-    let (none, same) = index.arrived(end, 100);
-    assert_eq!((none.len(), same), (0, end));
-    for key in first.iter().chain(&rest) {
+    let (remaining, end) = index.arrived(next, 100);
+    assert_eq!((first.len(), remaining.len(), end), (3, 4, index.end()));
+    let (empty, unchanged_end) = index.arrived(end, 100);
+    assert_eq!((empty.len(), unchanged_end), (0, end));
+    for key in first.iter().chain(&remaining) {
         let Some(Answer::Held(record)) = index.record(key, now) else {
-            panic!("{key:?} is not held");
+            panic!("record {key:?} is not in memory");
         };
         assert_eq!(record.key(), *key);
     }
 }
 
 #[test]
-fn what_was_said_is_held_up_to_a_limit_and_the_oldest_goes_first() {
-    // Three turns of 11 bytes and a limit that two keep.
+fn the_oldest_stored_bodies_are_evicted_above_the_limit() {
+    // Three turns of 11 bytes; two of them are within the limit.
     let mut index = Index::new(30);
     let now = Instant::now();
     let key = |request: &str| turn(request, None, 1).key();
     index.apply(&turn("a", None, 1), 1, now);
-    index.place(&key("a"), place(1, 100));
+    index.place(&key("a"), location(1, 100));
     index.apply(&turn("b", Some("a"), 1), 1, now);
     index.apply(&turn("c", Some("b"), 1), 1, now);
-    // Nothing goes that is not on disk yet, so the oldest that is goes.
-    index.place(&key("c"), place(1, 300));
+    // "b" is not on disk yet, so the oldest stored body, "a", is evicted.
+    index.place(&key("c"), location(1, 300));
     assert_eq!(index.body_bytes(), 22);
     let conversation = index.conversation(&id("c")).unwrap();
-    assert_eq!(conversation.stored(), [place(1, 100)]);
+    assert_eq!(conversation.stored(), [location(1, 100)]);
     assert!(conversation.chain(&[]).is_none());
     assert_eq!(
         index.record(&key("a"), now),
-        Some(Answer::Stored(place(1, 100)))
+        Some(Answer::Stored(location(1, 100)))
     );
-    // Read again, it is held again, and the other one that is on disk goes.
+    // Restoring "a" evicts the other stored body, "c".
     let body = Body {
         input: "in-a;".into(),
         output: "out-a\n".into(),
     };
     index.restore(&id("a"), body.clone());
     let conversation = index.conversation(&id("c")).unwrap();
-    assert_eq!(conversation.stored(), [place(1, 300)]);
+    assert_eq!(conversation.stored(), [location(1, 300)]);
     let last = Body {
         input: "in-c;".into(),
         output: "out-c\n".into(),
     };
     let chain = conversation.chain(&[last]).unwrap();
     assert_eq!(&chain.body[..], b"in-a;out-a\nin-b;out-b\nin-c;out-c\n");
-    // What has expired is held no longer.
-    index.expire(now + Duration::from_millis(2 * u64::from(KEEP_MS)));
+    // The bodies of expired turns are removed.
+    index.expire(now + Duration::from_millis(2 * u64::from(RETENTION_MS)));
     assert_eq!(index.body_bytes(), 0);
 }
 
 #[test]
-fn what_has_expired_may_come_again() {
+fn expired_records_can_be_applied_again() {
     let mut index = Index::new(BODIES);
     let now = Instant::now();
     for record in records() {
@@ -220,10 +221,10 @@
         assert!(!index.apply(&record, 1, now));
     }
     let end = index.end();
-    let later = now + Duration::from_millis(2 * u64::from(KEEP_MS));
+    let later = now + Duration::from_millis(2 * u64::from(RETENTION_MS));
     assert_eq!(index.expire(later), [1]);
     assert_eq!(index.sizes(), (0, 0));
-    assert!(used(&index).is_empty());
+    assert!(attempts(&index).is_empty());
     assert_eq!(index.arrived(0, 100), (Vec::new(), end));
     for record in records() {
         assert!(index.apply(&record, 2, later));
