--- a/crates/gradedyke-turns/src/archive.rs
+++ b/crates/gradedyke-turns/src/archive.rs
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Records that all records of a program are in the index.
+    /// Marks a program as fully indexed: all its records are in the index.
     pub fn note(&mut self, program: &Id) {
         self.indexed_programs.insert(program.clone());
     }
--- a/crates/gradedyke-turns/src/body.rs
+++ b/crates/gradedyke-turns/src/body.rs
@@ -1,7 +1,7 @@
 //! Memory cache for turn bodies.
 //!
-//! All bodies are on disk as well; the cache holds the most recently written or read
-//! ones up to a limit. Eviction uses the second-chance algorithm: a body that was
+//! Every body is written to disk as well; the cache holds the most recently written or
+//! read ones up to a limit. Eviction uses the second-chance algorithm: a body that was
 //! read since it was last considered for eviction is skipped once. Unlike LRU, this
 //! does not reorder an entry on each read.
 
--- a/crates/gradedyke-turns/src/decay.rs
+++ b/crates/gradedyke-turns/src/decay.rs
@@ -8,7 +8,8 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Count {
     value: f64,
-    updated_at: Option<Instant>,
+    /// When `value` was last updated.
+    as_of: Option<Instant>,
 }
 
 impl Count {
@@ -24,17 +25,15 @@
     /// assert_eq!(count.at(half_life, now + half_life), 0.5);
     /// ```
     pub fn at(&self, half_life: Duration, now: Instant) -> f64 {
-        let Some(updated_at) = self.updated_at else {
-            return 0.0;
-        };
+        let Some(as_of) = self.as_of else { return 0.0 };
         let half_lives =
-            now.saturating_duration_since(updated_at).as_secs_f64() / half_life.as_secs_f64();
+            now.saturating_duration_since(as_of).as_secs_f64() / half_life.as_secs_f64();
         self.value * 0.5_f64.powf(half_lives)
     }
 
     /// Adds one to the value at `now`.
     pub fn add(&mut self, half_life: Duration, now: Instant) {
         self.value = self.at(half_life, now) + 1.0;
-        self.updated_at = Some(now);
+        self.as_of = Some(now);
     }
 }
--- a/crates/gradedyke-turns/src/index.rs
+++ b/crates/gradedyke-turns/src/index.rs
@@ -248,8 +248,9 @@
     fn evict_bodies(&mut self) {
         let requests = &self.requests;
         let is_stored = |key: RequestKey| {
-            let request = requests.get(key);
-            let state = request.and_then(|r| r.write_states[Kind::Turn as usize]);
+            let state = requests
+                .get(key)
+                .and_then(|r| r.write_states[Kind::Turn as usize]);
             state.is_some_and(|s| s.location().is_some())
         };
         self.bodies.evict(is_stored);
--- a/crates/gradedyke-turns/src/log/mod.rs
+++ b/crates/gradedyke-turns/src/log/mod.rs
@@ -323,8 +323,8 @@
     record.ok_or_else(|| io::Error::from(io::ErrorKind::InvalidData))
 }
 
-/// Converts an offset or length within a segment. No record has one that does not fit;
-/// reading at the saturated value fails.
+/// Converts an offset or length within a segment. Segments are far smaller than 4 GiB;
+/// a value that does not fit becomes `u32::MAX`, and reading there fails.
 fn saturating_u32(value: usize) -> u32 {
     u32::try_from(value).unwrap_or(u32::MAX)
 }
