--- a/crates/gradedyke/src/admin/mod.rs
+++ b/crates/gradedyke/src/admin/mod.rs
@@ -1,14 +1,14 @@
-//! The admin listener: health and metrics of every process, and the operators'
-//! API where the role runs.
+//! The admin listener: health checks and metrics on every process, and the
+//! operator API on processes with the admin role.
 //!
-//! | method and path | does |
+//! | method and path | action |
 //! |---|---|
-//! | `GET /healthz` | says that the process lives |
-//! | `GET /readyz` | says whether callers may be sent here |
-//! | `GET /metrics` | shows the metrics in Prometheus' text format |
-//! | `GET /admin/v1/status` | tells of this instance and the members it sees |
-//! | `GET /admin/v1/settings` | reads the settings in force |
-//! | `PUT /admin/v1/settings` | puts new ones in force; `if-match` names the revision they replace |
+//! | `GET /healthz` | reports that the process is running |
+//! | `GET /readyz` | reports whether callers may send requests to this process |
+//! | `GET /metrics` | returns the metrics in the Prometheus text format |
+//! | `GET /admin/v1/status` | returns the state of this instance and the members that it knows |
+//! | `GET /admin/v1/settings` | returns the active settings |
+//! | `PUT /admin/v1/settings` | applies new settings; `if-match` names the revision that they replace |
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,48 +24,54 @@
 use serde::{Deserialize, Serialize};
 
 use crate::current;
-use crate::entry::keys::bearer;
+use crate::entry::keys::bearer_key;
 use crate::kernel::{self, Kernel, Mounts, Plugin};
 use crate::membership::Member;
 use crate::routing;
 
-/// Largest settings that are taken, in bytes.
-const SETTINGS_BYTES: usize = 4 << 20;
-/// Longest time for settings to arrive.
-const SETTINGS_TIME: Duration = Duration::from_secs(10);
+/// Maximum size of uploaded settings, in bytes.
+const MAX_SETTINGS_BYTES: usize = 4 << 20;
+/// Timeout for receiving uploaded settings.
+const SETTINGS_READ_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What an instance tells of itself.
+/// The status of an instance.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Status {
     /// This instance.
     pub own: Member,
     /// The deployment it belongs to.
     pub deployment: String,
-    /// The revision of the settings in force here.
+    /// The revision of the settings that are active on this instance.
     pub revision: u64,
-    /// Whether callers may be sent here.
+    /// Whether callers may send requests to this instance.
     pub ready: bool,
-    /// Slots this instance owns, by the map it sees.
+    /// Number of slots that this instance owns according to its slot map.
     pub slots: usize,
-    /// Whether what it keeps survives a power cut: `disk`, `memory` or `none`.
+    /// Where its keeper stores the journal: `disk`, `memory`, or `none` without
+    /// a keeper.
     pub keeps: String,
-    /// The members it sees.
+    /// The members that this instance knows.
     pub members: Vec<Member>,
 }
 
-/// The pages that every process serves, and the operators' API behind them.
-pub(crate) struct Pages {
+/// Handles health checks and metrics, and passes other requests to the operator
+/// API if it is mounted.
+pub(crate) struct AdminHandler {
     kernel: Arc<Kernel>,
-    operators: Option<Arc<dyn Handler>>,
+    operator_handler: Option<Arc<dyn Handler>>,
 }
 
-impl Pages {
-    pub(crate) fn new(kernel: Arc<Kernel>, operators: Option<Arc<dyn Handler>>) -> Self {
-        Self { kernel, operators }
+impl AdminHandler {
+    pub(crate) fn new(kernel: Arc<Kernel>, operator_handler: Option<Arc<dyn Handler>>) -> Self {
+        Self {
+            kernel,
+            operator_handler,
+        }
     }
 
-    fn ready(&self) -> Response<Body> {
-        if self.kernel.ready() {
+    /// Answers a readiness check. While not ready, says why.
+    fn readiness(&self) -> Response<Body> {
+        if self.kernel.is_ready() {
             return reply::bytes_of(StatusCode::OK, "text/plain", "ready\n");
         }
         let reason = match (self.kernel.drain.is_cancelled(), self.kernel.map.loaded()) {
@@ -82,38 +88,39 @@
 }
 
 #[async_trait]
-impl Handler for Pages {
+impl Handler for AdminHandler {
     async fn handle(&self, request: Request<Incoming>) -> Response<Body> {
         match (request.method(), request.uri().path()) {
             (&Method::GET, "/healthz") => reply::bytes_of(StatusCode::OK, "text/plain", "lives\n"),
-            (&Method::GET, "/readyz") => self.ready(),
+            (&Method::GET, "/readyz") => self.readiness(),
             (&Method::GET, "/metrics") => {
-                let kind = "text/plain; version=0.0.4";
-                reply::bytes_of(StatusCode::OK, kind, kernel::render())
+                let content_type = "text/plain; version=0.0.4";
+                reply::bytes_of(StatusCode::OK, content_type, kernel::render_metrics())
             }
-            (_, path) => match &self.operators {
-                Some(operators) => operators.handle(request).await,
+            (_, path) => match &self.operator_handler {
+                Some(handler) => handler.handle(request).await,
                 None => reply::no_route(path),
             },
         }
     }
 }
 
-/// The operators' API.
-struct Operators {
+/// Handles requests to the operator API.
+struct OperatorHandler {
     kernel: Arc<Kernel>,
 }
 
 #[async_trait]
-impl Handler for Operators {
+impl Handler for OperatorHandler {
     async fn handle(&self, request: Request<Incoming>) -> Response<Body> {
-        let result = self.answer(request).await;
+        let result = self.dispatch(request).await;
         result.unwrap_or_else(|problem| reply::problem(&problem))
     }
 }
 
-impl Operators {
-    async fn answer(&self, request: Request<Incoming>) -> Result<Response<Body>, Problem> {
+impl OperatorHandler {
+    /// Authorizes a request and handles it according to its path and method.
+    async fn dispatch(&self, request: Request<Incoming>) -> Result<Response<Body>, Problem> {
         self.authorize(request.headers())?;
         let path = request.uri().path().to_owned();
         match (request.method(), path.as_str()) {
@@ -130,13 +137,14 @@
         }
     }
 
-    /// Only operators may go on: those in the settings in force, or the one in
-    /// this instance's own settings, who is there before any are.
+    /// Checks the request's operator key, which must be one of those in the
+    /// active settings or the one in this instance's own settings. The latter
+    /// makes it possible to apply the first settings.
     fn authorize(&self, headers: &HeaderMap) -> Result<(), Problem> {
-        let key = bearer(headers).unwrap_or_default();
-        let first = self.kernel.settings.operator_hash.as_deref();
+        let key = bearer_key(headers).unwrap_or_default();
+        let local_hash = self.kernel.settings.operator_hash.as_deref();
         let settings = self.kernel.current.get();
-        if settings.tree.is_operator(key) || first == Some(hash_key(key).as_str()) {
+        if settings.tree.is_operator(key) || local_hash == Some(hash_key(key).as_str()) {
             return Ok(());
         }
         let message = "the key is missing or no operator's; send authorization: Bearer KEY with \
@@ -144,13 +152,14 @@
         Err(Problem::new(Kind::Unauthorized, message))
     }
 
+    /// Returns the status of this instance.
     fn status(&self) -> Status {
         let kernel = &self.kernel;
         let own = kernel.members.own();
         let view = kernel.map.view();
-        let shards = view.iter().map(|version| {
-            let places = 0..u16::try_from(version.shard.slots.len()).unwrap_or(0);
-            let holders = places.filter_map(|place| version.shard.holder(place));
+        let slot_counts = view.iter().map(|version| {
+            let slots = 0..u16::try_from(version.shard.slots.len()).unwrap_or(0);
+            let holders = slots.filter_map(|slot| version.shard.holder(slot));
             holders.filter(|holder| holder.owner == own.id).count()
         });
         let keeps = match (own.runs(Role::Keeper), own.disk) {
@@ -161,19 +170,25 @@
         Status {
             deployment: kernel.settings.deployment.clone(),
             revision: kernel.current.get().revision,
-            ready: kernel.ready(),
-            slots: shards.sum(),
+            ready: kernel.is_ready(),
+            slots: slot_counts.sum(),
             keeps: keeps.to_owned(),
             members: kernel.members.view().values().cloned().collect(),
             own,
         }
     }
 
+    /// Applies uploaded settings on top of the revision in `if-match`.
     async fn apply(&self, request: Request<Incoming>) -> Result<Response<Body>, Problem> {
-        let known = request.headers().get(header::IF_MATCH);
-        let known = known.and_then(|v| v.to_str().ok()?.parse().ok());
-        let bytes = body::collect(request.into_body(), SETTINGS_BYTES, SETTINGS_TIME).await?;
-        let Some(known) = known else {
+        let base_revision = request.headers().get(header::IF_MATCH);
+        let base_revision = base_revision.and_then(|v| v.to_str().ok()?.parse().ok());
+        let bytes = body::collect(
+            request.into_body(),
+            MAX_SETTINGS_BYTES,
+            SETTINGS_READ_TIMEOUT,
+        )
+        .await?;
+        let Some(base_revision) = base_revision else {
             let message = "the header if-match is missing; name the revision you read and changed";
             return Err(Problem::new(Kind::BadRequest, message));
         };
@@ -182,7 +197,7 @@
             let lines: Vec<String> = errors.iter().map(ToString::to_string).collect();
             Problem::new(Kind::BadRequest, lines.join("\n"))
         })?;
-        let applied = current::apply(&*self.kernel.kv, tree, known).await;
+        let applied = current::apply(&*self.kernel.kv, tree, base_revision).await;
         let snapshot = applied.map_err(|error| match error {
             current::Error::Conflict(_) => Problem::new(Kind::Conflict, error.to_string()),
             other => Problem::new(Kind::Unavailable, other.to_string())
@@ -190,7 +205,7 @@
                 .retry_after(Duration::from_secs(1)),
         })?;
         tracing::info!(event = "settings_applied", revision = snapshot.revision);
-        self.kernel.current.take(snapshot.clone());
+        self.kernel.current.update(snapshot.clone());
         Ok(reply::json(StatusCode::OK, &snapshot))
     }
 }
@@ -199,7 +214,7 @@
     Plugin {
         role: Role::Admin,
         mount: |kernel: &Arc<Kernel>, mounts: &mut Mounts| {
-            mounts.operators(Arc::new(Operators { kernel: kernel.clone() }));
+            mounts.set_operator_handler(Arc::new(OperatorHandler { kernel: kernel.clone() }));
             Ok(())
         },
     }
--- a/crates/gradedyke/src/current.rs
+++ b/crates/gradedyke/src/current.rs
@@ -1,8 +1,8 @@
-//! The settings in force: the newest revision of the operators' tree.
+//! The active settings: the newest revision of the operators' settings tree.
 //!
-//! The tree lives under one key of the key-value service. Every instance
-//! watches it and applies only rising revisions, so that a late answer of an
-//! old read can never bring an old tree back.
+//! The tree is stored under one key of the key-value service. Every instance
+//! watches the key and ignores revisions older than its own, so that a delayed
+//! response cannot restore an old tree.
 
 use std::sync::Arc;
 
@@ -15,35 +15,35 @@
 
 use crate::watching;
 
-/// The key that holds the tree.
-pub const KEY: &str = "gradedyke/settings";
+/// The key under which the tree is stored.
+pub const SETTINGS_KEY: &str = "gradedyke/settings";
 
-/// A tree with its revision.
+/// A settings tree with its revision.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The revision, from 1; 0 before any tree was applied.
+    /// The revision, from 1. It is 0 before any tree has been applied.
     pub revision: u64,
-    /// Sets this write apart from any other.
+    /// A random value that distinguishes this write from any other.
     pub mark: String,
-    /// The tree.
+    /// The settings.
     pub tree: Tree,
 }
 
-/// What applying a tree fails with.
+/// An error of reading or applying settings.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// Another revision is in force than the writer knew.
+    /// The active revision is not the one that the change is based on.
     #[error("revision {0} is in force; read it, merge your change and apply it on that")]
     Conflict(u64),
-    /// The service failed.
+    /// The key-value service failed.
     #[error(transparent)]
     KeyValue(#[from] kv::Error),
-    /// What the service holds is no tree.
+    /// The stored or new settings cannot be decoded or encoded.
     #[error("the tree in force cannot be read ({0}); apply a corrected one")]
     Malformed(String),
 }
 
-/// The settings in force on this instance.
+/// The active settings on this instance.
 #[derive(Debug)]
 pub struct Current {
     snapshot: ArcSwap<Snapshot>,
@@ -60,31 +60,32 @@
 }
 
 impl Current {
-    /// The newest snapshot seen.
+    /// Returns the newest snapshot.
     pub fn get(&self) -> Arc<Snapshot> {
         self.snapshot.load_full()
     }
 
-    /// Follows the revision in force.
+    /// Returns a receiver of the active revision.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.revision.subscribe()
     }
 
-    /// Takes a snapshot in if it is newer, and tells whether it was.
+    /// Replaces the active settings with a newer snapshot. Returns whether the
+    /// snapshot was newer.
     ///
     /// ```
     /// use gradedyke::current::{Current, Snapshot};
     ///
     /// let current = Current::default();
-    /// assert!(current.take(Snapshot { revision: 2, ..Default::default() }));
-    /// assert!(!current.take(Snapshot { revision: 1, ..Default::default() }));
+    /// assert!(current.update(Snapshot { revision: 2, ..Default::default() }));
+    /// assert!(!current.update(Snapshot { revision: 1, ..Default::default() }));
     /// ```
-    pub fn take(&self, snapshot: Snapshot) -> bool {
+    pub fn update(&self, snapshot: Snapshot) -> bool {
         let revision = snapshot.revision;
-        let newer = self.revision.send_if_modified(|seen| {
-            let newer = *seen < revision;
+        let newer = self.revision.send_if_modified(|current| {
+            let newer = *current < revision;
             if newer {
-                *seen = revision;
+                *current = revision;
                 self.snapshot.store(Arc::new(snapshot));
             }
             newer
@@ -95,43 +96,46 @@
         newer
     }
 
-    /// Follows the key until `stop`.
+    /// Watches the settings key until `stop` is cancelled.
     pub async fn follow(self: Arc<Self>, kv: Arc<dyn KeyValue>, stop: CancellationToken) {
-        watching::keep("settings", stop, || self.once(&*kv)).await;
+        watching::keep("settings", stop, || self.watch(&*kv)).await;
     }
 
-    async fn once(&self, kv: &dyn KeyValue) -> Result<(), Error> {
-        let listing = kv.list(KEY).await?;
+    /// Reads the settings and applies changes until the watch fails.
+    async fn watch(&self, kv: &dyn KeyValue) -> Result<(), Error> {
+        let listing = kv.list(SETTINGS_KEY).await?;
         for entry in &listing.entries {
-            self.read(&entry.value);
+            self.update_from_json(&entry.value);
         }
-        let mut watch = kv.watch(KEY, listing.revision + 1).await?;
+        let mut watch = kv.watch(SETTINGS_KEY, listing.revision + 1).await?;
         loop {
             for event in watch.next().await? {
                 if let Event::Put(entry) = event {
-                    self.read(&entry.value);
+                    self.update_from_json(&entry.value);
                 }
             }
         }
     }
 
-    fn read(&self, value: &[u8]) {
+    /// Updates the active settings from a stored value.
+    fn update_from_json(&self, value: &[u8]) {
         match serde_json::from_slice(value) {
             Ok(snapshot) => {
-                self.take(snapshot);
+                self.update(snapshot);
             }
             Err(error) => tracing::error!(event = "settings_malformed", %error),
         }
     }
 }
 
-/// Reads the snapshot in the key-value service, with the key's own revision.
+/// Reads the snapshot from the key-value service, with the key's own revision.
+/// Before any settings have been applied, returns an empty snapshot.
 ///
 /// # Errors
 ///
-/// The service failed, or holds no tree.
+/// The service failed, or the stored value cannot be decoded.
 pub async fn read(kv: &dyn KeyValue) -> Result<(Snapshot, Revision), Error> {
-    let Some(entry) = kv.get(KEY).await? else {
+    let Some(entry) = kv.get(SETTINGS_KEY).await? else {
         return Ok((Snapshot::default(), 0));
     };
     let snapshot = serde_json::from_slice(&entry.value);
@@ -139,25 +143,26 @@
     Ok((snapshot, entry.revision))
 }
 
-/// Puts `tree` in force after revision `known` and returns its revision.
+/// Applies `tree` as the revision after `base_revision` and returns the new
+/// snapshot.
 ///
 /// # Errors
 ///
-/// [`Error::Conflict`] when another revision than `known` is in force.
-pub async fn apply(kv: &dyn KeyValue, tree: Tree, known: u64) -> Result<Snapshot, Error> {
-    let (present, expected) = read(kv).await?;
-    if present.revision != known {
-        return Err(Error::Conflict(present.revision));
+/// [`Error::Conflict`] when the active revision is not `base_revision`.
+pub async fn apply(kv: &dyn KeyValue, tree: Tree, base_revision: u64) -> Result<Snapshot, Error> {
+    let (active, key_revision) = read(kv).await?;
+    if active.revision != base_revision {
+        return Err(Error::Conflict(active.revision));
     }
     let snapshot = Snapshot {
-        revision: known + 1,
+        revision: base_revision + 1,
         mark: gradedyke_base::id::Request::fresh().to_string(),
         tree,
     };
     let value = serde_json::to_vec(&snapshot).map_err(|e| Error::Malformed(e.to_string()))?;
     let swap = Swap {
-        key: KEY.to_owned(),
-        expected,
+        key: SETTINGS_KEY.to_owned(),
+        expected: key_revision,
         value: Some(value),
         lease: None,
     };
--- a/crates/gradedyke/src/entry/admission.rs
+++ b/crates/gradedyke/src/entry/admission.rs
@@ -1,4 +1,5 @@
-//! How many calls of a client account run at a time through this entry.
+//! Limits how many calls of a client account run concurrently through this
+//! entry.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -8,22 +9,23 @@
 use gradedyke_base::problem::{Kind, Problem};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// When to come back after a refusal.
-const COME_BACK: Duration = Duration::from_secs(1);
+/// Retry delay sent with a rejection.
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Counts calls in progress.
+/// Limits concurrent calls per client account.
 #[derive(Debug, Default)]
 pub struct Admission {
     accounts: Mutex<HashMap<id::Account, (usize, Arc<Semaphore>)>>,
 }
 
 impl Admission {
-    /// Admits a call of `account`, of which `limit` may be in progress. The
-    /// call is over when the permit is dropped.
+    /// Admits a call of `account`, of which at most `limit` may run at a time.
+    /// The call counts until the returned permit is dropped.
     ///
     /// # Errors
     ///
-    /// `overloaded`, at once, with when to come back.
+    /// `overloaded`, with a retry delay, when the limit is reached. This method
+    /// never waits.
     ///
     /// ```
     /// use gradedyke::entry::admission::Admission;
@@ -41,25 +43,28 @@
         account: &id::Account,
         limit: usize,
     ) -> Result<OwnedSemaphorePermit, Problem> {
-        let permits = self.permits(account, limit);
-        permits.try_acquire_owned().map_err(|_| {
+        let semaphore = self.semaphore(account, limit);
+        semaphore.try_acquire_owned().map_err(|_| {
             let message = format!(
                 "{limit} calls of your client account are in progress here, its limit; send it \
                  again when some have ended"
             );
-            Problem::new(Kind::Overloaded, message).retry_after(COME_BACK)
+            Problem::new(Kind::Overloaded, message).retry_after(RETRY_AFTER)
         })
     }
 
-    fn permits(&self, account: &id::Account, limit: usize) -> Arc<Semaphore> {
+    /// Returns the semaphore of `account`, which is replaced when `limit` has
+    /// changed.
+    fn semaphore(&self, account: &id::Account, limit: usize) -> Arc<Semaphore> {
         let mut accounts = self.accounts.lock().unwrap_or_else(PoisonError::into_inner);
         match accounts.get(account) {
-            Some((known, permits)) if *known == limit => permits.clone(),
-            // A changed limit counts anew; calls in progress end under the old one.
+            Some((known_limit, semaphore)) if *known_limit == limit => semaphore.clone(),
+            // Calls in progress keep their permits of the old semaphore and do
+            // not count against the new limit.
             _ => {
-                let permits = Arc::new(Semaphore::new(limit.min(Semaphore::MAX_PERMITS)));
-                accounts.insert(account.clone(), (limit, permits.clone()));
-                permits
+                let semaphore = Arc::new(Semaphore::new(limit.min(Semaphore::MAX_PERMITS)));
+                accounts.insert(account.clone(), (limit, semaphore.clone()));
+                semaphore
             }
         }
     }
--- a/crates/gradedyke/src/entry/api.rs
+++ b/crates/gradedyke/src/entry/api.rs
@@ -1,16 +1,16 @@
-//! The paths callers use.
+//! The HTTP API for callers.
 //!
-//! | method and path | does |
+//! | method and path | action |
 //! |---|---|
 //! | `POST /v1/programs` | opens a program |
-//! | `GET /v1/programs/{id}` | tells of it |
-//! | `GET /v1/programs/{id}/history` | reads its history |
-//! | `POST /v1/programs/{id}/children` | opens a sub-agent under it |
+//! | `GET /v1/programs/{id}` | returns its state |
+//! | `GET /v1/programs/{id}/history` | returns its history |
+//! | `POST /v1/programs/{id}/children` | opens a child program |
 //! | `POST /v1/programs/{id}/end`, `.../cancel` | ends it |
-//! | `GET /v1/programs/{id}/requests/{request}` | fetches an answer |
-//! | `POST /v1/chat/completions` | issues a model call |
-//! | any `/v1/services/{name}/{path}` | issues a call to a plain service |
-//! | `GET /v1/models` | lists the models open to the client account |
+//! | `GET /v1/programs/{id}/requests/{request}` | returns the answer to a request |
+//! | `POST /v1/chat/completions` | calls a model |
+//! | any `/v1/services/{name}/{path}` | calls a plain service |
+//! | `GET /v1/models` | lists the models that the client account may use |
 
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -33,28 +33,31 @@
 use crate::program::record::Why;
 use crate::wire::{Call, History, Outcome, Work};
 
-/// Names the program of a call.
-pub const PROGRAM: &str = "gradedyke-program";
-/// Names the request; the same again gives the same answer.
-pub const REQUEST: &str = "idempotency-key";
-/// Gives the call's place in its program, from 1.
-pub const SEQUENCE: &str = "gradedyke-sequence";
-/// Says how the messages relate to the history: `whole` or `append`.
-pub const HISTORY: &str = "gradedyke-history";
-/// Says whether a call to a plain service may run more than once: `yes`, `no`.
-pub const REPEATABLE: &str = "gradedyke-repeatable";
-/// Says how much of a stream the caller has.
-pub const LAST_EVENT: &str = "last-event-id";
-
-/// Chunks that may wait for a slow caller.
-const CHUNKS: usize = 2;
-
-/// The listener for callers.
-pub struct Callers {
+/// Request header: the id of the call's program.
+pub const PROGRAM_HEADER: &str = "gradedyke-program";
+/// Request and response header: the request id. Requests with the same id get
+/// the same answer.
+pub const REQUEST_HEADER: &str = "idempotency-key";
+/// Request header: the call's sequence number within its program, from 1.
+pub const SEQUENCE_HEADER: &str = "gradedyke-sequence";
+/// Request header: `whole` if the messages contain the history, `append` if they
+/// are only the new messages.
+pub const HISTORY_HEADER: &str = "gradedyke-history";
+/// Request header: `yes` or `no`, whether a call to a plain service may run more
+/// than once.
+pub const REPEATABLE_HEADER: &str = "gradedyke-repeatable";
+/// Request header: the id of the last event that the caller has received.
+pub const LAST_EVENT_ID_HEADER: &str = "last-event-id";
+
+/// Number of chunks buffered for a caller that reads slowly.
+const STREAM_BUFFER_LEN: usize = 2;
+
+/// Handles callers' requests.
+pub struct CallerHandler {
     entry: Arc<Entry>,
 }
 
-/// A request to open a program.
+/// The body of a request to open a program.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Open {
@@ -63,6 +66,7 @@
     budget_tokens: Option<u64>,
 }
 
+/// A model in a [`ModelList`].
 #[derive(Serialize)]
 struct Model<'a> {
     id: &'a str,
@@ -70,14 +74,15 @@
     owned_by: &'static str,
 }
 
+/// The response that lists models.
 #[derive(Serialize)]
-struct Models<'a> {
+struct ModelList<'a> {
     object: &'static str,
     data: Vec<Model<'a>>,
 }
 
-/// A request whose caller is known.
-struct Asked {
+/// An authenticated request.
+struct AuthenticatedRequest {
     entry: Arc<Entry>,
     account: id::Account,
     method: Method,
@@ -87,20 +92,21 @@
     body: bytes::Bytes,
 }
 
-impl Callers {
-    /// The listener of `entry`.
+impl CallerHandler {
+    /// Creates the handler of `entry`.
     pub fn new(entry: Arc<Entry>) -> Self {
         Self { entry }
     }
 
-    async fn answer(&self, request: Request<Incoming>) -> Result<Response<Body>, Problem> {
+    /// Authenticates a request, reads its body and handles it.
+    async fn respond(&self, request: Request<Incoming>) -> Result<Response<Body>, Problem> {
         let (head, incoming) = request.into_parts();
         let settings = self.entry.current.get();
-        let account = self.entry.keys.account(&head.headers, &settings)?;
+        let account = self.entry.keys.authenticate(&head.headers, &settings)?;
         let limits = &self.entry.limits;
-        let time = Duration::from_millis(limits.body_ms);
-        let body = body::collect(incoming, limits.body_bytes, time).await?;
-        let asked = Asked {
+        let timeout = Duration::from_millis(limits.body_ms);
+        let body = body::collect(incoming, limits.body_bytes, timeout).await?;
+        let authenticated = AuthenticatedRequest {
             entry: self.entry.clone(),
             account,
             method: head.method,
@@ -109,14 +115,14 @@
             headers: head.headers,
             body,
         };
-        asked.answer().await
+        authenticated.dispatch().await
     }
 }
 
 #[async_trait]
-impl Handler for Callers {
+impl Handler for CallerHandler {
     async fn handle(&self, request: Request<Incoming>) -> Response<Body> {
-        let result = self.answer(request).await;
+        let result = self.respond(request).await;
         result.unwrap_or_else(|problem| {
             metrics::counter!("gradedyke_refusals_total", "kind" => problem.kind.name())
                 .increment(1);
@@ -125,33 +131,43 @@
     }
 }
 
-impl Asked {
-    async fn answer(self) -> Result<Response<Body>, Problem> {
+impl AuthenticatedRequest {
+    /// Handles the request according to its path and method.
+    async fn dispatch(self) -> Result<Response<Body>, Problem> {
         let path = self.path.clone();
         let parts: Vec<&str> = path.trim_start_matches('/').split('/').collect();
         match parts.as_slice() {
-            ["v1", "programs"] => self.only(&Method::POST)?.open(None).await,
-            ["v1", "programs", id] => self.only(&Method::GET)?.show(id).await,
-            ["v1", "programs", id, "history"] => self.only(&Method::GET)?.history(id).await,
-            ["v1", "programs", id, "children"] => self.only(&Method::POST)?.open(Some(id)).await,
-            ["v1", "programs", id, "end"] => self.only(&Method::POST)?.end(id, Why::Done).await,
+            ["v1", "programs"] => self.require_method(&Method::POST)?.open(None).await,
+            ["v1", "programs", id] => self.require_method(&Method::GET)?.show(id).await,
+            ["v1", "programs", id, "history"] => {
+                self.require_method(&Method::GET)?.history(id).await
+            }
+            ["v1", "programs", id, "children"] => {
+                self.require_method(&Method::POST)?.open(Some(id)).await
+            }
+            ["v1", "programs", id, "end"] => {
+                self.require_method(&Method::POST)?.end(id, Why::Done).await
+            }
             ["v1", "programs", id, "cancel"] => {
-                self.only(&Method::POST)?.end(id, Why::Cancelled).await
+                self.require_method(&Method::POST)?
+                    .end(id, Why::Cancelled)
+                    .await
             }
             ["v1", "programs", id, "requests", request] => {
-                self.only(&Method::GET)?.fetch(id, request).await
+                self.require_method(&Method::GET)?.fetch(id, request).await
             }
-            ["v1", "chat", "completions"] => self.only(&Method::POST)?.chat().await,
+            ["v1", "chat", "completions"] => self.require_method(&Method::POST)?.chat().await,
             ["v1", "services", name, rest @ ..] => {
                 let rest = rest.join("/");
                 self.service(name, &rest).await
             }
-            ["v1", "models"] => self.only(&Method::GET)?.models(),
+            ["v1", "models"] => self.require_method(&Method::GET)?.models(),
             _ => Ok(reply::no_route(&path)),
         }
     }
 
-    fn only(&self, method: &Method) -> Result<&Self, Problem> {
+    /// Returns `self` if the request has the given method.
+    fn require_method(&self, method: &Method) -> Result<&Self, Problem> {
         if self.method == *method {
             return Ok(self);
         }
@@ -159,6 +175,7 @@
         Err(Problem::new(Kind::BadMethod, message))
     }
 
+    /// Returns the value of a header, if it is present.
     fn header(&self, name: &str) -> Result<Option<&str>, Problem> {
         let value = self.headers.get(name).map(HeaderValue::to_str).transpose();
         value.map_err(|_| {
@@ -167,7 +184,8 @@
         })
     }
 
-    fn number(&self, name: &str) -> Result<Option<u64>, Problem> {
+    /// Returns the value of a header that holds a number, if it is present.
+    fn number_header(&self, name: &str) -> Result<Option<u64>, Problem> {
         let number = self.header(name)?.map(str::parse).transpose();
         number.map_err(|_| {
             let message = format!("the header {name} is not a number; correct it");
@@ -175,15 +193,17 @@
         })
     }
 
-    fn request(&self) -> Result<id::Request, Problem> {
-        match self.header(REQUEST)? {
+    /// Returns the request id that the caller sent, or a new one.
+    fn request_id(&self) -> Result<id::Request, Problem> {
+        match self.header(REQUEST_HEADER)? {
             Some(text) => id::Request::parse(text),
             None => Ok(id::Request::fresh()),
         }
     }
 
-    fn program(&self) -> Result<id::Program, Problem> {
-        let Some(text) = self.header(PROGRAM)? else {
+    /// Returns the id of the program that the request names.
+    fn program_id(&self) -> Result<id::Program, Problem> {
+        let Some(text) = self.header(PROGRAM_HEADER)? else {
             let message = "the header gradedyke-program is missing; open a program with POST \
                            /v1/programs and send its id";
             return Err(Problem::new(Kind::BadRequest, message));
@@ -191,14 +211,15 @@
         id::Program::parse(text)
     }
 
+    /// Opens a program, or a child program if `parent` is given.
     async fn open(&self, parent: Option<&str>) -> Result<Response<Body>, Problem> {
         let open: Open = reply::parse(&self.body)?;
-        let request = self.request()?;
+        let request = self.request_id()?;
         let program = match parent {
             None => id::Program::opened(&self.account, &request),
             Some(parent) => {
                 let child = id::Program::parse(parent)?.child(&request);
-                // A child's name is longer than its parent's.
+                // A child's id contains its parent's and may exceed the maximum length.
                 id::Program::parse(child.as_str()).map_err(|_| {
                     let message = "sub-agents are nested too deep; open this one further up";
                     Problem::new(Kind::BadRequest, message)
@@ -211,45 +232,49 @@
             agent: open.agent,
             budget_tokens: open.budget_tokens,
         };
-        let ask = |client| {
+        let send = |client| {
             let opening = opening.clone();
             async move { ApiClient::open(&client, opening).await }
         };
-        let info: Info = self.entry.ask(program.slot(), ask).await?;
+        let info: Info = self.entry.call_owner(program.slot(), send).await?;
         Ok(reply::json(StatusCode::CREATED, &info))
     }
 
+    /// Returns the state of a program.
     async fn show(&self, id: &str) -> Result<Response<Body>, Problem> {
         let program = id::Program::parse(id)?;
-        let ask = |client| {
+        let send = |client| {
             let (account, program) = (self.account.clone(), program.clone());
             async move { ApiClient::show(&client, account, program).await }
         };
-        let info: Info = self.entry.ask(program.slot(), ask).await?;
+        let info: Info = self.entry.call_owner(program.slot(), send).await?;
         Ok(reply::json(StatusCode::OK, &info))
     }
 
+    /// Returns the messages of a program's history.
     async fn history(&self, id: &str) -> Result<Response<Body>, Problem> {
         let program = id::Program::parse(id)?;
-        let ask = |client| {
+        let send = |client| {
             let (account, program) = (self.account.clone(), program.clone());
             async move { ApiClient::history(&client, account, program).await }
         };
-        let history = self.entry.ask(program.slot(), ask).await?;
+        let history = self.entry.call_owner(program.slot(), send).await?;
         let document = serde_json::json!({ "messages": history });
         Ok(reply::json(StatusCode::OK, &document))
     }
 
+    /// Ends a program for the given reason.
     async fn end(&self, id: &str, why: Why) -> Result<Response<Body>, Problem> {
         let program = id::Program::parse(id)?;
-        let ask = |client| {
+        let send = |client| {
             let (account, program) = (self.account.clone(), program.clone());
             async move { ApiClient::end(&client, account, program, why).await }
         };
-        let info: Info = self.entry.ask(program.slot(), ask).await?;
+        let info: Info = self.entry.call_owner(program.slot(), send).await?;
         Ok(reply::json(StatusCode::OK, &info))
     }
 
+    /// Lists the models that the client account's agents may use.
     fn models(&self) -> Result<Response<Body>, Problem> {
         let settings = self.entry.current.get();
         let account = settings.tree.accounts.get(self.account.as_str());
@@ -262,18 +287,19 @@
             object: "model",
             owned_by: "gradedyke",
         };
-        let models = Models {
+        let models = ModelList {
             object: "list",
             data: names.into_iter().map(model).collect(),
         };
         Ok(reply::json(StatusCode::OK, &models))
     }
 
+    /// Calls a model.
     async fn chat(&self) -> Result<Response<Body>, Problem> {
-        let program = self.program()?;
+        let program = self.program_id()?;
         let request: chat::Request = reply::parse(&self.body)?;
         request.check()?;
-        let history = match self.header(HISTORY)? {
+        let history = match self.header(HISTORY_HEADER)? {
             None | Some("whole") => History::Whole,
             Some("append") => History::Append,
             Some(_) => {
@@ -284,18 +310,19 @@
         let stream = request.stream;
         let options = request.rest.get("stream_options");
         let usage = options.and_then(|o| o.get("include_usage"));
-        let usage = usage.is_some_and(|u| u == true);
+        let include_usage = usage.is_some_and(|u| u == true);
         let work = Work::Chat { request, history };
-        self.issue(program, work, stream, usage).await
+        self.submit(program, work, stream, include_usage).await
     }
 
+    /// Calls a plain service with the path `rest`.
     async fn service(&self, name: &str, rest: &str) -> Result<Response<Body>, Problem> {
-        let program = self.program()?;
-        // A method that HTTP defines as safe to repeat may be repeated; any
-        // other must not be, unless the caller says so.
-        let safe = matches!(self.method, Method::GET | Method::HEAD | Method::OPTIONS);
-        let repeatable = match self.header(REPEATABLE)? {
-            None => safe,
+        let program = self.program_id()?;
+        // Calls with a method that HTTP defines as safe are repeatable by
+        // default, all others only if the caller says so.
+        let is_safe = matches!(self.method, Method::GET | Method::HEAD | Method::OPTIONS);
+        let repeatable = match self.header(REPEATABLE_HEADER)? {
+            None => is_safe,
             Some("yes") => true,
             Some("no") => false,
             Some(_) => {
@@ -308,11 +335,11 @@
             Problem::new(Kind::BadRequest, message)
         })?;
         let query = self.query.as_ref().map(|q| format!("?{q}"));
-        let kind = self.header(header::CONTENT_TYPE.as_str())?;
+        let content_type = self.header(header::CONTENT_TYPE.as_str())?;
         let call = service::Call {
             method: self.method.to_string(),
             path: format!("/{rest}{}", query.unwrap_or_default()),
-            content_type: kind.map(str::to_owned),
+            content_type: content_type.map(str::to_owned),
             body: text,
         };
         let work = Work::Service {
@@ -320,17 +347,18 @@
             call,
             repeatable,
         };
-        self.issue(program, work, false, false).await
+        self.submit(program, work, false, false).await
     }
 
-    async fn issue(
+    /// Sends a new call to its program's owner and relays the answer.
+    async fn submit(
         &self,
         program: id::Program,
         work: Work,
         stream: bool,
-        usage: bool,
+        include_usage: bool,
     ) -> Result<Response<Body>, Problem> {
-        let sequence = self.number(SEQUENCE)?;
+        let sequence = self.number_header(SEQUENCE_HEADER)?;
         if sequence == Some(0) {
             let message = "gradedyke-sequence is 0; number calls from 1";
             return Err(Problem::new(Kind::BadRequest, message));
@@ -338,16 +366,17 @@
         let call = Call {
             account: self.account.clone(),
             program,
-            request: self.request()?,
+            request: self.request_id()?,
             sequence,
             work: Some(work),
-            offset: self.number(LAST_EVENT)?.unwrap_or(0),
+            offset: self.number_header(LAST_EVENT_ID_HEADER)?.unwrap_or(0),
             seen: None,
             whole: !stream,
         };
-        self.relay(call, usage).await
+        self.relay(call, include_usage).await
     }
 
+    /// Relays the answer to an earlier request.
     async fn fetch(&self, id: &str, request: &str) -> Result<Response<Body>, Problem> {
         let accept = self.header(header::ACCEPT.as_str())?.unwrap_or_default();
         let call = Call {
@@ -356,16 +385,16 @@
             request: id::Request::parse(request)?,
             sequence: None,
             work: None,
-            offset: self.number(LAST_EVENT)?.unwrap_or(0),
+            offset: self.number_header(LAST_EVENT_ID_HEADER)?.unwrap_or(0),
             seen: None,
             whole: !accept.contains("text/event-stream"),
         };
         self.relay(call, true).await
     }
 
-    /// Relays a call and replies once its first part is there, so that a
-    /// refusal still has its own status.
-    async fn relay(&self, call: Call, usage: bool) -> Result<Response<Body>, Problem> {
+    /// Relays a call. Waits for the first part before the response starts, so
+    /// that an error then still gets its own HTTP status.
+    async fn relay(&self, call: Call, include_usage: bool) -> Result<Response<Body>, Problem> {
         let permit = self.admit()?;
         let now = SystemTime::now().duration_since(UNIX_EPOCH);
         let created = now.map_or(0, |d| d.as_secs());
@@ -376,24 +405,25 @@
         let first = relay.next().await?;
         let mut response = match first {
             Part::End(Outcome::Failed(problem)) => return Err(problem),
-            Part::End(Outcome::Service(reply)) => render::service(&reply),
-            Part::End(Outcome::Chat(completion)) if whole => renderer.whole(&completion),
+            Part::End(Outcome::Service(reply)) => render::service_response(&reply),
+            Part::End(Outcome::Chat(completion)) if whole => renderer.document(&completion),
             first => {
-                let state = State {
+                let context = StreamContext {
                     model: relay.model.clone(),
                     renderer,
-                    usage,
+                    include_usage,
                     _permit: permit,
                 };
-                stream(relay, first, state)
+                stream_response(relay, first, context)
             }
         };
         if let Ok(value) = HeaderValue::from_str(request.as_str()) {
-            response.headers_mut().insert(REQUEST, value);
+            response.headers_mut().insert(REQUEST_HEADER, value);
         }
         Ok(response)
     }
 
+    /// Admits a call within the client account's limit.
     fn admit(&self) -> Result<OwnedSemaphorePermit, Problem> {
         let settings = self.entry.current.get();
         let account = settings.tree.accounts.get(self.account.as_str());
@@ -402,40 +432,44 @@
     }
 }
 
-/// Replies with a stream that goes on in a task of its own.
-fn stream(mut relay: Relay, first: Part, state: State) -> Response<Body> {
-    let (sender, body) = body::channel(CHUNKS);
-    tokio::spawn(async move { pass_on(&mut relay, first, &state, &sender).await });
+/// Returns a streaming response, which a separate task writes.
+fn stream_response(mut relay: Relay, first: Part, context: StreamContext) -> Response<Body> {
+    let (sender, body) = body::channel(STREAM_BUFFER_LEN);
+    tokio::spawn(async move { forward_parts(&mut relay, first, &context, &sender).await });
     let mut response = Response::new(body);
     let headers = response.headers_mut();
-    let kind = HeaderValue::from_static("text/event-stream");
-    headers.insert(header::CONTENT_TYPE, kind);
+    let content_type = HeaderValue::from_static("text/event-stream");
+    headers.insert(header::CONTENT_TYPE, content_type);
     let no_cache = HeaderValue::from_static("no-cache");
     headers.insert(header::CACHE_CONTROL, no_cache);
     response
 }
 
-/// What a stream needs besides its relay.
-struct State {
+/// What the task that writes a stream needs besides the relay.
+struct StreamContext {
     model: String,
     renderer: Renderer,
-    usage: bool,
+    include_usage: bool,
     _permit: OwnedSemaphorePermit,
 }
 
-/// Passes parts on to the caller until the end, or until the caller goes.
-async fn pass_on(relay: &mut Relay, first: Part, state: &State, sender: &Sender) {
+/// Sends parts to the caller until the answer ends or the caller disconnects.
+async fn forward_parts(relay: &mut Relay, first: Part, context: &StreamContext, sender: &Sender) {
     let mut part = Ok(first);
     loop {
         let (bytes, last) = match &part {
-            Ok(Part::Text(text, offset)) => {
-                (state.renderer.text(&state.model, text, *offset), false)
-            }
-            Ok(Part::End(Outcome::Chat(completion))) => {
-                (state.renderer.end(completion, state.usage), true)
-            }
+            Ok(Part::Text(text, offset)) => (
+                context.renderer.text_event(&context.model, text, *offset),
+                false,
+            ),
+            Ok(Part::End(Outcome::Chat(completion))) => (
+                context
+                    .renderer
+                    .end_events(completion, context.include_usage),
+                true,
+            ),
             Ok(Part::End(Outcome::Failed(problem))) | Err(problem) => {
-                (render::broken(problem), true)
+                (render::error_event(problem), true)
             }
             Ok(Part::End(Outcome::Service(_))) => return,
         };
--- a/crates/gradedyke/src/entry/keys.rs
+++ b/crates/gradedyke/src/entry/keys.rs
@@ -1,4 +1,4 @@
-//! From a caller's key to its client account.
+//! Finds the client account of an API key.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,40 +11,43 @@
 
 use crate::current::Snapshot;
 
-/// Client accounts by the hash of their keys, for one revision of the settings.
+/// Client accounts by the hash of their API keys, for one settings revision.
 #[derive(Debug, Default)]
-struct Table {
+struct Index {
     revision: u64,
     accounts: HashMap<String, id::Account>,
 }
 
-/// Looks keys up. The table is made anew when the settings change.
+/// Finds client accounts by API key. The index is rebuilt when the settings
+/// change.
 #[derive(Debug, Default)]
 pub struct Keys {
-    table: ArcSwap<Table>,
+    index: ArcSwap<Index>,
 }
 
 impl Keys {
-    /// The client account of the key in a request's headers.
+    /// Returns the client account of the API key in a request's headers.
     ///
     /// # Errors
     ///
-    /// `unauthorized`, in the same words for a missing key and a wrong one.
-    pub fn account(
+    /// `unauthorized`, with the same message for a missing and an unknown key.
+    pub fn authenticate(
         &self,
         headers: &HeaderMap,
         settings: &Snapshot,
     ) -> Result<id::Account, Problem> {
-        let key = bearer(headers).ok_or_else(refused)?;
-        let table = self.table(settings);
-        let account = table.accounts.get(&hash_key(key));
-        account.cloned().ok_or_else(refused)
+        let key = bearer_key(headers).ok_or_else(unauthorized)?;
+        let index = self.index(settings);
+        let account = index.accounts.get(&hash_key(key));
+        account.cloned().ok_or_else(unauthorized)
     }
 
-    fn table(&self, settings: &Snapshot) -> Arc<Table> {
-        let table = self.table.load_full();
-        if table.revision == settings.revision {
-            return table;
+    /// Returns the index for `settings`, rebuilding it if their revision is not
+    /// the indexed one.
+    fn index(&self, settings: &Snapshot) -> Arc<Index> {
+        let index = self.index.load_full();
+        if index.revision == settings.revision {
+            return index;
         }
         let mut accounts = HashMap::new();
         for (name, account) in &settings.tree.accounts {
@@ -54,22 +57,22 @@
             let keys = account.keys.iter();
             accounts.extend(keys.map(|key| (key.hash.clone(), id.clone())));
         }
-        let table = Arc::new(Table {
+        let index = Arc::new(Index {
             revision: settings.revision,
             accounts,
         });
-        self.table.store(table.clone());
-        table
+        self.index.store(index.clone());
+        index
     }
 }
 
-/// The key in `authorization: Bearer KEY`.
-pub fn bearer(headers: &HeaderMap) -> Option<&str> {
+/// Returns the key in `authorization: Bearer KEY`.
+pub fn bearer_key(headers: &HeaderMap) -> Option<&str> {
     let value = headers.get(header::AUTHORIZATION)?.to_str().ok()?;
     value.strip_prefix("Bearer ")
 }
 
-fn refused() -> Problem {
+fn unauthorized() -> Problem {
     let message = "the key is missing or not known; send authorization: Bearer KEY with a key of \
                    your client account";
     Problem::new(Kind::Unauthorized, message)
--- a/crates/gradedyke/src/entry/mod.rs
+++ b/crates/gradedyke/src/entry/mod.rs
@@ -1,14 +1,16 @@
-//! The entry: takes callers' requests, authenticates and admits them, finds the
-//! owner of their program, and relays whole answers.
+//! The entry role: authenticates callers' requests, limits concurrency per
+//! client account, and relays each request to the owner of its program.
 //!
-//! An entry keeps no state of programs. It may die at any time: the call goes
-//! on at its owner, and the caller fetches the answer through another entry.
+//! An entry holds no program state. When it crashes, the call continues at its
+//! owner, and the caller can fetch the answer through another entry.
 //!
-//! - [`keys`]: from a caller's key to its client account.
-//! - [`admission`]: how many calls of a client account run at a time.
-//! - [`relay`]: a call at its owner, across changes of owner.
-//! - [`questions`]: short questions to the owner, by JSON-RPC.
-//! - [`api`]: the paths callers use; [`render`] is the format of answers.
+//! - [`keys`]: maps API keys to client accounts.
+//! - [`admission`]: limits concurrent calls per client account.
+//! - [`relay`]: streams a call's answer from its owner and reconnects when the
+//!   owner changes.
+//! - [`questions`]: JSON-RPC requests to owners.
+//! - [`api`]: the HTTP API for callers.
+//! - [`render`]: formats answers for callers.
 
 pub mod admission;
 pub mod api;
@@ -29,8 +31,8 @@
 use crate::membership::{Member, Members};
 use crate::ownership::map::Map;
 
-/// Longest time for a connect to a peer.
-const CONNECT: Duration = Duration::from_millis(500);
+/// Timeout for connecting to a peer.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The entry role of one process.
 pub struct Entry {
@@ -40,15 +42,15 @@
     limits: Limits,
     keys: keys::Keys,
     admission: admission::Admission,
-    questions: questions::Questions,
+    rpc_clients: questions::RpcClients,
     client: Client,
 }
 
 impl Entry {
-    /// The entry role over what `kernel` holds.
+    /// Creates the entry role of a process from the process's shared state.
     pub fn new(kernel: &Kernel) -> Self {
         let config = client::Config {
-            connect: CONNECT,
+            connect: CONNECT_TIMEOUT,
             http2: false,
             keep: true,
         };
@@ -59,13 +61,14 @@
             limits: kernel.settings.limits.clone(),
             keys: keys::Keys::default(),
             admission: admission::Admission::default(),
-            questions: questions::Questions::default(),
+            rpc_clients: questions::RpcClients::default(),
             client: Client::new(&config),
         }
     }
 
-    /// The owner of a slot, as far as is known here.
-    fn owner(&self, slot: Slot) -> Option<Member> {
+    /// Returns the owner of a slot according to this process's slot map and
+    /// member list.
+    fn find_owner(&self, slot: Slot) -> Option<Member> {
         let holder = self.map.holder(slot)?;
         self.members.get(&holder.owner)
     }
@@ -76,7 +79,7 @@
         role: Role::Entry,
         mount: |kernel: &Arc<Kernel>, mounts: &mut Mounts| {
             let entry = Arc::new(Entry::new(kernel));
-            mounts.callers(Arc::new(api::Callers::new(entry)));
+            mounts.set_caller_handler(Arc::new(api::CallerHandler::new(entry)));
             Ok(())
         },
     }
--- a/crates/gradedyke/src/entry/questions.rs
+++ b/crates/gradedyke/src/entry/questions.rs
@@ -1,4 +1,4 @@
-//! Short questions to the owner of a program, by JSON-RPC.
+//! JSON-RPC requests to the owners of programs.
 
 use std::collections::HashMap;
 use std::future::Future;
@@ -14,26 +14,28 @@
 use tokio::time::Instant;
 
 use super::Entry;
-use super::relay::{PATIENCE, patience};
+use super::relay::{OWNER_TIMEOUT, owner_backoff};
 use crate::owner::rpc;
 
-/// Longest time for one question.
-const TIME: Duration = Duration::from_secs(10);
+/// Timeout of one request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Clients of owners, by address.
+/// JSON-RPC clients by the owner's address.
 #[derive(Debug, Default)]
-pub struct Questions {
+pub struct RpcClients {
     clients: Mutex<HashMap<SocketAddr, HttpClient>>,
 }
 
-impl Questions {
+impl RpcClients {
+    /// Returns the client for an address, creating it on first use. Returns
+    /// `None` if it cannot be built.
     fn client(&self, address: SocketAddr) -> Option<HttpClient> {
         let mut clients = self.clients.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(client) = clients.get(&address) {
             return Some(client.clone());
         }
         let built = HttpClientBuilder::default()
-            .request_timeout(TIME)
+            .request_timeout(REQUEST_TIMEOUT)
             .max_request_size(MAX_MESSAGE)
             .max_response_size(MAX_MESSAGE)
             .build(format!("http://{address}{PATH}"));
@@ -44,27 +46,29 @@
 }
 
 impl Entry {
-    /// Asks the owner of a slot, and asks again while the owner changes. The
-    /// questions are idempotent, so a lost answer is no harm.
+    /// Sends a request to the owner of a slot, and retries while the owner
+    /// changes or cannot be reached. Requests must be idempotent, because one
+    /// whose response was lost is sent again.
     ///
     /// # Errors
     ///
-    /// The owner's problem, or `unavailable` when none answers in time.
-    pub(super) async fn ask<T, F>(
+    /// The problem that the owner returned, or `unavailable` when no owner
+    /// responds in time.
+    pub(super) async fn call_owner<T, F>(
         &self,
         slot: Slot,
-        ask: impl Fn(HttpClient) -> F,
+        send: impl Fn(HttpClient) -> F,
     ) -> Result<T, Problem>
     where
         F: Future<Output = Result<T, client::Error>>,
     {
-        let until = Instant::now() + PATIENCE;
-        let mut backoff = patience();
+        let deadline = Instant::now() + OWNER_TIMEOUT;
+        let mut backoff = owner_backoff();
         loop {
-            let address = self.owner(slot).map(|member| member.peer);
-            if let Some(client) = address.and_then(|a| self.questions.client(a)) {
-                match ask(client).await {
-                    Ok(answer) => return Ok(answer),
+            let address = self.find_owner(slot).map(|member| member.peer);
+            if let Some(client) = address.and_then(|a| self.rpc_clients.client(a)) {
+                match send(client).await {
+                    Ok(response) => return Ok(response),
                     Err(error) => match rpc::problem(error) {
                         Ok(problem) if problem.kind == Kind::Moving => {}
                         Ok(problem) => return Err(problem),
@@ -72,10 +76,10 @@
                     },
                 }
             }
-            let wait = backoff.wait(rand::random());
-            match wait {
-                Some(wait) if Instant::now() + wait < until => tokio::time::sleep(wait).await,
-                _ => return Err(super::relay::no_owner().may_have_run()),
+            let delay = backoff.wait(rand::random());
+            match delay {
+                Some(delay) if Instant::now() + delay < deadline => tokio::time::sleep(delay).await,
+                _ => return Err(super::relay::owner_unavailable().may_have_run()),
             }
         }
     }
--- a/crates/gradedyke/src/entry/relay.rs
+++ b/crates/gradedyke/src/entry/relay.rs
@@ -1,9 +1,10 @@
-//! A call at its owner, across changes of owner.
+//! Relays a call to the owner of its program and reconnects when the owner
+//! changes.
 //!
-//! The request id makes a call idempotent, so when the connection breaks or the
-//! slot moves, the relay sends the same call to whoever owns the slot then,
-//! with the offset it has come to and a hash of what it has passed on: the
-//! caller gets each byte once, or an error, never a mixture of two answers.
+//! Calls are idempotent by request id. When the connection breaks or the slot
+//! moves, the relay sends the same call to the slot's new owner, with the number
+//! of bytes relayed so far and their hash. The caller gets each byte once or an
+//! error, but never parts of two different answers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,107 +20,114 @@
 use super::Entry;
 use crate::wire::{CALLS, Call, Frame, MODEL, Outcome, Reader};
 
-/// How long an entry looks for the owner of a program before it gives up: a
-/// lease, a takeover and some more.
-pub const PATIENCE: Duration = Duration::from_secs(15);
-/// First wait before the owner is looked for again.
-const RETRY_FIRST: Duration = Duration::from_millis(10);
-/// Longest such wait.
-const RETRY_LAST: Duration = Duration::from_millis(250);
-/// When to come back after an entry has given up.
-const COME_BACK: Duration = Duration::from_secs(2);
-
-/// The waits while an owner is looked for; [`PATIENCE`] ends them.
-pub(super) fn patience() -> Backoff {
-    Backoff::new(RETRY_FIRST, RETRY_LAST, u32::MAX)
+/// How long an entry tries to reach the owner of a program. Leaves time for the
+/// lease of a failed owner to expire and for another instance to take over.
+pub const OWNER_TIMEOUT: Duration = Duration::from_secs(15);
+/// First delay before another attempt to reach the owner.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(10);
+/// Longest delay between attempts to reach the owner.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(250);
+/// Retry delay sent to the caller when the owner cannot be reached.
+const RETRY_AFTER: Duration = Duration::from_secs(2);
+
+/// Returns the backoff between attempts to reach an owner. It has no limit of
+/// its own: callers stop at [`OWNER_TIMEOUT`].
+pub(super) fn owner_backoff() -> Backoff {
+    Backoff::new(MIN_RETRY_DELAY, MAX_RETRY_DELAY, u32::MAX)
 }
 
-/// The problem of a program whose owner is not found in time.
-pub(super) fn no_owner() -> Problem {
+/// The error for a program whose owner cannot be reached in time.
+pub(super) fn owner_unavailable() -> Problem {
     let message = "the program's owner is not reached; send the request again with the same id";
-    Problem::new(Kind::Unavailable, message).retry_after(COME_BACK)
+    Problem::new(Kind::Unavailable, message).retry_after(RETRY_AFTER)
 }
 
 /// A part of an answer.
 #[derive(Debug)]
 pub enum Part {
-    /// Text, and the offset after it.
+    /// Text, and the offset in bytes of its end in the whole answer.
     Text(String, u64),
-    /// The end.
+    /// The outcome, after which nothing follows.
     End(Outcome),
 }
 
+/// An open response stream from an owner.
 struct Connection {
     incoming: Incoming,
     reader: Reader,
 }
 
-/// A call under way.
+/// A call that is being relayed.
 pub struct Relay {
     entry: Arc<Entry>,
     call: Call,
-    seen: blake3::Hasher,
+    /// Hash of the text relayed so far.
+    text_hash: blake3::Hasher,
     connection: Option<Connection>,
-    /// The model that answers, once known.
+    /// The model that answers; empty until the owner has named it.
     pub model: String,
-    sent: bool,
+    /// Whether an owner may have received the call.
+    maybe_sent: bool,
 }
 
 impl Relay {
-    /// A relay of `call`, which is sent when the first part is asked for.
+    /// Creates a relay of `call`. The call is sent by the first [`Self::next`].
     pub fn new(entry: Arc<Entry>, call: Call) -> Self {
         Self {
             entry,
             call,
-            seen: blake3::Hasher::new(),
+            text_hash: blake3::Hasher::new(),
             connection: None,
             model: String::new(),
-            sent: false,
+            maybe_sent: false,
         }
     }
 
-    /// The next part of the answer.
+    /// Returns the next part of the answer, connecting to an owner as needed.
     ///
     /// # Errors
     ///
-    /// The problem for the caller; there is no further part.
+    /// The problem to report to the caller. No part follows it.
     pub async fn next(&mut self) -> Result<Part, Problem> {
-        let until = Instant::now() + PATIENCE;
-        let mut backoff = patience();
+        let deadline = Instant::now() + OWNER_TIMEOUT;
+        let mut backoff = owner_backoff();
         loop {
-            if let Some(frame) = self.frame().await {
-                return self.part(frame);
+            if let Some(frame) = self.next_frame().await {
+                return self.accept_frame(frame);
             }
-            if self.connect().await? {
+            if self.send_call().await? {
                 continue;
             }
-            let wait = backoff.wait(rand::random());
-            match wait {
-                Some(wait) if Instant::now() + wait < until => tokio::time::sleep(wait).await,
-                _ if self.sent => return Err(no_owner().may_have_run()),
-                _ => return Err(no_owner()),
+            let delay = backoff.wait(rand::random());
+            match delay {
+                Some(delay) if Instant::now() + delay < deadline => tokio::time::sleep(delay).await,
+                _ if self.maybe_sent => return Err(owner_unavailable().may_have_run()),
+                _ => return Err(owner_unavailable()),
             }
         }
     }
 
-    /// The next frame of the present connection, which is dropped when broken.
-    async fn frame(&mut self) -> Option<Frame> {
-        let frame = self.connection.as_mut()?.frame().await;
+    /// Returns the next frame of the current connection. Drops the connection
+    /// when it is broken.
+    async fn next_frame(&mut self) -> Option<Frame> {
+        let frame = self.connection.as_mut()?.next_frame().await;
         if frame.is_none() {
             self.connection = None;
         }
         frame
     }
 
-    fn part(&mut self, frame: Frame) -> Result<Part, Problem> {
+    /// Turns a frame into a part, checking that its text follows on the text
+    /// relayed so far.
+    fn accept_frame(&mut self, frame: Frame) -> Result<Part, Problem> {
         match frame {
-            Frame::Text(at, text) => {
-                if at != self.call.offset {
+            Frame::Text(offset, text) => {
+                if offset != self.call.offset {
                     let message = "the owner sent a part out of place; report this";
                     return Err(Problem::new(Kind::Internal, message));
                 }
                 self.call.offset += text.len() as u64;
-                self.seen.update(text.as_bytes());
+                self.text_hash.update(text.as_bytes());
                 Ok(Part::Text(text, self.call.offset))
             }
             Frame::End(json) => {
@@ -129,36 +137,37 @@
         }
     }
 
-    /// Sends the call to the slot's present owner. Tells whether it was taken.
+    /// Sends the call to the slot's current owner. Returns `false` if it was
+    /// not accepted and may be sent again.
     ///
     /// # Errors
     ///
-    /// The owner refused it for good.
-    async fn connect(&mut self) -> Result<bool, Problem> {
-        let Some(owner) = self.entry.owner(self.call.program.slot()) else {
+    /// The owner rejected the call permanently.
+    async fn send_call(&mut self) -> Result<bool, Problem> {
+        let Some(owner) = self.entry.find_owner(self.call.program.slot()) else {
             return Ok(false);
         };
-        if self.seen.count() > 0 {
-            self.call.seen = Some(self.seen.finalize().to_hex().to_string());
+        if self.text_hash.count() > 0 {
+            self.call.seen = Some(self.text_hash.finalize().to_hex().to_string());
         }
-        let bytes = serde_json::to_vec(&self.call).map_err(internal)?;
+        let bytes = serde_json::to_vec(&self.call).map_err(internal_error)?;
         let request = client::build(Method::POST, owner.peer, CALLS, body::full(bytes));
         let sending = self
             .entry
             .client
-            .send(owner.peer, request.map_err(internal)?);
+            .send(owner.peer, request.map_err(internal_error)?);
         let reply = match sending.await {
             Ok(reply) => reply,
             Err(error) => {
-                self.sent |= !error.not_sent();
+                self.maybe_sent |= !error.not_sent();
                 tracing::debug!(event = "owner_not_reached", owner = %owner.id, %error);
                 return Ok(false);
             }
         };
         if reply.status() != StatusCode::OK {
-            return refusal(owner.peer, reply).await;
+            return read_rejection(owner.peer, reply).await;
         }
-        self.sent = true;
+        self.maybe_sent = true;
         let model = reply.headers().get(MODEL).and_then(|v| v.to_str().ok());
         if let Some(model) = model.filter(|m| !m.is_empty()) {
             model.clone_into(&mut self.model);
@@ -171,17 +180,18 @@
     }
 }
 
-fn internal(error: impl std::fmt::Display) -> Problem {
+fn internal_error(error: impl std::fmt::Display) -> Problem {
     let message = format!("the call cannot be relayed ({error}); report this");
     Problem::new(Kind::Internal, message)
 }
 
-/// Reads why an owner did not take a call. Tells that it may be tried again.
+/// Reads an owner's rejection of a call. Returns `false` if the call may be sent
+/// again.
 ///
 /// # Errors
 ///
-/// It was refused for good.
-async fn refusal(
+/// The call was rejected permanently.
+async fn read_rejection(
     address: std::net::SocketAddr,
     reply: http::Response<Incoming>,
 ) -> Result<bool, Problem> {
@@ -194,8 +204,8 @@
 }
 
 impl Connection {
-    /// The next frame, or `None` when the connection is broken.
-    async fn frame(&mut self) -> Option<Frame> {
+    /// Reads the next frame. Returns `None` when the connection is broken.
+    async fn next_frame(&mut self) -> Option<Frame> {
         loop {
             match self.reader.next() {
                 Ok(Some(frame)) => return Some(frame),
--- a/crates/gradedyke/src/entry/render.rs
+++ b/crates/gradedyke/src/entry/render.rs
@@ -1,11 +1,11 @@
-//! The format of answers towards callers: chat completions, whole or as
-//! server-sent events, and plain services' replies.
+//! Formats answers for callers: chat completions as one document or as
+//! server-sent events, and responses of plain services.
 //!
-//! The id of an event is the number of bytes of text up to and including it. A
-//! caller that comes back with it in `last-event-id`, at any entry, gets the
-//! rest. Tying the id to the text in place of counting events leaves the owner
-//! free to send a slow reader larger pieces, and to drop the pieces when the
-//! answer is whole.
+//! The id of an event is the number of bytes of answer text up to and including
+//! the event. A caller that sends this id in `last-event-id`, to any entry, gets
+//! the remaining text. The id is a byte offset and not an event count, so that
+//! the owner can merge events for a slow reader and need not store them once the
+//! answer is complete.
 
 use bytes::Bytes;
 use gradedyke_backend::chat::Completion;
@@ -16,10 +16,10 @@
 use http::{HeaderValue, Response, StatusCode, header};
 use serde_json::{Value, json};
 
-/// Ends a stream of the chat-completions format.
-const DONE: &str = "data: [DONE]\n\n";
+/// The last event of a chat completion stream.
+const DONE_EVENT: &str = "data: [DONE]\n\n";
 
-/// Renders the answer of one request.
+/// Formats the answer to one chat request.
 #[derive(Clone, Debug)]
 pub struct Renderer {
     id: String,
@@ -27,7 +27,8 @@
 }
 
 impl Renderer {
-    /// A renderer for `request`, which came at `created` seconds of Unix time.
+    /// Creates a renderer for `request`, received at `created`, in seconds since
+    /// the Unix epoch.
     pub fn new(request: &id::Request, created: u64) -> Self {
         Self {
             id: format!("chatcmpl-{request}"),
@@ -49,20 +50,21 @@
         chunk
     }
 
-    /// A piece of text as an event; `offset` is the number of bytes up to its
-    /// end.
-    pub fn text(&self, model: &str, text: &str, offset: u64) -> Bytes {
-        let delta = json!([{
+    /// Formats a piece of text as an event. `offset` is the number of bytes of
+    /// the answer up to the end of the piece.
+    pub fn text_event(&self, model: &str, text: &str, offset: u64) -> Bytes {
+        let choices = json!([{
             "index": 0,
             "delta": { "role": "assistant", "content": text },
             "finish_reason": null,
         }]);
-        let chunk = self.chunk(model, &delta, None);
+        let chunk = self.chunk(model, &choices, None);
         format!("id: {offset}\ndata: {chunk}\n\n").into()
     }
 
-    /// The end of a stream as events.
-    pub fn end(&self, completion: &Completion, usage: bool) -> Bytes {
+    /// Formats the events that end a stream, with the token usage if
+    /// `include_usage` is set.
+    pub fn end_events(&self, completion: &Completion, include_usage: bool) -> Bytes {
         let mut delta = json!({});
         if !completion.tool_calls.is_empty() {
             let calls = completion.tool_calls.iter().enumerate();
@@ -73,25 +75,25 @@
             });
             delta["tool_calls"] = calls.collect();
         }
-        let choice = json!([{
+        let choices = json!([{
             "index": 0,
             "delta": delta,
             "finish_reason": completion.finish_reason,
         }]);
-        let last = self.chunk(&completion.model, &choice, None);
+        let last = self.chunk(&completion.model, &choices, None);
         let offset = completion.content.len();
         let mut events = format!("id: {offset}\ndata: {last}\n\n");
-        if usage {
-            let counted = json!(completion.usage);
-            let chunk = self.chunk(&completion.model, &json!([]), Some(&counted));
+        if include_usage {
+            let usage = json!(completion.usage);
+            let chunk = self.chunk(&completion.model, &json!([]), Some(&usage));
             events.push_str(&format!("id: {offset}\ndata: {chunk}\n\n"));
         }
-        events.push_str(DONE);
+        events.push_str(DONE_EVENT);
         events.into()
     }
 
-    /// A whole answer as one document.
-    pub fn whole(&self, completion: &Completion) -> Response<Body> {
+    /// Formats a complete answer as one document.
+    pub fn document(&self, completion: &Completion) -> Response<Body> {
         let document = json!({
             "id": self.id,
             "object": "chat.completion",
@@ -108,8 +110,8 @@
     }
 }
 
-/// A problem in the middle of a stream, as an event.
-pub fn broken(problem: &Problem) -> Bytes {
+/// Formats a problem that ends a stream as an event.
+pub fn error_event(problem: &Problem) -> Bytes {
     let body = ProblemBody {
         error: problem.clone(),
     };
@@ -117,14 +119,16 @@
     format!("event: error\ndata: {json}\n\n").into()
 }
 
-/// A plain service's reply, as the service gave it.
-pub fn service(reply: &service::Reply) -> Response<Body> {
+/// Passes a plain service's response on to the caller.
+pub fn service_response(reply: &service::Reply) -> Response<Body> {
     let mut response = Response::new(body::full(reply.body.clone()));
     let status = StatusCode::from_u16(reply.status);
     *response.status_mut() = status.unwrap_or(StatusCode::BAD_GATEWAY);
-    let kind = reply.content_type.as_deref();
-    if let Some(Ok(kind)) = kind.map(HeaderValue::from_str) {
-        response.headers_mut().insert(header::CONTENT_TYPE, kind);
+    let content_type = reply.content_type.as_deref();
+    if let Some(Ok(content_type)) = content_type.map(HeaderValue::from_str) {
+        response
+            .headers_mut()
+            .insert(header::CONTENT_TYPE, content_type);
     }
     response
 }
--- a/crates/gradedyke/src/keeper.rs
+++ b/crates/gradedyke/src/keeper.rs
@@ -1,5 +1,5 @@
-//! The keeper: keeps copies of the journal, on the instances that have a disk
-//! or, where there is none, in memory.
+//! The keeper role: stores a replica of the journal, on disk if the instance has
+//! a data folder and otherwise in memory.
 
 use std::sync::Arc;
 
@@ -19,7 +19,7 @@
             };
             let identity = store.identity().to_owned();
             let keeper = Arc::new(store);
-            kernel.members.keep(&identity);
+            kernel.members.set_store(&identity);
             kernel.keepers.set_own(&identity, keeper.clone());
             mounts.methods(Service::new(keeper, &identity).into_rpc())
         },
--- a/crates/gradedyke/src/kernel/keepers.rs
+++ b/crates/gradedyke/src/kernel/keepers.rs
@@ -1,4 +1,4 @@
-//! Finds keepers by instance: this process's own, or another's by JSON-RPC.
+//! Finds keepers by name: this process's own, or a client of another process's.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,21 +12,21 @@
 
 use crate::membership::Members;
 
-/// Longest time for a call to a keeper.
-const TIME: Duration = Duration::from_secs(3);
+/// Timeout of one request to a keeper.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A keeper in another process, and the address it was made for.
-type Known = (SocketAddr, Arc<dyn Keeper>);
+/// The client of a keeper in another process, and the address that it uses.
+type RemoteKeeper = (SocketAddr, Arc<dyn Keeper>);
 
-/// The keepers as this process reaches them.
+/// A directory of keepers, which caches the clients of remote ones.
 pub struct Keepers {
     members: Arc<Members>,
     own: OnceLock<(id::Keeper, Arc<dyn Keeper>)>,
-    remotes: Mutex<HashMap<id::Keeper, Known>>,
+    remotes: Mutex<HashMap<id::Keeper, RemoteKeeper>>,
 }
 
 impl Keepers {
-    /// Keepers among `members`.
+    /// Creates a directory of the keepers among `members`.
     pub fn new(members: Arc<Members>) -> Self {
         Self {
             members,
@@ -35,28 +35,29 @@
         }
     }
 
-    /// Sets this process's own keeper, whose store has the given identity. A
-    /// second one is ignored.
+    /// Sets this process's own keeper, whose store has the given identity. Later
+    /// calls have no effect.
     pub fn set_own(&self, identity: &str, keeper: Arc<dyn Keeper>) {
         let name = id::Keeper::new(&self.members.own().id, identity);
         let _ = self.own.set((name, keeper));
     }
 
+    /// Returns a client of a keeper in another process.
     fn remote(&self, name: &id::Keeper) -> Option<Arc<dyn Keeper>> {
         let (instance, store) = name.parts()?;
         let instance = id::Instance::parse(instance).ok()?;
         let mut remotes = self.remotes.lock().unwrap_or_else(PoisonError::into_inner);
-        let known = remotes.get(name);
+        let cached = remotes.get(name);
         let Some(member) = self.members.get(&instance) else {
-            // It may be that only its registration has lapsed.
-            return known.map(|(_, keeper)| keeper.clone());
+            // The instance may still be running with an expired registration.
+            return cached.map(|(_, keeper)| keeper.clone());
         };
-        match known {
+        match cached {
             Some((address, keeper)) if *address == member.peer => Some(keeper.clone()),
             _ => {
-                // Where the instance has another store by now, calls that name
-                // this one are refused there.
-                let remote = Remote::new(member.peer, store, TIME).ok()?;
+                // If the instance now has a different store, it rejects requests
+                // that name this one.
+                let remote = Remote::new(member.peer, store, REQUEST_TIMEOUT).ok()?;
                 let keeper: Arc<dyn Keeper> = Arc::new(remote);
                 remotes.insert(name.clone(), (member.peer, keeper.clone()));
                 Some(keeper)
--- a/crates/gradedyke/src/kernel/mod.rs
+++ b/crates/gradedyke/src/kernel/mod.rs
@@ -1,8 +1,9 @@
-//! The kernel: what the roles of one process share, and how they start and stop.
+//! The state that the roles of one process share, and how a process starts and
+//! stops.
 //!
-//! Roles register themselves as [`Plugin`]s; the kernel mounts those that the
-//! settings name. It binds the listeners first, so that a port taken by the
-//! system is known before the process registers as a member.
+//! Roles register themselves as [`Plugin`]s; a process mounts those that its
+//! settings name. It binds its listeners first, so that a port already in use is
+//! reported before the process registers as a member.
 
 mod keepers;
 mod metering;
@@ -25,52 +26,52 @@
 use crate::ownership::map::Map;
 
 pub use keepers::Keepers;
-pub use metering::render;
+pub use metering::render_metrics;
 pub use process::{Addresses, Process};
 
-/// What the roles of one process share.
+/// The state that the roles of one process share.
 pub struct Kernel {
-    /// The process's settings.
+    /// The process's own settings.
     pub settings: Instance,
     /// The key-value service.
     pub kv: Arc<dyn KeyValue>,
-    /// The instance list, if the deployment has one.
+    /// The platform's instance list, if the deployment has one.
     pub instances: Option<Arc<dyn Instances>>,
-    /// The members.
+    /// The members of the system.
     pub members: Arc<Members>,
-    /// The map of slots.
+    /// Which instance owns which slot.
     pub map: Arc<Map>,
-    /// The operators' settings in force.
+    /// The active operator settings.
     pub current: Arc<Current>,
-    /// The keepers.
+    /// The keepers by name.
     pub keepers: Arc<Keepers>,
     /// The journal.
     pub journal: Arc<Journal>,
-    /// Cancelled when the process begins to stop as planned.
+    /// Cancelled when the process starts to drain.
     pub drain: CancellationToken,
     /// Cancelled when the process stops.
     pub stop: CancellationToken,
 }
 
 impl Kernel {
-    /// Whether callers may be sent here.
-    pub fn ready(&self) -> bool {
+    /// Whether callers may send requests to this process.
+    pub fn is_ready(&self) -> bool {
         let current = self.current.get();
         current.revision > 0 && self.map.assigned() && !self.drain.is_cancelled()
     }
 }
 
-/// Waits until a role has drained.
-pub type Drain = Box<dyn Fn() -> BoxFuture<'static, ()> + Send + Sync>;
+/// Returns a future that completes when a role has drained.
+pub type DrainFn = Box<dyn Fn() -> BoxFuture<'static, ()> + Send + Sync>;
 
-/// Where roles mount what they serve.
+/// The handlers that the roles of a process have mounted.
 #[derive(Default)]
 pub struct Mounts {
     methods: Methods,
-    calls: Option<Arc<dyn Handler>>,
-    callers: Option<Arc<dyn Handler>>,
-    operators: Option<Arc<dyn Handler>>,
-    drains: Vec<Drain>,
+    call_handler: Option<Arc<dyn Handler>>,
+    caller_handler: Option<Arc<dyn Handler>>,
+    operator_handler: Option<Arc<dyn Handler>>,
+    drains: Vec<DrainFn>,
 }
 
 impl Mounts {
@@ -78,7 +79,7 @@
     ///
     /// # Errors
     ///
-    /// A method of that name is mounted already.
+    /// A method of the same name is already mounted.
     pub fn methods(&mut self, methods: impl Into<Methods>) -> eyre::Result<()> {
         self.methods.merge(methods)?;
         Ok(())
@@ -86,37 +87,37 @@
 
     /// Mounts the handler of calls from entries.
     pub fn calls(&mut self, handler: Arc<dyn Handler>) {
-        self.calls = Some(handler);
+        self.call_handler = Some(handler);
     }
 
     /// Mounts the handler of callers' requests.
-    pub fn callers(&mut self, handler: Arc<dyn Handler>) {
-        self.callers = Some(handler);
+    pub fn set_caller_handler(&mut self, handler: Arc<dyn Handler>) {
+        self.caller_handler = Some(handler);
     }
 
     /// Mounts the handler of operators' requests.
-    pub fn operators(&mut self, handler: Arc<dyn Handler>) {
-        self.operators = Some(handler);
+    pub fn set_operator_handler(&mut self, handler: Arc<dyn Handler>) {
+        self.operator_handler = Some(handler);
     }
 
-    /// Has a planned stop wait for `drain`.
+    /// Adds a function that draining the process waits for.
     pub fn on_drain(&mut self, drain: impl Fn() -> BoxFuture<'static, ()> + Send + Sync + 'static) {
         self.drains.push(Box::new(drain));
     }
 }
 
-/// A role that registers itself.
+/// A role that is registered at link time.
 pub struct Plugin {
-    /// The role.
+    /// The role that this plugin provides.
     pub role: Role,
-    /// Starts it and mounts what it serves.
+    /// Starts the role and mounts its handlers.
     pub mount: fn(&Arc<Kernel>, &mut Mounts) -> eyre::Result<()>,
 }
 
 inventory::collect!(Plugin);
 
-/// The registered roles that `settings` name.
-fn plugins(settings: &Instance) -> Vec<&'static Plugin> {
+/// Returns the registered roles that `settings` name.
+fn enabled_plugins(settings: &Instance) -> Vec<&'static Plugin> {
     let plugins = inventory::iter::<Plugin>.into_iter();
     plugins.filter(|p| settings.runs(p.role)).collect()
 }
--- a/crates/gradedyke/src/kernel/peers.rs
+++ b/crates/gradedyke/src/kernel/peers.rs
@@ -1,5 +1,4 @@
-//! The listener for peers: calls from entries, JSON-RPC, and the question
-//! whether this process lives.
+//! Handles requests of peers: calls from entries, JSON-RPC, and liveness checks.
 
 use std::sync::Arc;
 
@@ -17,22 +16,22 @@
 
 use crate::wire::CALLS;
 
-/// Where a peer asks whether an instance lives.
-const LIVES: &str = "/lives/";
+/// Path prefix of liveness checks, followed by an instance's name.
+const LIVENESS_PATH: &str = "/lives/";
 
-/// The listener for peers.
-pub(super) struct Peers {
+/// Handles requests on the listener for peers.
+pub(super) struct PeerHandler {
     id: id::Instance,
-    calls: Option<Arc<dyn Handler>>,
+    call_handler: Option<Arc<dyn Handler>>,
     methods: Methods,
     stop: StopHandle,
     builder: TowerServiceBuilder<tower::layer::util::Identity, tower::layer::util::Identity>,
 }
 
-impl Peers {
+impl PeerHandler {
     pub(super) fn new(
         id: id::Instance,
-        calls: Option<Arc<dyn Handler>>,
+        call_handler: Option<Arc<dyn Handler>>,
         methods: Methods,
         stop: StopHandle,
     ) -> Self {
@@ -47,13 +46,14 @@
             .to_service_builder();
         Self {
             id,
-            calls,
+            call_handler,
             methods,
             stop,
             builder,
         }
     }
 
+    /// Handles a JSON-RPC request.
     async fn rpc(&self, request: Request<Incoming>) -> Response<Body> {
         let builder = self.builder.clone();
         let mut service = builder.build(self.methods.clone(), self.stop.clone());
@@ -65,17 +65,17 @@
 }
 
 #[async_trait]
-impl Handler for Peers {
+impl Handler for PeerHandler {
     async fn handle(&self, request: Request<Incoming>) -> Response<Body> {
         let path = request.uri().path();
         if path == PATH {
             return self.rpc(request).await;
         }
-        if let Some(name) = path.strip_prefix(LIVES) {
+        if let Some(name) = path.strip_prefix(LIVENESS_PATH) {
             return reply::json(StatusCode::OK, &(name == self.id.as_str()));
         }
-        match &self.calls {
-            Some(calls) if path == CALLS => calls.handle(request).await,
+        match &self.call_handler {
+            Some(handler) if path == CALLS => handler.handle(request).await,
             _ => reply::no_route(path),
         }
     }
--- a/crates/gradedyke/src/kernel/process.rs
+++ b/crates/gradedyke/src/kernel/process.rs
@@ -1,4 +1,4 @@
-//! One process: started, ready, drained or stopped.
+//! The lifecycle of one process: starting, readiness, draining and stopping.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,20 +17,20 @@
 use tokio_util::sync::CancellationToken;
 
 use super::keepers::Keepers;
-use super::peers::Peers;
-use super::{Drain, Kernel, Mounts, metering, plugins};
+use super::peers::PeerHandler;
+use super::{DrainFn, Kernel, Mounts, enabled_plugins, metering};
 use crate::admin;
 use crate::membership::{Member, Members};
 
-/// Longest time for a call to the platform.
-const PLATFORM: Duration = Duration::from_secs(2);
-/// How often it is looked whether the process is ready.
-const READY: Duration = Duration::from_millis(20);
+/// Timeout of one request to the platform.
+const PLATFORM_TIMEOUT: Duration = Duration::from_secs(2);
+/// Interval between checks whether the process is ready.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Where a process listens.
+/// The addresses on which a process listens.
 #[derive(Clone, Copy, Debug)]
 pub struct Addresses {
-    /// For callers.
+    /// For callers, if the process runs an entry.
     pub caller: Option<SocketAddr>,
     /// For peers.
     pub peer: SocketAddr,
@@ -38,20 +38,21 @@
     pub admin: SocketAddr,
 }
 
-/// A running process of the system. It may share an operating system process
-/// with others, as in the demo.
+/// A running process of the system. Several may run in one operating system
+/// process, as in the demo.
 pub struct Process {
     kernel: Arc<Kernel>,
     addresses: Addresses,
-    drains: Vec<Drain>,
+    drains: Vec<DrainFn>,
     /// Stops the listener for callers.
-    callers: CancellationToken,
+    caller_stop: CancellationToken,
     caller_task: JoinSet<()>,
     tasks: JoinSet<()>,
-    // Dropping it would stop the JSON-RPC service.
+    // Keeps the JSON-RPC service running until it is dropped.
     _rpc: jsonrpsee::server::ServerHandle,
 }
 
+/// The bound listeners of a process.
 struct Listeners {
     caller: Option<Server>,
     peer: Server,
@@ -61,30 +62,30 @@
 impl Listeners {
     async fn bind(settings: &Instance) -> eyre::Result<Self> {
         let limits = &settings.limits;
-        let strangers = Config {
+        let public_config = Config {
             protocol: Protocol::Http1,
             head: Duration::from_millis(limits.head_ms),
             connections: limits.connections,
             ..Config::default()
         };
-        let peers = Config {
+        let peer_config = Config {
             protocol: Protocol::Both,
             ..Config::default()
         };
         let bind = |address: SocketAddr, config: Config| async move {
-            let bound = Server::bind(address, config).await;
-            bound.wrap_err_with(|| format!("cannot listen on {address}; free it or change listen"))
+            let server = Server::bind(address, config).await;
+            server.wrap_err_with(|| format!("cannot listen on {address}; free it or change listen"))
         };
         let caller = match settings.listen.caller {
             Some(address) if settings.runs(Role::Entry) => {
-                Some(bind(address, strangers.clone()).await?)
+                Some(bind(address, public_config.clone()).await?)
             }
             _ => None,
         };
         Ok(Self {
             caller,
-            peer: bind(settings.listen.peer, peers).await?,
-            admin: bind(settings.listen.admin, strangers).await?,
+            peer: bind(settings.listen.peer, peer_config).await?,
+            admin: bind(settings.listen.admin, public_config).await?,
         })
     }
 
@@ -98,7 +99,8 @@
     }
 }
 
-fn member(settings: &Instance, addresses: &Addresses) -> Member {
+/// Returns the member that this process registers as.
+fn own_member(settings: &Instance, addresses: &Addresses) -> Member {
     Member {
         id: settings.id.clone(),
         data_centre: settings.data_centre.clone(),
@@ -113,7 +115,8 @@
 }
 
 impl Process {
-    /// Starts a process with the platform at the addresses in its settings.
+    /// Starts a process that uses the platform services at the addresses in its
+    /// settings.
     ///
     /// # Errors
     ///
@@ -121,19 +124,20 @@
     pub async fn start(settings: Instance) -> eyre::Result<Self> {
         let kv = Etcd::new(etcd::Config {
             addresses: settings.platform.key_value.clone(),
-            time: PLATFORM,
+            time: PLATFORM_TIMEOUT,
         });
-        let list = settings.platform.instances;
-        let list = list.map(|a| Arc::new(Consul::new(a, PLATFORM)) as Arc<dyn Instances>);
-        Self::start_over(settings, Arc::new(kv), list).await
+        let instances = settings.platform.instances;
+        let instances =
+            instances.map(|a| Arc::new(Consul::new(a, PLATFORM_TIMEOUT)) as Arc<dyn Instances>);
+        Self::start_with_platform(settings, Arc::new(kv), instances).await
     }
 
-    /// Starts a process over a given platform.
+    /// Starts a process that uses the given platform services.
     ///
     /// # Errors
     ///
     /// A listener cannot be bound, or a role cannot start.
-    pub async fn start_over(
+    pub async fn start_with_platform(
         settings: Instance,
         kv: Arc<dyn KeyValue>,
         instances: Option<Arc<dyn Instances>>,
@@ -142,7 +146,7 @@
         let listeners = Listeners::bind(&settings).await?;
         let addresses = listeners.addresses()?;
         let stop = CancellationToken::new();
-        let members = Members::new(member(&settings, &addresses));
+        let members = Members::new(own_member(&settings, &addresses));
         let keepers = Arc::new(Keepers::new(members.clone()));
         let kernel = Arc::new(Kernel {
             journal: Journal::new(keepers.clone(), stop.clone()),
@@ -157,18 +161,19 @@
             stop,
         });
         let mut mounts = Mounts::default();
-        for plugin in plugins(&kernel.settings) {
+        for plugin in enabled_plugins(&kernel.settings) {
             (plugin.mount)(&kernel, &mut mounts)
                 .wrap_err_with(|| format!("role {} cannot start", plugin.role.name()))?;
         }
         let mut process = Self::serve(kernel, listeners, addresses, mounts);
-        process.follow();
+        process.spawn_background_tasks();
         tracing::info!(event = "started", instance = %process.kernel.settings.id,
             peer = %addresses.peer, admin = %addresses.admin,
             caller = addresses.caller.map(tracing::field::display));
         Ok(process)
     }
 
+    /// Serves the listeners with the mounted handlers.
     fn serve(
         kernel: Arc<Kernel>,
         listeners: Listeners,
@@ -177,30 +182,39 @@
     ) -> Self {
         let (stop_handle, rpc) = stop_channel();
         let id = kernel.settings.id.clone();
-        let peers = Arc::new(Peers::new(id, mounts.calls, mounts.methods, stop_handle));
+        let peer_handler = Arc::new(PeerHandler::new(
+            id,
+            mounts.call_handler,
+            mounts.methods,
+            stop_handle,
+        ));
         let mut tasks = JoinSet::new();
-        tasks.spawn(listeners.peer.serve(peers, kernel.stop.clone()));
-        let pages = Arc::new(admin::Pages::new(kernel.clone(), mounts.operators));
-        tasks.spawn(listeners.admin.serve(pages, kernel.stop.clone()));
-        let callers = kernel.stop.child_token();
+        tasks.spawn(listeners.peer.serve(peer_handler, kernel.stop.clone()));
+        let admin_handler = Arc::new(admin::AdminHandler::new(
+            kernel.clone(),
+            mounts.operator_handler,
+        ));
+        tasks.spawn(listeners.admin.serve(admin_handler, kernel.stop.clone()));
+        let caller_stop = kernel.stop.child_token();
         let mut caller_task = JoinSet::new();
-        if let (Some(listener), Some(handler)) = (listeners.caller, mounts.callers) {
+        if let (Some(listener), Some(handler)) = (listeners.caller, mounts.caller_handler) {
             let handler: Arc<dyn Handler> = handler;
-            caller_task.spawn(listener.serve(handler, callers.clone()));
+            caller_task.spawn(listener.serve(handler, caller_stop.clone()));
         }
         Self {
             kernel,
             addresses,
             drains: mounts.drains,
-            callers,
+            caller_stop,
             caller_task,
             tasks,
             _rpc: rpc,
         }
     }
 
-    /// Starts to follow settings, members and map, and to register.
-    fn follow(&mut self) {
+    /// Starts to watch the settings, the slot map and the members, and to keep
+    /// this process registered.
+    fn spawn_background_tasks(&mut self) {
         let kernel = self.kernel.clone();
         let Kernel {
             kv,
@@ -211,66 +225,71 @@
             settings,
             ..
         } = &*kernel;
-        let lease = Duration::from_millis(settings.lease_ms);
+        let lease_ttl = Duration::from_millis(settings.lease_ms);
         let tasks = &mut self.tasks;
         tasks.spawn(current.clone().follow(kv.clone(), stop.clone()));
         tasks.spawn(map.clone().follow(kv.clone(), stop.clone()));
         tasks.spawn(members.clone().follow(kv.clone(), stop.clone()));
-        tasks.spawn(members.clone().register(kv.clone(), lease, stop.clone()));
+        tasks.spawn(
+            members
+                .clone()
+                .register(kv.clone(), lease_ttl, stop.clone()),
+        );
     }
 
-    /// Where the process listens.
+    /// The addresses on which the process listens.
     pub fn addresses(&self) -> Addresses {
         self.addresses
     }
 
-    /// What the roles share.
+    /// The state that the roles share.
     pub fn kernel(&self) -> &Arc<Kernel> {
         &self.kernel
     }
 
-    /// Waits until callers may be sent here.
+    /// Waits until callers may send requests to this process.
     pub async fn ready(&self) {
-        while !self.kernel.ready() {
-            tokio::time::sleep(READY).await;
+        while !self.kernel.is_ready() {
+            tokio::time::sleep(READY_POLL_INTERVAL).await;
         }
     }
 
-    /// Stops as planned: tells everybody, waits until the balancer has noticed,
-    /// finishes every stream, hands the slots over, and then stops. Tells
-    /// whether all that was done within the time for it.
+    /// Shuts down gracefully: announces that the process is draining, waits for
+    /// load balancers to stop sending callers, finishes the open streams, hands
+    /// the slots over, and stops. Returns whether all this was completed within
+    /// the drain limit; otherwise what remains is cut off.
     pub async fn drain(mut self) -> bool {
         let limits = &self.kernel.settings.limits;
-        let limit = Duration::from_millis(limits.drain_ms);
-        let leave = Duration::from_millis(limits.leave_ms);
+        let timeout = Duration::from_millis(limits.drain_ms);
+        let leave_delay = Duration::from_millis(limits.leave_ms);
         tracing::info!(event = "draining", instance = %self.kernel.settings.id);
         self.kernel.drain.cancel();
-        self.kernel.members.drain();
+        self.kernel.members.set_draining();
         let draining = async {
-            tokio::time::sleep(leave).await;
-            self.callers.cancel();
+            tokio::time::sleep(leave_delay).await;
+            self.caller_stop.cancel();
             while self.caller_task.join_next().await.is_some() {}
             tracing::info!(event = "callers_gone", instance = %self.kernel.settings.id);
             for drain in &self.drains {
                 drain().await;
             }
         };
-        let whole = tokio::time::timeout(limit, draining).await.is_ok();
-        tracing::info!(event = "drained", instance = %self.kernel.settings.id, whole);
+        let completed = tokio::time::timeout(timeout, draining).await.is_ok();
+        tracing::info!(event = "drained", instance = %self.kernel.settings.id, whole = completed);
         self.stop().await;
-        whole
+        completed
     }
 
-    /// Stops at once, cutting what is in progress.
+    /// Stops immediately, without finishing requests in progress.
     pub async fn stop(mut self) {
         self.kernel.stop.cancel();
-        let ended = async { while self.tasks.join_next().await.is_some() {} };
-        // Connections of peers that are kept open do not end by themselves.
-        let _ = tokio::time::timeout(PLATFORM, ended).await;
+        let tasks_ended = async { while self.tasks.join_next().await.is_some() {} };
+        // Idle connections of peers do not close by themselves.
+        let _ = tokio::time::timeout(PLATFORM_TIMEOUT, tasks_ended).await;
     }
 
-    /// Ends as a killed process does: every connection is cut, nothing is
-    /// handed over, and the registration stays until its lease lapses.
+    /// Simulates a killed process: closes every connection, hands nothing over,
+    /// and leaves the registration in place until its lease expires.
     pub async fn kill(mut self) {
         self.caller_task.shutdown().await;
         self.tasks.shutdown().await;
--- a/crates/gradedyke/src/lib.rs
+++ b/crates/gradedyke/src/lib.rs
@@ -1,20 +1,20 @@
 //! A shared scheduling service for agent programs.
 //!
-//! Gradedyke is every process between callers and backend servers. It answers
-//! for each program finishing whole, in order and within its budget, for client
-//! accounts that do not trust one another. This crate is the library; the
-//! daemon over it is `gradedyke run`.
+//! Gradedyke runs between callers and backend servers. It makes sure that the
+//! calls of each program run completely, in order and within the program's
+//! budget, and isolates client accounts from one another. This crate is the
+//! library; `gradedyke run` starts it as a daemon.
 //!
-//! A [`kernel`] starts the roles that register themselves with it:
+//! The [`kernel`] starts the roles of a process:
 //!
-//! - [`entry`] takes callers' requests and relays the answers;
-//! - [`owner`] orders the calls of the programs it owns and dispatches them;
-//! - [`keeper`] keeps copies of the journal;
-//! - [`admin`] serves operators.
+//! - [`entry`] authenticates callers' requests and relays the answers;
+//! - [`owner`] orders and dispatches the calls of the programs that it owns;
+//! - [`keeper`] stores a replica of the journal;
+//! - [`admin`] serves the operator API.
 //!
-//! What they share: [`membership`] and [`ownership`] in the key-value service,
-//! [`current`] settings, the state of a [`program`], [`routing`], and
-//! the [`wire`] between entry and owner.
+//! The roles share [`membership`] and [`ownership`] through the key-value
+//! service, the [`current`] settings, the state of a [`program`], [`routing`],
+//! and the [`wire`] format between entry and owner.
 
 pub mod admin;
 pub mod current;
--- a/crates/gradedyke/src/membership.rs
+++ b/crates/gradedyke/src/membership.rs
@@ -1,9 +1,10 @@
-//! Which processes of the system are there, and where they listen.
+//! The member processes of the system and the addresses on which they listen.
 //!
-//! Each process registers itself under a lease and watches the others. A lease
-//! that lapsed is a sign, no proof: nothing here fences anybody, ownership
-//! epochs do. While the key-value service is away the last view stays, because
-//! losing sight of the service says nothing about the peers.
+//! Each process registers itself under a lease and watches the other
+//! registrations. An expired lease does not prove that a process has stopped:
+//! fencing is done by ownership epochs and not here. While the key-value service
+//! is unavailable, the last view stays in use, because the members may be running
+//! all the same.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,38 +20,39 @@
 
 use crate::watching;
 
-/// Where members register.
+/// Key prefix of the members' registrations.
 pub const PREFIX: &str = "gradedyke/members/";
-/// Wait before a broken registration is made again.
-const PAUSE: Duration = Duration::from_millis(200);
-/// A lease is renewed this many times within its length.
-const RENEWALS: u32 = 3;
+/// Delay before a failed registration is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
+/// How often a lease is renewed within its time to live.
+const RENEWALS_PER_TTL: u32 = 3;
 
-/// A process of the system.
+/// A member process of the system.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// The instance.
+    /// The instance's name.
     pub id: id::Instance,
-    /// The data centre it stands in.
+    /// The data centre of the instance.
     pub data_centre: String,
-    /// What it runs.
+    /// The roles that it runs.
     pub roles: Vec<Role>,
-    /// Where it listens for peers.
+    /// Address of the listener for peers.
     pub peer: SocketAddr,
-    /// Where it listens for operators.
+    /// Address of the listener for operators.
     pub admin: SocketAddr,
-    /// Where it listens for callers, if it runs an entry.
+    /// Address of the listener for callers, if it runs an entry.
     pub caller: Option<SocketAddr>,
-    /// Whether what it keeps is on a disk.
+    /// Whether it has a data folder, in which its keeper stores the journal on
+    /// disk.
     pub disk: bool,
-    /// The identity of the store it keeps the journal in, if it does.
+    /// The identity of its keeper's journal store, if it runs a keeper.
     pub store: Option<String>,
-    /// Whether it is stopping as planned.
+    /// Whether it is draining.
     pub draining: bool,
 }
 
 impl Member {
-    /// The keeper on this instance, if it runs one.
+    /// Returns the name of the keeper on this instance, if it runs one.
     pub fn keeper(&self) -> Option<id::Keeper> {
         let store = self.store.as_deref()?;
         Some(id::Keeper::new(&self.id, store))
@@ -62,10 +64,10 @@
     }
 }
 
-/// All members by instance.
+/// All known members by instance.
 pub type View = Arc<BTreeMap<id::Instance, Member>>;
 
-/// The members as seen from this process.
+/// The members that this process knows, and its own registration.
 #[derive(Debug)]
 pub struct Members {
     view: watch::Sender<View>,
@@ -73,7 +75,7 @@
 }
 
 impl Members {
-    /// The view of `own`, which sees nobody yet.
+    /// Creates an empty view for the process `own`.
     pub fn new(own: Member) -> Arc<Self> {
         Arc::new(Self {
             view: watch::Sender::new(View::default()),
@@ -81,51 +83,53 @@
         })
     }
 
-    /// This process.
+    /// Returns this process's own member record.
     pub fn own(&self) -> Member {
         self.own.borrow().clone()
     }
 
-    /// The present view.
+    /// Returns the current view.
     pub fn view(&self) -> View {
         self.view.borrow().clone()
     }
 
-    /// Follows the view.
+    /// Returns a receiver of the view.
     pub fn subscribe(&self) -> watch::Receiver<View> {
         self.view.subscribe()
     }
 
-    /// A member by its instance.
+    /// Returns the member on an instance.
     pub fn get(&self, instance: &id::Instance) -> Option<Member> {
         self.view.borrow().get(instance).cloned()
     }
 
-    /// Tells everybody in which store this process keeps the journal.
-    pub fn keep(&self, store: &str) {
+    /// Announces the identity of the store in which this process keeps the
+    /// journal.
+    pub fn set_store(&self, store: &str) {
         self.own
             .send_modify(|own| own.store = Some(store.to_owned()));
     }
 
-    /// Tells everybody that this process is stopping as planned.
-    pub fn drain(&self) {
+    /// Announces that this process is draining.
+    pub fn set_draining(&self) {
         self.own.send_modify(|own| own.draining = true);
     }
 
-    /// Keeps this process registered until `stop`, then unregisters it.
+    /// Keeps this process registered until `stop` is cancelled, then unregisters
+    /// it. `ttl` is the time to live of the lease.
     pub async fn register(
         self: Arc<Self>,
         kv: Arc<dyn KeyValue>,
-        length: Duration,
+        ttl: Duration,
         stop: CancellationToken,
     ) {
         let mut lease = None;
         let registering = async {
             loop {
-                if let Err(error) = self.hold(&*kv, length, &mut lease).await {
+                if let Err(error) = self.hold_registration(&*kv, ttl, &mut lease).await {
                     tracing::warn!(event = "registration_broken", %error);
                 }
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         };
         tokio::select! {
@@ -133,27 +137,28 @@
             () = stop.cancelled() => {}
         }
         if let Some(lease) = lease {
-            // Without an answer the lease lapses by itself.
+            // If this fails, the lease expires by itself.
             let _ = kv.revoke(lease).await;
         }
     }
 
-    /// Takes a lease, registers under it, and renews it until that fails.
-    async fn hold(
+    /// Obtains a lease, stores it in `current_lease`, registers under it, and
+    /// renews it until that fails.
+    async fn hold_registration(
         &self,
         kv: &dyn KeyValue,
-        length: Duration,
-        kept: &mut Option<Lease>,
+        ttl: Duration,
+        current_lease: &mut Option<Lease>,
     ) -> Result<(), Error> {
-        let lease = kv.grant(length).await?;
-        *kept = Some(lease);
+        let lease = kv.grant(ttl).await?;
+        *current_lease = Some(lease);
         let mut own = self.own.subscribe();
         loop {
             let member = own.borrow_and_update().clone();
-            self.write(kv, lease, &member).await?;
+            self.write_registration(kv, lease, &member).await?;
             loop {
                 tokio::select! {
-                    () = tokio::time::sleep(length / RENEWALS) => self.renew(kv, lease).await?,
+                    () = tokio::time::sleep(ttl / RENEWALS_PER_TTL) => self.renew(kv, lease).await?,
                     changed = own.changed() => match changed {
                         Ok(()) => break,
                         Err(_) => return Ok(()),
@@ -163,8 +168,8 @@
         }
     }
 
-    /// Renews the lease. That the service is away is no reason to give it up:
-    /// the service may be back before the lease lapses.
+    /// Renews the lease. Fails only if the lease has expired; other failures are
+    /// logged, because a later renewal may still succeed in time.
     async fn renew(&self, kv: &dyn KeyValue, lease: Lease) -> Result<(), Error> {
         match kv.renew(lease).await {
             Err(Error::LeaseGone) => Err(Error::LeaseGone),
@@ -176,7 +181,13 @@
         }
     }
 
-    async fn write(&self, kv: &dyn KeyValue, lease: Lease, member: &Member) -> Result<(), Error> {
+    /// Writes this process's registration.
+    async fn write_registration(
+        &self,
+        kv: &dyn KeyValue,
+        lease: Lease,
+        member: &Member,
+    ) -> Result<(), Error> {
         let key = format!("{PREFIX}{}", member.id);
         let value = serde_json::to_vec(member).map_err(|e| Error::Refused(e.to_string()))?;
         let mut expected = 0;
@@ -187,8 +198,8 @@
                 value: Some(value.clone()),
                 lease: Some(lease),
             };
-            // The key is this instance's alone; what stands there is an earlier
-            // registration of its own.
+            // Only this instance writes this key, so an existing value is its
+            // own earlier registration and can be replaced.
             match kv.swap(swap).await? {
                 Swapped::Done(_) => return Ok(()),
                 Swapped::Conflict(found) => expected = found.map_or(0, |e| e.revision),
@@ -196,46 +207,53 @@
         }
     }
 
-    /// Follows the others until `stop`.
+    /// Watches the members until `stop` is cancelled.
     pub async fn follow(self: Arc<Self>, kv: Arc<dyn KeyValue>, stop: CancellationToken) {
-        watching::keep("members", stop, || self.once(&*kv)).await;
+        watching::keep("members", stop, || self.watch(&*kv)).await;
     }
 
-    async fn once(&self, kv: &dyn KeyValue) -> Result<(), Error> {
+    /// Reads the members and applies changes until the watch fails.
+    async fn watch(&self, kv: &dyn KeyValue) -> Result<(), Error> {
         let listing = kv.list(PREFIX).await?;
-        let members = listing.entries.iter().filter_map(|e| parse(&e.value));
+        let members = listing
+            .entries
+            .iter()
+            .filter_map(|e| parse_member(&e.value));
         let view: BTreeMap<_, _> = members.map(|m| (m.id.clone(), m)).collect();
-        self.show(view);
+        self.set_view(view);
         let mut watch = kv.watch(PREFIX, listing.revision + 1).await?;
         loop {
             let events = watch.next().await?;
             let mut view = BTreeMap::clone(&self.view());
             for event in events {
-                change(&mut view, event);
+                apply_event(&mut view, event);
             }
-            self.show(view);
+            self.set_view(view);
         }
     }
 
-    fn show(&self, view: BTreeMap<id::Instance, Member>) {
-        self.view.send_if_modified(|shown| {
-            let changed = **shown != view;
+    /// Publishes a view if it differs from the current one.
+    fn set_view(&self, view: BTreeMap<id::Instance, Member>) {
+        self.view.send_if_modified(|current| {
+            let changed = **current != view;
             if changed {
-                *shown = Arc::new(view);
+                *current = Arc::new(view);
             }
             changed
         });
     }
 }
 
-fn parse(value: &[u8]) -> Option<Member> {
+/// Decodes a registration. Returns `None` if it is invalid.
+fn parse_member(value: &[u8]) -> Option<Member> {
     serde_json::from_slice(value).ok()
 }
 
-fn change(view: &mut BTreeMap<id::Instance, Member>, event: Event) {
+/// Applies a watch event to a view.
+fn apply_event(view: &mut BTreeMap<id::Instance, Member>, event: Event) {
     match event {
         Event::Put(entry) => {
-            if let Some(member) = parse(&entry.value) {
+            if let Some(member) = parse_member(&entry.value) {
                 view.insert(member.id.clone(), member);
             }
         }
--- a/crates/gradedyke/src/watching.rs
+++ b/crates/gradedyke/src/watching.rs
@@ -1,30 +1,30 @@
-//! Keeps a watch of the key-value service open.
+//! Reopens watches of the key-value service after failures.
 
 use std::time::Duration;
 
 use tokio_util::sync::CancellationToken;
 
-/// Wait before a broken watch is opened again.
-const PAUSE: Duration = Duration::from_millis(200);
+/// Delay before a watch is reopened.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Runs `watch`, which ends only when it is broken, again and again until
-/// `stop`. `what` names it in the log.
-pub(crate) async fn keep<F, G, E>(what: &'static str, stop: CancellationToken, watch: F)
+/// Runs `watch` repeatedly until `stop` is cancelled. A watch ends only when it
+/// fails; `name` identifies it in the log.
+pub(crate) async fn keep<F, G, E>(name: &'static str, stop: CancellationToken, watch: F)
 where
     F: Fn() -> G,
     G: Future<Output = Result<(), E>>,
     E: std::fmt::Display,
 {
-    let watching = async {
+    let watch_loop = async {
         loop {
             if let Err(error) = watch().await {
-                tracing::warn!(event = "watch_broken", what, %error);
+                tracing::warn!(event = "watch_broken", what = name, %error);
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     };
     tokio::select! {
-        () = watching => {}
+        () = watch_loop => {}
         () = stop.cancelled() => {}
     }
 }
--- a/crates/gradedyke/src/wire.rs
+++ b/crates/gradedyke/src/wire.rs
@@ -1,11 +1,10 @@
 //! The messages between an entry and an owner.
 //!
-//! Short questions travel as JSON-RPC ([`crate::owner::rpc`]). A call does not
-//! fit that: its answer is a stream that may last minutes, must stop when the
-//! reader is slow, and costs a JSON-RPC notification for each token. So a call
-//! is one HTTP exchange: the request's body is a [`Call`] in JSON, the reply's
-//! body a sequence of [`Frame`]s in postcard, each behind its length.
-//! `record/` holds the measurement that led to this.
+//! Short requests use JSON-RPC ([`crate::owner::rpc`]). A call is one HTTP
+//! exchange instead, because its answer is a stream that may last minutes and
+//! needs backpressure, and a JSON-RPC notification per token would be costly.
+//! The request's body is a [`Call`] in JSON. The response's body is a sequence
+//! of [`Frame`]s in postcard, each preceded by its length.
 
 use bytes::{Bytes, BytesMut};
 use gradedyke_backend::chat::{self, Completion};
@@ -15,27 +14,28 @@
 use serde::{Deserialize, Serialize};
 use tokio_util::codec::{Decoder, Encoder, LengthDelimitedCodec};
 
-/// Header of the reply to a call that names the model that answers.
+/// Response header of a call: the model that answers.
 pub const MODEL: &str = "gradedyke-model";
 
 /// Path of calls on the listener for peers.
 pub const CALLS: &str = "/calls";
 
-/// Largest frame: a whole answer.
+/// Maximum size of a frame, in bytes. The last frame holds a complete answer.
 pub const MAX_FRAME: usize = 64 << 20;
 
 /// How a chat request's messages relate to the program's history.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum History {
-    /// They repeat the history and go on from there, as existing clients do.
+    /// They repeat the history, followed by new messages, as existing clients
+    /// do.
     #[default]
     Whole,
-    /// They are only what is new.
+    /// They are only the new messages.
     Append,
 }
 
-/// What a call is to do.
+/// The operation that a call requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Work {
@@ -58,7 +58,8 @@
 }
 
 impl Work {
-    /// The model that is called; empty for a plain service.
+    /// Returns the name of the called model, or an empty string for a plain
+    /// service.
     pub fn model(&self) -> &str {
         match self {
             Work::Chat { request, .. } => &request.model,
@@ -67,27 +68,27 @@
     }
 }
 
-/// A call on its way from an entry to the program's owner.
+/// A call that an entry sends to the program's owner.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Call {
-    /// The client account, which the entry has authenticated.
+    /// The client account that the entry has authenticated.
     pub account: id::Account,
-    /// The program.
+    /// The program that the call belongs to.
     pub program: id::Program,
-    /// The request, by which a repeat is known.
+    /// The request id, by which a repeated request is recognized.
     pub request: id::Request,
-    /// The caller's number for the call's place in the program, from 1.
+    /// The caller's sequence number for the call within the program, from 1.
     #[serde(default)]
     pub sequence: Option<u64>,
-    /// What to do; `None` only fetches the answer of a call issued before.
+    /// The operation. `None` only fetches the answer of an earlier call.
     pub work: Option<Work>,
-    /// Bytes of text that the caller has already.
+    /// Number of bytes of text that the caller has already received.
     #[serde(default)]
     pub offset: u64,
-    /// BLAKE3 of those bytes, if the entry has seen them pass.
+    /// BLAKE3 hash of those bytes, if they were relayed by this entry.
     #[serde(default)]
     pub seen: Option<String>,
-    /// Whether to send only the end, not the text as it comes.
+    /// Whether to send only the outcome and not the text as it is generated.
     #[serde(default)]
     pub whole: bool,
 }
@@ -96,28 +97,29 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Outcome {
-    /// A model's whole answer.
+    /// A model's complete answer.
     Chat(Completion),
-    /// A plain service's answer.
+    /// A plain service's response.
     Service(service::Reply),
-    /// It failed, for good.
+    /// The call failed permanently.
     Failed(Problem),
 }
 
-/// A part of an answer on its way to the entry.
+/// A part of an answer that an owner sends to an entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// Text, which begins at this offset.
+    /// Text, preceded by its offset in bytes within the whole answer.
     Text(u64, String),
-    /// The end: an [`Outcome`] in JSON, which postcard cannot carry.
+    /// The last frame: an [`Outcome`] in JSON, because it contains JSON values,
+    /// which postcard does not support.
     End(Vec<u8>),
 }
 
-/// What a stream of frames fails with.
+/// An error of encoding or decoding frames.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The bytes are not frames.
-    #[error("the peer sent what is no frame ({0}); run the same version everywhere")]
+    /// The bytes are not a valid frame, or the frame is too large.
+    #[error("invalid frame ({0}); make sure that all instances run the same version")]
     Malformed(String),
 }
 
@@ -132,13 +134,13 @@
 }
 
 impl Frame {
-    /// The frame that carries how a call ended.
+    /// Creates the last frame of an answer from the call's outcome.
     pub fn end(outcome: &Outcome) -> Self {
         let json = serde_json::to_vec(outcome);
         Self::End(json.expect("an outcome has only strings, numbers and maps with string keys"))
     }
 
-    /// The frame's bytes, with the length before them.
+    /// Encodes the frame, preceded by its length.
     ///
     /// ```
     /// use gradedyke::wire::{Frame, Reader};
@@ -151,7 +153,7 @@
     ///
     /// # Errors
     ///
-    /// The frame is over [`MAX_FRAME`].
+    /// The frame is larger than [`MAX_FRAME`].
     pub fn encode(&self) -> Result<Bytes, Error> {
         let bytes = postcard::to_stdvec(self).map_err(malformed)?;
         let mut buffer = BytesMut::with_capacity(bytes.len() + 4);
@@ -162,7 +164,7 @@
     }
 }
 
-/// Reads frames from bytes as they come.
+/// Decodes frames from a stream of bytes.
 #[derive(Debug)]
 pub struct Reader {
     buffer: BytesMut,
@@ -176,7 +178,7 @@
 }
 
 impl Reader {
-    /// A reader at the beginning of a stream.
+    /// Creates a reader at the start of a stream.
     pub fn new() -> Self {
         Self {
             buffer: BytesMut::new(),
@@ -184,16 +186,16 @@
         }
     }
 
-    /// Takes in bytes.
+    /// Appends received bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole frame, if it has arrived.
+    /// Returns the next frame, or `None` if it has not been received completely.
     ///
     /// # Errors
     ///
-    /// [`Error::Malformed`]; the stream cannot be read on.
+    /// [`Error::Malformed`]. The rest of the stream cannot be decoded.
     #[allow(clippy::should_implement_trait)]
     pub fn next(&mut self) -> Result<Option<Frame>, Error> {
         let Some(bytes) = self.codec.decode(&mut self.buffer).map_err(malformed)? else {
