--- a/crates/gradedyke/src/current.rs
+++ b/crates/gradedyke/src/current.rs
@@ -82,18 +82,18 @@
     /// ```
     pub fn update(&self, snapshot: Snapshot) -> bool {
         let revision = snapshot.revision;
-        let newer = self.revision.send_if_modified(|current| {
-            let newer = *current < revision;
-            if newer {
+        let is_newer = self.revision.send_if_modified(|current| {
+            let is_newer = *current < revision;
+            if is_newer {
                 *current = revision;
                 self.snapshot.store(Arc::new(snapshot));
             }
-            newer
+            is_newer
         });
-        if newer {
+        if is_newer {
             tracing::info!(event = "settings_in_force", revision);
         }
-        newer
+        is_newer
     }
 
     /// Watches the settings key until `stop` is cancelled.
--- a/crates/gradedyke/src/entry/api.rs
+++ b/crates/gradedyke/src/entry/api.rs
@@ -101,7 +101,7 @@
     /// Authenticates a request, reads its body and handles it.
     async fn respond(&self, request: Request<Incoming>) -> Result<Response<Body>, Problem> {
         let (head, incoming) = request.into_parts();
-        let settings = self.entry.current.get();
+        let settings = self.entry.active_settings.get();
         let account = self.entry.keys.authenticate(&head.headers, &settings)?;
         let limits = &self.entry.limits;
         let timeout = Duration::from_millis(limits.body_ms);
@@ -276,7 +276,7 @@
 
     /// Lists the models that the client account's agents may use.
     fn models(&self) -> Result<Response<Body>, Problem> {
-        let settings = self.entry.current.get();
+        let settings = self.entry.active_settings.get();
         let account = settings.tree.accounts.get(self.account.as_str());
         let agents = account.map(|a| a.agents.values()).into_iter().flatten();
         let names: std::collections::BTreeSet<&str> = agents
@@ -425,7 +425,7 @@
 
     /// Admits a call within the client account's limit.
     fn admit(&self) -> Result<OwnedSemaphorePermit, Problem> {
-        let settings = self.entry.current.get();
+        let settings = self.entry.active_settings.get();
         let account = settings.tree.accounts.get(self.account.as_str());
         let limit = account.map_or(0, |a| a.concurrent);
         self.entry.admission.admit(&self.account, limit)
--- a/crates/gradedyke/src/entry/mod.rs
+++ b/crates/gradedyke/src/entry/mod.rs
@@ -37,8 +37,8 @@
 /// The entry role of one process.
 pub struct Entry {
     members: Arc<Members>,
-    map: Arc<Map>,
-    current: Arc<Current>,
+    slot_map: Arc<Map>,
+    active_settings: Arc<Current>,
     limits: Limits,
     keys: keys::Keys,
     admission: admission::Admission,
@@ -56,8 +56,8 @@
         };
         Self {
             members: kernel.members.clone(),
-            map: kernel.map.clone(),
-            current: kernel.current.clone(),
+            slot_map: kernel.map.clone(),
+            active_settings: kernel.current.clone(),
             limits: kernel.settings.limits.clone(),
             keys: keys::Keys::default(),
             admission: admission::Admission::default(),
@@ -69,7 +69,7 @@
     /// Returns the owner of a slot according to this process's slot map and
     /// member list.
     fn find_owner(&self, slot: Slot) -> Option<Member> {
-        let holder = self.map.holder(slot)?;
+        let holder = self.slot_map.holder(slot)?;
         self.members.get(&holder.owner)
     }
 }
--- a/crates/gradedyke/src/entry/relay.rs
+++ b/crates/gradedyke/src/entry/relay.rs
@@ -18,7 +18,7 @@
 use tokio::time::Instant;
 
 use super::Entry;
-use crate::wire::{CALLS, Call, Frame, MODEL, Outcome, Reader};
+use crate::wire::{CALLS_PATH, Call, Frame, MODEL, Outcome, Reader};
 
 /// How long an entry tries to reach the owner of a program. Leaves time for the
 /// lease of a failed owner to expire and for another instance to take over.
@@ -30,8 +30,8 @@
 /// Retry delay sent to the caller when the owner cannot be reached.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// Returns the backoff between attempts to reach an owner. It has no limit of
-/// its own: callers stop at [`OWNER_TIMEOUT`].
+/// Returns the backoff between attempts to reach an owner. The number
+/// of attempts is not limited here: they end after [`OWNER_TIMEOUT`].
 pub(super) fn owner_backoff() -> Backoff {
     Backoff::new(MIN_RETRY_DELAY, MAX_RETRY_DELAY, u32::MAX)
 }
@@ -151,7 +151,7 @@
             self.call.seen = Some(self.text_hash.finalize().to_hex().to_string());
         }
         let bytes = serde_json::to_vec(&self.call).map_err(internal_error)?;
-        let request = client::build(Method::POST, owner.peer, CALLS, body::full(bytes));
+        let request = client::build(Method::POST, owner.peer, CALLS_PATH, body::full(bytes));
         let sending = self
             .entry
             .client
--- a/crates/gradedyke/src/kernel/keepers.rs
+++ b/crates/gradedyke/src/kernel/keepers.rs
@@ -19,13 +19,13 @@
 type RemoteKeeper = (SocketAddr, Arc<dyn Keeper>);
 
 /// A directory of keepers, which caches the clients of remote ones.
-pub struct Keepers {
+pub struct KeeperDirectory {
     members: Arc<Members>,
     own: OnceLock<(id::Keeper, Arc<dyn Keeper>)>,
     remotes: Mutex<HashMap<id::Keeper, RemoteKeeper>>,
 }
 
-impl Keepers {
+impl KeeperDirectory {
     /// Creates a directory of the keepers among `members`.
     pub fn new(members: Arc<Members>) -> Self {
         Self {
@@ -66,7 +66,7 @@
     }
 }
 
-impl Directory for Keepers {
+impl Directory for KeeperDirectory {
     fn keeper(&self, name: &id::Keeper) -> Option<Arc<dyn Keeper>> {
         match self.own.get() {
             Some((own, keeper)) if own == name => Some(keeper.clone()),
--- a/crates/gradedyke/src/kernel/mod.rs
+++ b/crates/gradedyke/src/kernel/mod.rs
@@ -25,7 +25,7 @@
 use crate::membership::Members;
 use crate::ownership::map::Map;
 
-pub use keepers::Keepers;
+pub use keepers::KeeperDirectory;
 pub use metering::render_metrics;
 pub use process::{Addresses, Process};
 
@@ -44,7 +44,7 @@
     /// The active operator settings.
     pub current: Arc<Current>,
     /// The keepers by name.
-    pub keepers: Arc<Keepers>,
+    pub keepers: Arc<KeeperDirectory>,
     /// The journal.
     pub journal: Arc<Journal>,
     /// Cancelled when the process starts to drain.
@@ -56,8 +56,8 @@
 impl Kernel {
     /// Whether callers may send requests to this process.
     pub fn is_ready(&self) -> bool {
-        let current = self.current.get();
-        current.revision > 0 && self.map.assigned() && !self.drain.is_cancelled()
+        let settings = self.current.get();
+        settings.revision > 0 && self.map.assigned() && !self.drain.is_cancelled()
     }
 }
 
@@ -71,7 +71,7 @@
     call_handler: Option<Arc<dyn Handler>>,
     caller_handler: Option<Arc<dyn Handler>>,
     operator_handler: Option<Arc<dyn Handler>>,
-    drains: Vec<DrainFn>,
+    drain_fns: Vec<DrainFn>,
 }
 
 impl Mounts {
@@ -102,7 +102,7 @@
 
     /// Adds a function that draining the process waits for.
     pub fn on_drain(&mut self, drain: impl Fn() -> BoxFuture<'static, ()> + Send + Sync + 'static) {
-        self.drains.push(Box::new(drain));
+        self.drain_fns.push(Box::new(drain));
     }
 }
 
--- a/crates/gradedyke/src/kernel/peers.rs
+++ b/crates/gradedyke/src/kernel/peers.rs
@@ -14,7 +14,7 @@
 use jsonrpsee::server::{ServerConfig, StopHandle, TowerServiceBuilder};
 use tower::Service;
 
-use crate::wire::CALLS;
+use crate::wire::CALLS_PATH;
 
 /// Path prefix of liveness checks, followed by an instance's name.
 const LIVENESS_PATH: &str = "/lives/";
@@ -75,7 +75,7 @@
             return reply::json(StatusCode::OK, &(name == self.id.as_str()));
         }
         match &self.call_handler {
-            Some(handler) if path == CALLS => handler.handle(request).await,
+            Some(handler) if path == CALLS_PATH => handler.handle(request).await,
             _ => reply::no_route(path),
         }
     }
--- a/crates/gradedyke/src/kernel/process.rs
+++ b/crates/gradedyke/src/kernel/process.rs
@@ -16,7 +16,7 @@
 use tokio::task::JoinSet;
 use tokio_util::sync::CancellationToken;
 
-use super::keepers::Keepers;
+use super::keepers::KeeperDirectory;
 use super::peers::PeerHandler;
 use super::{DrainFn, Kernel, Mounts, enabled_plugins, metering};
 use crate::admin;
@@ -43,7 +43,7 @@
 pub struct Process {
     kernel: Arc<Kernel>,
     addresses: Addresses,
-    drains: Vec<DrainFn>,
+    drain_fns: Vec<DrainFn>,
     /// Stops the listener for callers.
     caller_stop: CancellationToken,
     caller_task: JoinSet<()>,
@@ -147,7 +147,7 @@
         let addresses = listeners.addresses()?;
         let stop = CancellationToken::new();
         let members = Members::new(own_member(&settings, &addresses));
-        let keepers = Arc::new(Keepers::new(members.clone()));
+        let keepers = Arc::new(KeeperDirectory::new(members.clone()));
         let kernel = Arc::new(Kernel {
             journal: Journal::new(keepers.clone(), stop.clone()),
             settings,
@@ -204,7 +204,7 @@
         Self {
             kernel,
             addresses,
-            drains: mounts.drains,
+            drain_fns: mounts.drain_fns,
             caller_stop,
             caller_task,
             tasks,
@@ -270,7 +270,7 @@
             self.caller_stop.cancel();
             while self.caller_task.join_next().await.is_some() {}
             tracing::info!(event = "callers_gone", instance = %self.kernel.settings.id);
-            for drain in &self.drains {
+            for drain in &self.drain_fns {
                 drain().await;
             }
         };
--- a/crates/gradedyke/src/membership.rs
+++ b/crates/gradedyke/src/membership.rs
@@ -24,7 +24,7 @@
 pub const PREFIX: &str = "gradedyke/members/";
 /// Delay before a failed registration is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
-/// How often a lease is renewed within its time to live.
+/// Number of times that a lease is renewed within its time to live.
 const RENEWALS_PER_TTL: u32 = 3;
 
 /// A member process of the system.
--- a/crates/gradedyke/src/wire.rs
+++ b/crates/gradedyke/src/wire.rs
@@ -18,7 +18,7 @@
 pub const MODEL: &str = "gradedyke-model";
 
 /// Path of calls on the listener for peers.
-pub const CALLS: &str = "/calls";
+pub const CALLS_PATH: &str = "/calls";
 
 /// Maximum size of a frame, in bytes. The last frame holds a complete answer.
 pub const MAX_FRAME: usize = 64 << 20;
--- a/crates/gradedyke/tests/differential.rs
+++ b/crates/gradedyke/tests/differential.rs
@@ -1,8 +1,8 @@
-//! The same generated programs through the real path and through a naive
-//! version: answers, order, history and spending must be equal.
+//! Runs the same generated programs through the system and through a reference
+//! implementation: answers, history and token usage must be equal.
 //!
-//! The naive version is one task that keeps everything in memory, goes straight
-//! to one engine and one service, and has no policy at all.
+//! The reference implementation is a single task that keeps everything in memory
+//! and calls one engine and one service directly.
 
 mod support;
 
@@ -17,32 +17,33 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use serde_json::{Value, json};
-use support::run;
+use support::run_test;
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-const SEEDS: u64 = 6;
-const PROGRAMS: usize = 4;
-const STEPS: usize = 6;
-const TIME: Duration = Duration::from_secs(10);
+const SEED_COUNT: u64 = 6;
+const PROGRAMS_PER_SEED: usize = 4;
+const STEPS_PER_PROGRAM: usize = 6;
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// One step of a program.
 #[derive(Clone, Debug)]
 enum Step {
-    /// A model call that sends only what is new.
+    /// A model call that sends only new messages: the text and the maximum
+    /// number of tokens.
     Append(String, u64),
-    /// A model call that sends the whole conversation.
+    /// A model call that sends the whole conversation, with the same fields.
     Whole(String, u64),
-    /// A model call that is streamed.
+    /// A streamed model call that sends only new messages, with the same fields.
     Stream(String, u64),
-    /// A call to a plain service.
+    /// A call to a plain service: the body, and whether the call may be repeated.
     Service(String, bool),
-    /// The last request again.
+    /// The previous request again.
     Repeat,
 }
 
-fn step(random: &mut StdRng) -> Step {
+fn random_step(random: &mut StdRng) -> Step {
     let length = random.random_range(1..30);
     let text = format!("{} {}", random.random::<u32>(), "word ".repeat(length));
     let tokens = random.random_range(1..20);
@@ -55,23 +56,23 @@
     }
 }
 
-/// What came of a program.
+/// The results of a program.
 #[derive(Clone, Debug, Default, PartialEq)]
-struct Result {
+struct ProgramResult {
     answers: Vec<String>,
     history: Vec<Value>,
-    spent: u64,
+    spent_tokens: u64,
 }
 
-/// The naive version.
-struct Naive {
+/// The reference implementation.
+struct Reference {
     engine: engine_http::Http,
     service: service::Http,
 }
 
-impl Naive {
-    async fn run(&self, name: &str, steps: &[Step]) -> Result {
-        let mut result = Result::default();
+impl Reference {
+    async fn run(&self, name: &str, steps: &[Step]) -> ProgramResult {
+        let mut result = ProgramResult::default();
         for (number, step) in steps.iter().enumerate() {
             let answer = match step {
                 Step::Append(text, tokens)
@@ -82,7 +83,7 @@
                     let (text, spent) = self.chat(&attempt, &result.history, *tokens).await;
                     let message = json!({ "role": "assistant", "content": text });
                     result.history.push(message);
-                    result.spent += spent;
+                    result.spent_tokens += spent;
                     text
                 }
                 Step::Service(text, _) => self.call(text).await,
@@ -123,21 +124,26 @@
             content_type: None,
             body: text.to_owned(),
         };
-        let reply = self.service.call("naive", &call, TIME).await;
+        let reply = self.service.call("naive", &call, REQUEST_TIMEOUT).await;
         reply.unwrap().body
     }
 }
 
-/// A program through the real path, each step by another entry.
-async fn real(caller: Caller, entries: Vec<SocketAddr>, name: String, steps: Vec<Step>) -> Result {
+/// Runs a program through the system, each step through another entry.
+async fn run_program(
+    caller: Caller,
+    entries: Vec<SocketAddr>,
+    name: String,
+    steps: Vec<Step>,
+) -> ProgramResult {
     let mut entry = entries.iter().cycle();
-    let mut at = || *entry.next().unwrap();
-    let opening = caller.open(at(), "minutes", Some(100_000), None, &name);
+    let mut next_address = || *entry.next().unwrap();
+    let opening = caller.open(next_address(), "minutes", Some(100_000), None, &name);
     let program = opening.await.unwrap();
     let mut answers: Vec<String> = Vec::new();
-    let mut last: Option<(usize, Step)> = None;
+    let mut previous: Option<(usize, Step)> = None;
     for (number, step) in steps.into_iter().enumerate() {
-        let (number, step) = match (step, last.take()) {
+        let (number, step) = match (step, previous.take()) {
             (Step::Repeat, Some(repeated)) => repeated,
             (Step::Repeat, None) => {
                 answers.push(String::new());
@@ -145,21 +151,25 @@
             }
             (step, _) => (number, step),
         };
-        last = Some((number, step.clone()));
-        answers.push(real_step(&caller, at(), &program, number, &step).await);
+        previous = Some((number, step.clone()));
+        answers.push(run_step(&caller, next_address(), &program, number, &step).await);
     }
-    let history = caller.program(at(), &program, "history").await.unwrap();
-    let info = caller.program(at(), &program, "").await.unwrap();
-    Result {
+    let history = caller
+        .program(next_address(), &program, "history")
+        .await
+        .unwrap();
+    let info = caller.program(next_address(), &program, "").await.unwrap();
+    ProgramResult {
         answers,
         history: history["messages"].as_array().unwrap().clone(),
-        spent: info["spent_tokens"].as_u64().unwrap(),
+        spent_tokens: info["spent_tokens"].as_u64().unwrap(),
     }
 }
 
-async fn real_step(
+/// Runs one step through the system and returns the answer.
+async fn run_step(
     caller: &Caller,
-    at: SocketAddr,
+    address: SocketAddr,
     program: &str,
     number: usize,
     step: &Step,
@@ -170,74 +180,76 @@
             options.append = true;
             let mut body = chat(&[user(text)]);
             body["max_tokens"] = json!(tokens);
-            let call = caller.chat(at, program, &body, options);
+            let call = caller.chat(address, program, &body, options);
             text_of(&call.await.unwrap())
         }
         Step::Stream(text, tokens) => {
             options.append = true;
             let mut body = chat(&[user(text)]);
             body["max_tokens"] = json!(tokens);
-            let stream = caller.stream(at, program, &body, options);
+            let stream = caller.stream(address, program, &body, options);
             stream.await.unwrap().rest().await.unwrap()
         }
         Step::Whole(text, tokens) => {
-            let known = caller.program(at, program, "history").await.unwrap();
-            let mut messages = known["messages"].as_array().unwrap().clone();
-            // A repeat sends what it sent the first time.
-            let asked = messages.iter().position(|m| *m == user(text));
-            messages.truncate(asked.unwrap_or(messages.len()));
+            let current = caller.program(address, program, "history").await.unwrap();
+            let mut messages = current["messages"].as_array().unwrap().clone();
+            // A repeated request must send the same messages as the first time.
+            let position = messages.iter().position(|m| *m == user(text));
+            messages.truncate(position.unwrap_or(messages.len()));
             messages.push(user(text));
             let mut body = chat(&messages);
             body["max_tokens"] = json!(tokens);
-            let call = caller.chat(at, program, &body, options);
+            let call = caller.chat(address, program, &body, options);
             text_of(&call.await.unwrap())
         }
         Step::Service(text, repeatable) => {
             options.repeatable = Some(*repeatable);
-            let call = caller.service(at, program, "records/export", text, options);
+            let call = caller.service(address, program, "records/export", text, options);
             call.await.unwrap()
         }
-        Step::Repeat => unreachable!("repeats were resolved"),
+        Step::Repeat => unreachable!("repeats are replaced by the repeated step"),
     }
 }
 
 #[test]
-fn the_real_path_does_what_the_naive_one_does() {
-    run(async {
+fn the_system_matches_the_reference_implementation() {
+    run_test(async {
         let config = Config {
             defaults: json!({ "budget_tokens": 100_000 }),
             ..Config::default()
         };
         let world = World::start(config).await.unwrap();
-        // The naive version has stand-ins of its own.
-        let apart = World::surroundings(Config::default()).await.unwrap();
+        // The reference implementation has backend servers of its own.
+        let reference_world = World::surroundings(Config::default()).await.unwrap();
         let address = |name: &str| {
-            let address = apart.tree["backends"][name]["address"].as_str();
+            let address = reference_world.tree["backends"][name]["address"].as_str();
             address.unwrap().parse::<SocketAddr>().unwrap()
         };
         let client = Client::new(&client::Config::default());
-        let naive = Naive {
-            engine: engine_http::Http::new(address("engine-1"), client, TIME),
-            service: service::Http::new(address("records"), None, TIME),
+        let reference = Reference {
+            engine: engine_http::Http::new(address("engine-1"), client, REQUEST_TIMEOUT),
+            service: service::Http::new(address("records"), None, REQUEST_TIMEOUT),
         };
-        for seed in 0..SEEDS {
+        for seed in 0..SEED_COUNT {
             let mut random = StdRng::seed_from_u64(seed);
             let mut programs = Vec::new();
-            for number in 0..PROGRAMS {
-                let steps: Vec<_> = (0..STEPS).map(|_| step(&mut random)).collect();
+            for number in 0..PROGRAMS_PER_SEED {
+                let steps: Vec<_> = (0..STEPS_PER_PROGRAM)
+                    .map(|_| random_step(&mut random))
+                    .collect();
                 programs.push((format!("{seed}-{number}"), steps));
             }
-            // The real path runs them beside each other.
+            // The system runs the programs concurrently.
             let running = programs.iter().map(|(name, steps)| {
                 let entries = (0..3).map(|n| world.entry(n)).collect();
                 let (name, steps) = (name.clone(), steps.clone());
-                tokio::spawn(real(world.kestrel(), entries, name, steps))
+                tokio::spawn(run_program(world.kestrel(), entries, name, steps))
             });
             let running: Vec<_> = running.collect();
-            for (real, (name, steps)) in running.into_iter().zip(&programs) {
-                let real = real.await.unwrap();
-                let expected = naive.run(name, steps).await;
-                assert_eq!(real, expected, "seed {seed}, program {name}: {steps:?}");
+            for (running, (name, steps)) in running.into_iter().zip(&programs) {
+                let actual = running.await.unwrap();
+                let expected = reference.run(name, steps).await;
+                assert_eq!(actual, expected, "seed {seed}, program {name}: {steps:?}");
             }
         }
         world.stop().await;
--- a/crates/gradedyke/tests/fleet.rs
+++ b/crates/gradedyke/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet as routing sees it.
+//! Tests of the fleet's candidates for routing.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,10 +12,11 @@
 use serde_json::json;
 use tokio::time::Instant;
 
+/// The model that all engines serve.
 const MODEL: &str = "m";
 
-/// A tree of an engine in each of the named data centres.
-fn tree(data_centres: &[&str]) -> Tree {
+/// Returns settings with one engine in each of the named data centres.
+fn settings_tree(data_centres: &[&str]) -> Tree {
     let engines = data_centres.iter().enumerate().map(|(number, name)| {
         let engine = json!({
             "kind": "engine", "address": "127.0.0.1:1", "data_centre": name, "models": [MODEL],
@@ -26,25 +27,28 @@
     serde_json::from_value(json!({ "backends": backends })).unwrap()
 }
 
-/// A fleet of engines in the named data centres, seen from `north`.
+/// Returns a fleet with one engine in each of the named data centres, for an
+/// instance in `north`.
 fn fleet(data_centres: &[&str]) -> Arc<Fleet> {
     let fleet = Arc::new(Fleet::new("north"));
-    fleet.update(&tree(data_centres));
+    fleet.update(&settings_tree(data_centres));
     fleet
 }
 
+/// Returns the prefix chain of a one-message conversation.
 fn chain() -> Chain {
     let message = serde_json::from_value(json!({ "role": "user", "content": "hi" })).unwrap();
     let account = id::Account::parse("kestrel").unwrap();
     Chain::over(&account, MODEL, &[message])
 }
 
+/// Returns the routing candidates for that conversation.
 fn candidates(fleet: &Fleet, now: Instant) -> Vec<Candidate> {
     fleet.engines(MODEL, chain().keys(), &[10], &[], now)
 }
 
 #[tokio::test]
-async fn a_booking_ends_with_its_call_however_that_ends() {
+async fn dropping_a_booking_removes_its_load() {
     let fleet = fleet(&["north"]);
     let now = Instant::now();
     let before = candidates(&fleet, now)[0];
@@ -58,16 +62,17 @@
 }
 
 #[tokio::test]
-async fn a_failed_server_rests_while_others_can_do_its_work() {
+async fn a_failed_server_is_avoided_while_others_are_available() {
     let fleet = fleet(&["north", "south"]);
     let now = Instant::now();
     let keys: Vec<_> = candidates(&fleet, now).iter().map(|c| c.key).collect();
     fleet.failed(keys[0], now);
     assert_eq!(candidates(&fleet, now).len(), 1);
-    // When all rest, none of them does.
+    // When all servers have failed, all are candidates.
     fleet.failed(keys[1], now);
     assert_eq!(candidates(&fleet, now).len(), 2);
-    // A rest ends by itself, or with a call that goes well.
+    // A server becomes a candidate again after a successful call or after some
+    // time.
     fleet.succeeded(keys[1]);
     assert_eq!(candidates(&fleet, now).len(), 1);
     let later = now + Duration::from_secs(60);
@@ -75,31 +80,31 @@
 }
 
 #[tokio::test]
-async fn servers_of_an_evacuated_data_centre_are_no_candidates() {
+async fn servers_of_an_evacuated_data_centre_are_not_candidates() {
     let fleet = fleet(&["north", "south"]);
     let now = Instant::now();
     let key = candidates(&fleet, now)[0].key;
     let booked = fleet.book(key, chain().keys(), &[10], 64);
-    // Which are evacuated, and how many servers are left.
+    // Each step: the evacuated data centres, and the number of candidates.
     let steps: [(&[&str], usize); 4] = [
         (&["north"], 1),
         (&["north", "south"], 0),
         (&["south"], 1),
         (&[], 2),
     ];
-    for (evacuated, left) in steps {
-        let mut tree = tree(&["north", "south"]);
+    for (evacuated, expected) in steps {
+        let mut tree = settings_tree(&["north", "south"]);
         tree.evacuated = evacuated.iter().map(|d| (*d).to_owned()).collect();
         fleet.update(&tree);
-        assert_eq!(candidates(&fleet, now).len(), left, "{evacuated:?}");
+        assert_eq!(candidates(&fleet, now).len(), expected, "{evacuated:?}");
     }
-    // What is in progress and known there stays.
+    // The server that was evacuated in between has kept its calls in progress.
     assert_eq!(candidates(&fleet, now)[0].in_flight, 1);
     drop(booked);
 }
 
 #[tokio::test]
-async fn leaving_servers_are_no_candidates_whichever_sign_comes() {
+async fn draining_servers_are_not_candidates() {
     let fleet = fleet(&["north"]);
     let now = Instant::now();
     let key = candidates(&fleet, now)[0].key;
@@ -107,8 +112,8 @@
         leaving,
         ..Load::default()
     };
-    // Each case: what the engine says, what the list says, and whether it is a
-    // candidate.
+    // Each case: whether the engine reports that it is draining, whether the
+    // instance list does, and whether the engine is a candidate.
     let cases = [
         (false, false, true),
         (true, false, false),
@@ -116,17 +121,20 @@
         (true, true, false),
         (false, false, true),
     ];
-    for (says, listed, expected) in cases {
-        fleet.report(key, load(says));
+    for (reported, listed, expected) in cases {
+        fleet.report(key, load(reported));
         let list = listed.then(|| "e0".to_owned());
         fleet.leaving(&list.into_iter().collect());
-        let there = !candidates(&fleet, now).is_empty();
-        assert_eq!(there, expected, "says {says}, listed {listed}");
+        let is_candidate = !candidates(&fleet, now).is_empty();
+        assert_eq!(
+            is_candidate, expected,
+            "reported {reported}, listed {listed}"
+        );
     }
 }
 
 #[tokio::test]
-async fn a_gap_in_the_cache_events_makes_the_cache_doubtful() {
+async fn a_gap_in_the_cache_events_clears_the_cached_prefixes() {
     let fleet = fleet(&["north"]);
     let now = Instant::now();
     let key = candidates(&fleet, now)[0].key;
@@ -140,7 +148,7 @@
     fleet.cache_events(key, &[event(1, true)]);
     assert_eq!(cached(), 10);
     fleet.cache_events(key, &[event(3, true)]);
-    assert_eq!(cached(), 0, "event 2 may have been its eviction");
+    assert_eq!(cached(), 0, "event 2 may have been the eviction");
     drop(fleet.book(key, chain().keys(), &[10], 1));
     fleet.cache_events(key, &[event(4, false)]);
     assert_eq!(cached(), 0);
--- a/crates/gradedyke/tests/platform_faults.rs
+++ b/crates/gradedyke/tests/platform_faults.rs
@@ -1,5 +1,5 @@
-//! What must hold while the platform's key-value service fails, and when
-//! operators race.
+//! Tests of failures of the platform's key-value service and of concurrent
+//! changes by operators.
 
 mod support;
 
@@ -10,23 +10,23 @@
 use gradedyke_client::Options;
 use gradedyke_world::{Config, World, chat, user};
 use serde_json::json;
-use support::{open, run};
+use support::{open_program, run_test};
 
 #[test]
-fn calls_go_on_while_the_key_value_service_is_down() {
-    run(async {
+fn calls_succeed_while_the_key_value_service_is_down() {
+    run_test(async {
         let world = World::start(Config::default()).await.unwrap();
         let caller = world.kestrel();
         world.platform.faults.down.store(true, Ordering::Relaxed);
         for number in 0..4 {
             let opened = format!("open-{number}");
-            let at = world.entry(number);
-            let opening = caller.open(at, "minutes", None, None, &opened);
+            let address = world.entry(number);
+            let opening = caller.open(address, "minutes", None, None, &opened);
             let program = opening.await.unwrap();
             let body = chat(&[user("Draft.")]);
-            let call = caller.chat(at, &program, &body, Options::request("draft"));
+            let call = caller.chat(address, &program, &body, Options::request("draft"));
             call.await.unwrap();
-            caller.program(at, &program, "end").await.unwrap();
+            caller.program(address, &program, "end").await.unwrap();
         }
         world.released().await;
         world.stop().await;
@@ -34,12 +34,12 @@
 }
 
 #[test]
-fn calls_go_on_when_every_lease_lapses() {
-    run(async {
+fn calls_succeed_when_all_leases_expire() {
+    run_test(async {
         let world = World::start(Config::default()).await.unwrap();
         let caller = world.kestrel();
-        let at = world.entry(0);
-        let program = open(&caller, at, "minutes").await;
+        let address = world.entry(0);
+        let program = open_program(&caller, address, "minutes").await;
         for turn in 0..3 {
             world.platform.lapse();
             let body = chat(&[user("More.")]);
@@ -47,49 +47,52 @@
                 append: true,
                 ..Options::request(format!("r{turn}"))
             };
-            caller.chat(at, &program, &body, options).await.unwrap();
+            caller
+                .chat(address, &program, &body, options)
+                .await
+                .unwrap();
         }
-        let history = caller.program(at, &program, "history").await.unwrap();
+        let history = caller.program(address, &program, "history").await.unwrap();
         assert_eq!(history["messages"].as_array().unwrap().len(), 6);
         world.stop().await;
     });
 }
 
 #[test]
-fn operators_that_race_get_one_winner_and_one_clear_conflict() {
-    run(async {
+fn concurrent_settings_changes_have_one_winner() {
+    run_test(async {
         let world = World::start(Config::default()).await.unwrap();
-        let tree = |mark: u64| {
+        let tree = |max_tokens: u64| {
             let mut tree = world.tree.clone();
-            tree["defaults"]["max_tokens"] = json!(mark);
+            tree["defaults"]["max_tokens"] = json!(max_tokens);
             check::read("race", &tree.to_string()).unwrap()
         };
         for round in 0..10 {
-            let known = 1 + round;
+            let base_revision = 1 + round;
             let processes = world.processes.iter().flatten();
-            let race: Vec<_> = processes
+            let changes: Vec<_> = processes
                 .zip(100..)
-                .map(|(process, mark)| {
+                .map(|(process, max_tokens)| {
                     let kv = process.kernel().kv.clone();
-                    let tree = tree(mark);
-                    tokio::spawn(async move { current::apply(&*kv, tree, known).await })
+                    let tree = tree(max_tokens);
+                    tokio::spawn(async move { current::apply(&*kv, tree, base_revision).await })
                 })
                 .collect();
             let mut winners = Vec::new();
-            for racer in race {
-                match racer.await.unwrap() {
+            for change in changes {
+                match change.await.unwrap() {
                     Ok(snapshot) => winners.push(snapshot),
-                    Err(current::Error::Conflict(revision)) => assert!(revision > known),
-                    Err(other) => panic!("{other}"),
+                    Err(current::Error::Conflict(revision)) => assert!(revision > base_revision),
+                    Err(other) => panic!("applying the settings failed: {other}"),
                 }
             }
             assert_eq!(winners.len(), 1);
-            // In force everywhere, and it never reverts.
+            // The winner's settings become active on every instance.
             for process in world.processes.iter().flatten() {
                 let mut revision = process.kernel().current.subscribe();
-                revision.wait_for(|r| *r > known).await.unwrap();
-                let seen = process.kernel().current.get();
-                assert_eq!(*seen, winners[0]);
+                revision.wait_for(|r| *r > base_revision).await.unwrap();
+                let active = process.kernel().current.get();
+                assert_eq!(*active, winners[0]);
             }
         }
         world.stop().await;
@@ -97,21 +100,20 @@
 }
 
 #[test]
-fn an_accepted_change_whose_answer_is_lost_is_in_force_once() {
-    run(async {
+fn a_settings_change_whose_response_is_lost_is_applied_once() {
+    run_test(async {
         let world = World::start(Config::default()).await.unwrap();
         let process = world.processes[0].as_ref().unwrap();
         let kv = &process.kernel().kv;
         let tree = check::read("lost", &world.tree.to_string()).unwrap();
         world.platform.faults.lose.store(1, Ordering::Relaxed);
         let applied = current::apply(&**kv, tree, 1).await;
-        let (present, _) = current::read(&**kv).await.unwrap();
+        let (active, _) = current::read(&**kv).await.unwrap();
         match applied {
-            Ok(snapshot) => assert_eq!(present, snapshot),
-            // A renewal in between may have been the write that lost its answer.
-            Err(error) => panic!("{error}"),
+            Ok(snapshot) => assert_eq!(active, snapshot),
+            Err(error) => panic!("applying the settings failed: {error}"),
         }
-        assert_eq!(present.revision, 2);
+        assert_eq!(active.revision, 2);
         world.stop().await;
     });
 }
--- a/crates/gradedyke/tests/programs.rs
+++ b/crates/gradedyke/tests/programs.rs
@@ -1,4 +1,4 @@
-//! Programs through the real path: order, repeats, history, budget, limits.
+//! Tests of programs: call order, idempotency, history, budgets and limits.
 
 mod support;
 
@@ -7,9 +7,10 @@
 use gradedyke_standin::service::Mode;
 use gradedyke_world::{Config, World, chat, text_of, user};
 use serde_json::json;
-use support::{kind, open, run};
+use support::{open_program, rejection_kind, run_test};
 
-fn numbered(request: &str, sequence: u64) -> Options {
+/// Options of a call that appends to the history and has a sequence number.
+fn append_with_sequence(request: &str, sequence: u64) -> Options {
     Options {
         append: true,
         sequence: Some(sequence),
@@ -17,6 +18,7 @@
     }
 }
 
+/// Options of a call that appends to the history.
 fn append(request: &str) -> Options {
     Options {
         append: true,
@@ -25,20 +27,20 @@
 }
 
 #[test]
-fn numbered_calls_run_in_order_whichever_way_they_come() {
-    run(async {
+fn calls_run_in_the_order_of_their_sequence_numbers() {
+    run_test(async {
         let world = World::start(Config::default()).await.unwrap();
         let caller = world.kestrel();
-        let at = world.entry(0);
-        let program = open(&caller, at, "minutes").await;
+        let address = world.entry(0);
+        let program = open_program(&caller, address, "minutes").await;
         let calls = [3, 1, 4, 2].map(|number| {
             let (caller, program) = (caller.clone(), program.clone());
-            let at = world.entry(usize::try_from(number).unwrap());
+            let address = world.entry(usize::try_from(number).unwrap());
             tokio::spawn(async move {
                 let body = chat(&[user(&format!("call {number}"))]);
-                let options = numbered(&format!("r{number}"), number);
+                let options = append_with_sequence(&format!("r{number}"), number);
                 caller
-                    .chat(at, &program, &body, options.clone())
+                    .chat(address, &program, &body, options.clone())
                     .await
                     .unwrap();
             })
@@ -46,26 +48,26 @@
         for call in calls {
             call.await.unwrap();
         }
-        let history = caller.program(at, &program, "history").await.unwrap();
-        let asked = history["messages"].as_array().unwrap().iter();
-        let asked: Vec<_> = asked.filter(|m| m["role"] == "user").collect();
+        let history = caller.program(address, &program, "history").await.unwrap();
+        let messages = history["messages"].as_array().unwrap().iter();
+        let user_messages: Vec<_> = messages.filter(|m| m["role"] == "user").collect();
         let expected: Vec<_> = (1..=4).map(|n| user(&format!("call {n}"))).collect();
-        assert_eq!(asked, expected.iter().collect::<Vec<_>>());
-        // A number that was used stands for that call.
+        assert_eq!(user_messages, expected.iter().collect::<Vec<_>>());
+        // A sequence number that was already used is rejected.
         let body = chat(&[user("late")]);
-        let late = caller.chat(at, &program, &body, numbered("late", 2));
-        assert_eq!(kind(late.await), Kind::Conflict);
+        let late = caller.chat(address, &program, &body, append_with_sequence("late", 2));
+        assert_eq!(rejection_kind(late.await), Kind::Conflict);
         world.stop().await;
     });
 }
 
 #[test]
-fn a_request_gives_one_answer_however_often_it_comes() {
-    run(async {
+fn repeated_requests_get_the_same_answer() {
+    run_test(async {
         let world = World::start(Config::default()).await.unwrap();
         let caller = world.kestrel();
         let program = {
-            // Opening is a request like any other.
+            // Opening a program is idempotent too.
             let one = caller.open(world.entry(0), "minutes", None, None, "open");
             let two = caller.open(world.entry(1), "minutes", None, None, "open");
             let (one, two) = tokio::join!(one, two);
@@ -78,12 +80,14 @@
         let streaming = caller.stream(world.entry(0), &program, &body, options.clone());
         let mut first = streaming.await.unwrap();
         first.next().await.unwrap().unwrap();
-        // The same request elsewhere while the first still streams, whole and
-        // streamed.
+        // The same request is sent to other entries while the first stream is
+        // open, once for the complete answer and once as a stream.
         let whole = {
             let (caller, program, body) = (caller.clone(), program.clone(), body.clone());
-            let (at, options) = (world.entry(1), options.clone());
-            tokio::spawn(async move { caller.chat(at, &program, &body, options.clone()).await })
+            let (address, options) = (world.entry(1), options.clone());
+            tokio::spawn(
+                async move { caller.chat(address, &program, &body, options.clone()).await },
+            )
         };
         let second = caller.stream(world.entry(2), &program, &body, options.clone());
         let second = second.await.unwrap();
@@ -91,24 +95,24 @@
         let text = text_of(&whole.await.unwrap().unwrap());
         assert_eq!(second.rest().await.unwrap(), text);
         assert_eq!(first.rest().await.unwrap(), text);
-        // And after it has ended.
+        // The same request is sent again after the call has ended.
         let later = caller
             .chat(world.entry(1), &program, &body, options.clone())
             .await;
         assert_eq!(text_of(&later.unwrap()), text);
         let runs: usize = world.engines.iter().map(|e| e.runs().len()).sum();
         assert_eq!(runs, 1);
-        // Another call under the same id is refused.
+        // A different call with the same request id is rejected.
         let other = chat(&[user("Something else.")]);
         let other = caller.chat(world.entry(0), &program, &other, options.clone());
-        assert_eq!(kind(other.await), Kind::Conflict);
+        assert_eq!(rejection_kind(other.await), Kind::Conflict);
         world.stop().await;
     });
 }
 
 #[test]
-fn hundreds_of_streams_pass_between_one_entry_and_one_owner() {
-    run(async {
+fn one_entry_and_one_owner_relay_hundreds_of_concurrent_streams() {
+    run_test(async {
         let engine = gradedyke_standin::engine::Config {
             batch: 1_000,
             ..Default::default()
@@ -120,16 +124,19 @@
         };
         let world = World::start(config).await.unwrap();
         let caller = world.kestrel();
-        let at = world.entry(0);
+        let address = world.entry(0);
         world.engines.iter().for_each(|e| e.hold_at(Some(1)));
         let mut streams = Vec::new();
         for number in 0..300 {
             let opened = format!("open-{number}");
-            let opening = caller.open(at, "minutes-plain", None, None, &opened);
+            let opening = caller.open(address, "minutes-plain", None, None, &opened);
             let program = opening.await.unwrap();
             let body = chat(&[user("Draft.")]);
             let options = Options::request("draft");
-            let mut stream = caller.stream(at, &program, &body, options).await.unwrap();
+            let mut stream = caller
+                .stream(address, &program, &body, options)
+                .await
+                .unwrap();
             stream.next().await.unwrap().unwrap();
             streams.push(stream);
         }
@@ -142,22 +149,23 @@
 }
 
 #[test]
-fn a_history_is_kept_and_must_be_gone_on_from() {
-    run(async {
+fn messages_must_continue_the_stored_history() {
+    run_test(async {
         let world = World::start(Config::default()).await.unwrap();
         let caller = world.kestrel();
-        let at = world.entry(0);
-        let program = open(&caller, at, "minutes").await;
+        let address = world.entry(0);
+        let program = open_program(&caller, address, "minutes").await;
         let first = user("one");
         let body = chat(std::slice::from_ref(&first));
-        let answer = caller.chat(at, &program, &body, Options::request("1"));
+        let answer = caller.chat(address, &program, &body, Options::request("1"));
         let mut answer = answer.await.unwrap()["choices"][0]["message"].clone();
-        // Clients add fields of their own to what they were sent.
+        // Clients may add fields to the messages that they received.
         answer["refusal"] = json!(null);
         let body = chat(&[first.clone(), answer.clone(), user("two")]);
-        let second = caller.chat(at, &program, &body, Options::request("2"));
+        let second = caller.chat(address, &program, &body, Options::request("2"));
         second.await.unwrap();
-        // Each case: messages that do not go on from the history.
+        // Each case: messages that do not continue the history, and the expected
+        // rejection.
         let cases = [
             (vec![user("two")], Kind::Conflict),
             (vec![first.clone(), user("two")], Kind::Conflict),
@@ -167,28 +175,28 @@
         for (i, (messages, expected)) in cases.into_iter().enumerate() {
             let options = Options::request(format!("bad-{i}"));
             let body = chat(&messages);
-            let refused = caller.chat(at, &program, &body, options.clone()).await;
-            assert_eq!(kind(refused), expected, "{messages:?}");
+            let result = caller.chat(address, &program, &body, options.clone()).await;
+            assert_eq!(rejection_kind(result), expected, "{messages:?}");
         }
-        let history = caller.program(at, &program, "history").await.unwrap();
+        let history = caller.program(address, &program, "history").await.unwrap();
         assert_eq!(history["messages"].as_array().unwrap().len(), 4);
         world.stop().await;
     });
 }
 
 #[test]
-fn a_tree_never_spends_beyond_its_budget() {
-    run(async {
+fn a_program_and_its_children_never_exceed_their_budget() {
+    run_test(async {
         let world = World::start(Config::default()).await.unwrap();
         let caller = world.kestrel();
-        let at = world.entry(0);
+        let address = world.entry(0);
         let budget = 600;
-        let opening = caller.open(at, "minutes", Some(budget), None, "open");
+        let opening = caller.open(address, "minutes", Some(budget), None, "open");
         let program = opening.await.unwrap();
-        // Two sub-agents and their parent draw on it together, at once.
+        // A program and two children spend the same budget concurrently.
         let mut programs = vec![program.clone()];
         for name in ["one", "two"] {
-            let child = caller.open(at, "minutes", Some(9_999), Some(&program), name);
+            let child = caller.open(address, "minutes", Some(9_999), Some(&program), name);
             programs.push(child.await.unwrap());
         }
         let spenders = programs.iter().cloned().map(|program| {
@@ -197,12 +205,12 @@
                 for turn in 0..20 {
                     let body = chat(&[user("more")]);
                     let options = append(&format!("r{turn}"));
-                    let call = caller.chat(at, &program, &body, options.clone());
+                    let call = caller.chat(address, &program, &body, options.clone());
                     if let Err(error) = call.await {
-                        return kind::<()>(Err(error));
+                        return rejection_kind::<()>(Err(error));
                     }
                 }
-                panic!("the budget was never used up")
+                panic!("the budget was not exhausted")
             })
         });
         let spenders: Vec<_> = spenders.collect();
@@ -212,38 +220,38 @@
         let runs = world.engines.iter().flat_map(|e| e.runs());
         let spent: u64 = runs.map(|r| r.prompt_tokens + r.completion_tokens).sum();
         assert!(spent <= budget, "{spent}");
-        let info = caller.program(at, &program, "").await.unwrap();
+        let info = caller.program(address, &program, "").await.unwrap();
         assert_eq!(info["spent_tokens"], spent);
         world.stop().await;
     });
 }
 
 #[test]
-fn ended_programs_hold_no_engine_memory() {
-    run(async {
+fn ended_programs_release_engine_memory() {
+    run_test(async {
         let world = World::start(Config::default()).await.unwrap();
         let caller = world.kestrel();
-        let at = world.entry(0);
-        for (number, how) in ["end", "cancel"].into_iter().enumerate() {
+        let address = world.entry(0);
+        for (number, action) in ["end", "cancel"].into_iter().enumerate() {
             let opened = format!("open-{number}");
-            let opening = caller.open(at, "minutes", None, None, &opened);
+            let opening = caller.open(address, "minutes", None, None, &opened);
             let program = opening.await.unwrap();
-            let child = caller.open(at, "minutes", None, Some(&program), "sub");
+            let child = caller.open(address, "minutes", None, Some(&program), "sub");
             let child = child.await.unwrap();
             for program in [&program, &child] {
                 let body = chat(&[user("Draft.")]);
-                let call = caller.chat(at, program, &body, Options::request("draft"));
+                let call = caller.chat(address, program, &body, Options::request("draft"));
                 call.await.unwrap();
             }
             for engine in &world.engines {
                 engine.until(|e| e.runs().iter().all(|r| r.whole)).await;
             }
-            caller.program(at, &program, how).await.unwrap();
+            caller.program(address, &program, action).await.unwrap();
             world.released().await;
             let body = chat(&[user("More.")]);
             for program in [&program, &child] {
-                let late = caller.chat(at, program, &body, append("late"));
-                assert_eq!(kind(late.await), Kind::Ended);
+                let late = caller.chat(address, program, &body, append("late"));
+                assert_eq!(rejection_kind(late.await), Kind::Ended);
             }
         }
         world.stop().await;
@@ -251,93 +259,101 @@
 }
 
 #[test]
-fn a_program_whose_caller_has_gone_is_ended_and_holds_no_memory() {
-    run(async {
+fn an_idle_program_is_ended_and_releases_its_memory() {
+    run_test(async {
         let config = Config {
             defaults: json!({ "idle_ms": 100, "max_tokens": 4 }),
             ..Config::default()
         };
         let world = World::start(config).await.unwrap();
         let caller = world.kestrel();
-        let at = world.entry(0);
-        let program = open(&caller, at, "minutes").await;
+        let address = world.entry(0);
+        let program = open_program(&caller, address, "minutes").await;
         let body = chat(&[user("Draft.")]);
-        let call = caller.chat(at, &program, &body, Options::request("draft"));
+        let call = caller.chat(address, &program, &body, Options::request("draft"));
         call.await.unwrap();
         world.released().await;
-        let info = caller.program(at, &program, "").await.unwrap();
+        let info = caller.program(address, &program, "").await.unwrap();
         assert_eq!(info["ended"], "idle");
         world.stop().await;
     });
 }
 
 #[test]
-fn a_cancelled_program_stops_its_call() {
-    run(async {
+fn cancelling_a_program_stops_its_call() {
+    run_test(async {
         let world = World::start(Config::default()).await.unwrap();
         let caller = world.kestrel();
-        let at = world.entry(0);
-        let program = open(&caller, at, "minutes").await;
+        let address = world.entry(0);
+        let program = open_program(&caller, address, "minutes").await;
         world.engines.iter().for_each(|e| e.hold_at(Some(2)));
         let body = chat(&[user("Draft.")]);
         let options = Options::request("draft");
         let mut stream = caller
-            .stream(at, &program, &body, options.clone())
+            .stream(address, &program, &body, options.clone())
             .await
             .unwrap();
         stream.next().await.unwrap().unwrap();
-        caller.program(at, &program, "cancel").await.unwrap();
-        assert_eq!(kind(stream.rest().await), Kind::Ended);
+        caller.program(address, &program, "cancel").await.unwrap();
+        assert_eq!(rejection_kind(stream.rest().await), Kind::Ended);
         world.stop().await;
     });
 }
 
 #[test]
-fn a_program_comes_to_its_turn_limit_and_its_calls_to_their_time() {
-    run(async {
+fn turn_limits_and_call_timeouts_are_enforced() {
+    run_test(async {
         let config = Config {
             defaults: json!({ "max_turns": 2, "call_ms": 3_000, "max_tokens": 4 }),
             ..Config::default()
         };
         let world = World::start(config).await.unwrap();
         let caller = world.jordan();
-        let at = world.entry(0);
-        let program = open(&caller, at, "valuation").await;
+        let address = world.entry(0);
+        let program = open_program(&caller, address, "valuation").await;
         let body = chat(&[user("Value.")]);
         let options = Options::request("value");
         caller
-            .chat(at, &program, &body, options.clone())
+            .chat(address, &program, &body, options.clone())
             .await
             .unwrap();
         world.orders.set(Mode::Hang);
         let options = Options::request("order");
-        let hung = caller.service(at, &program, "orders/place", "{}", options.clone());
-        // It ran, and the service tells so.
-        hung.await.unwrap();
-        let third = caller.service(at, &program, "orders/place", "{}", Options::request("more"));
-        assert_eq!(kind(third.await), Kind::Overloaded);
+        let calling = caller.service(address, &program, "orders/place", "{}", options.clone());
+        // The call timed out, but the service reports the outcome when asked.
+        calling.await.unwrap();
+        let third = caller.service(
+            address,
+            &program,
+            "orders/place",
+            "{}",
+            Options::request("more"),
+        );
+        assert_eq!(rejection_kind(third.await), Kind::Overloaded);
         world.stop().await;
     });
 }
 
 #[test]
-fn calls_go_elsewhere_when_an_engine_is_not_there_and_none_go_to_one_that_leaves() {
-    run(async {
+fn unreachable_and_draining_engines_get_no_calls() {
+    run_test(async {
         let mut world = World::start(Config::default()).await.unwrap();
         world.tree["backends"]["engine-1"]["address"] = json!("127.0.0.1:1");
         world.apply().await.unwrap();
         world.engines[1].leave(true);
         let caller = world.kestrel();
-        let at = world.entry(0);
-        // Its next reports tell every owner; each asks in turn.
-        let enough = world.engines[1].reports() + 3 * world.processes.len() as u64;
-        world.engines[1].until(|e| e.reports() >= enough).await;
+        let address = world.entry(0);
+        // Waits until every owner has polled the engine since it began to drain.
+        let expected_reports = world.engines[1].reports() + 3 * world.processes.len() as u64;
+        world.engines[1]
+            .until(|e| e.reports() >= expected_reports)
+            .await;
         for number in 0..12 {
             let opened = format!("open-{number}");
-            let opening = caller.open(at, "minutes-plain", None, None, &opened);
+            let opening = caller.open(address, "minutes-plain", None, None, &opened);
             let program = opening.await.unwrap();
             let body = chat(&[user("Draft.")]);
-            let call = caller.chat(at, &program, &body, Options::request("draft"));
+            let call = caller.chat(address, &program, &body, Options::request("draft"));
             call.await.unwrap();
         }
         let runs: Vec<_> = world.engines.iter().map(|e| e.runs().len()).collect();
--- a/crates/gradedyke/tests/refusals.rs
+++ b/crates/gradedyke/tests/refusals.rs
@@ -1,5 +1,5 @@
-//! What listeners refuse: at once, in words that name the remedy, and without
-//! telling anything about another client account.
+//! Tests of rejected requests: errors are immediate, say what to do, and reveal
+//! nothing about other client accounts.
 
 mod support;
 
@@ -10,10 +10,11 @@
 use gradedyke_world::{Config, JORDAN, KESTREL, OPERATOR, World, chat, user};
 use http::{Method, StatusCode, header};
 use serde_json::json;
-use support::{kind, open, run};
+use support::{open_program, rejection_kind, run_test};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
+/// A request that must be rejected with a problem of the `expected` kind.
 struct Case {
     name: &'static str,
     method: Method,
@@ -24,6 +25,7 @@
     expected: Kind,
 }
 
+/// Sends the request of a case and returns the status and body of the response.
 async fn send(address: SocketAddr, case: &Case) -> (StatusCode, Vec<u8>) {
     let client = gradedyke_http::Client::new(&gradedyke_http::client::Config::default());
     let body = gradedyke_http::body::full(case.body.clone());
@@ -43,9 +45,9 @@
     (status, bytes.unwrap().to_vec())
 }
 
-/// The cases for callers, in a world where `own` is Kestrel's program and
-/// `foreign` Jordan's.
-fn cases(own: &str, foreign: &str) -> Vec<Case> {
+/// Returns the cases for callers. `own` is a program of the client account
+/// `kestrel`, `foreign` one of `jordan`.
+fn caller_cases(own: &str, foreign: &str) -> Vec<Case> {
     let draft = chat(&[user("Draft.")]).to_string();
     let completions = "/v1/chat/completions";
     let case = |name, method, path: &str, key, program: Option<&str>, body: &str, expected| Case {
@@ -183,57 +185,57 @@
 
 #[test]
 fn callers_get_typed_refusals() {
-    run(async {
+    run_test(async {
         let config = Config {
             limits: json!({ "leave_ms": 0, "body_bytes": 65_536 }),
             ..Config::default()
         };
         let world = World::start(config).await.unwrap();
-        let at = world.entry(0);
+        let address = world.entry(0);
         let (kestrel, jordan) = (world.kestrel(), world.jordan());
-        let own = kestrel.open(at, "minutes", None, None, "open");
+        let own = kestrel.open(address, "minutes", None, None, "open");
         let own = own.await.unwrap();
-        let foreign = jordan.open(at, "valuation", None, None, "open");
+        let foreign = jordan.open(address, "valuation", None, None, "open");
         let foreign = foreign.await.unwrap();
-        let mut words = std::collections::BTreeMap::new();
-        for case in cases(&own, &foreign) {
-            let (status, body) = send(at, &case).await;
+        let mut messages = std::collections::BTreeMap::new();
+        for case in caller_cases(&own, &foreign) {
+            let (status, body) = send(address, &case).await;
             let problem = Problem::from_body(&body);
             let problem = problem.unwrap_or_else(|| panic!("{}: {body:?}", case.name));
             assert_eq!(problem.kind, case.expected, "{}: {problem}", case.name);
             assert_eq!(status.as_u16(), problem.kind.status(), "{}", case.name);
             assert!(problem.not_run, "{}", case.name);
-            words.insert(case.name, problem.message);
+            messages.insert(case.name, problem.message);
         }
-        // What is another's looks like what is not there.
-        assert_eq!(words["unknown program"], words["foreign program"]);
-        assert_eq!(words["no key"], words["wrong key"]);
-        insta::assert_json_snapshot!(words);
-        // Nothing of this disturbed anybody.
+        // The message does not tell whether a foreign program or a key exists.
+        assert_eq!(messages["unknown program"], messages["foreign program"]);
+        assert_eq!(messages["no key"], messages["wrong key"]);
+        insta::assert_json_snapshot!(messages);
+        // The rejected requests have changed nothing.
         let body = chat(&[user("Draft.")]);
-        let call = kestrel.chat(at, &own, &body, Options::request("draft"));
+        let call = kestrel.chat(address, &own, &body, Options::request("draft"));
         call.await.unwrap();
-        let info = world.jordan().program(at, &foreign, "").await.unwrap();
+        let info = world.jordan().program(address, &foreign, "").await.unwrap();
         assert_eq!(info["ended"], json!(null));
         world.stop().await;
     });
 }
 
 #[test]
-fn slow_and_half_closed_callers_are_let_go() {
-    run(async {
+fn slow_and_half_closed_connections_are_closed() {
+    run_test(async {
         let config = Config {
             limits: json!({ "leave_ms": 0, "head_ms": 1_000, "body_ms": 1_000, "connections": 4 }),
             ..Config::default()
         };
         let world = World::start(config).await.unwrap();
-        let at = world.entry(0);
+        let address = world.entry(0);
         let head = format!(
             "POST /v1/programs HTTP/1.1\r\nhost: x\r\nauthorization: Bearer {KESTREL}\r\n\
              content-length: 100\r\n\r\n"
         );
-        // Each case: what is sent before the caller falls silent, whether it
-        // closes its side, and what it gets.
+        // Each case: what the caller sends before it stops sending, whether it
+        // closes its side of the connection, and what the response contains.
         let cases = [
             ("", false, ""),
             ("POST /v1/pro", false, ""),
@@ -241,47 +243,49 @@
             (&head, true, ""),
         ];
         for (sent, half_closed, expected) in cases {
-            let mut stream = TcpStream::connect(at).await.unwrap();
+            let mut stream = TcpStream::connect(address).await.unwrap();
             stream.write_all(sent.as_bytes()).await.unwrap();
             if half_closed {
                 stream.shutdown().await.unwrap();
             }
-            let mut got = String::new();
-            stream.read_to_string(&mut got).await.unwrap();
-            assert!(got.contains(expected), "{sent:?}: {got:?}");
+            let mut response = String::new();
+            stream.read_to_string(&mut response).await.unwrap();
+            assert!(response.contains(expected), "{sent:?}: {response:?}");
         }
-        let opening = world.jordan();
-        let opening = opening.open(at, "valuation", None, None, "open");
-        opening.await.expect("the places should be free again");
+        let caller = world.jordan();
+        let opening = caller.open(address, "valuation", None, None, "open");
+        opening
+            .await
+            .expect("the connections should have been freed");
         world.stop().await;
     });
 }
 
 #[test]
-fn a_full_client_account_is_told_at_once_when_to_come_back() {
-    run(async {
+fn a_client_account_at_its_limit_gets_a_retry_delay() {
+    run_test(async {
         let mut world = World::start(Config::default()).await.unwrap();
         world.tree["accounts"]["kestrel"]["concurrent"] = json!(1);
         world.apply().await.unwrap();
-        let at = world.entry(0);
+        let address = world.entry(0);
         let caller = world.kestrel();
-        let program = open(&caller, at, "minutes").await;
+        let program = open_program(&caller, address, "minutes").await;
         world.engines.iter().for_each(|e| e.hold_at(Some(1)));
         let body = chat(&[user("Draft.")]);
         let options = Options::request("draft");
         let mut stream = caller
-            .stream(at, &program, &body, options.clone())
+            .stream(address, &program, &body, options.clone())
             .await
             .unwrap();
         stream.next().await.unwrap().unwrap();
-        let refused = caller.chat(at, &program, &body, Options::request("more"));
-        let refused = refused.await.unwrap_err();
-        let problem = gradedyke_client::problem(&refused).unwrap();
+        let calling = caller.chat(address, &program, &body, Options::request("more"));
+        let error = calling.await.unwrap_err();
+        let problem = gradedyke_client::problem(&error).unwrap();
         assert_eq!(problem.kind, Kind::Overloaded);
         assert!(problem.retry_after_ms.is_some() && problem.not_run);
-        // Another client account does not notice.
+        // Another client account is not affected.
         let jordan = world.jordan();
-        let opening = jordan.open(at, "valuation", None, None, "open");
+        let opening = jordan.open(address, "valuation", None, None, "open");
         opening.await.unwrap();
         world.engines.iter().for_each(|e| e.hold_at(None));
         stream.rest().await.unwrap();
@@ -291,10 +295,10 @@
 
 #[test]
 fn operators_get_typed_refusals() {
-    run(async {
+    run_test(async {
         let world = World::start(Config::default()).await.unwrap();
         let process = world.processes[0].as_ref().unwrap();
-        let at = process.addresses().admin;
+        let address = process.addresses().admin;
         let path = "/admin/v1/settings";
         let case = |name, method, key, body: &str, expected| Case {
             name,
@@ -330,13 +334,13 @@
             ),
         ];
         for case in cases {
-            let (status, body) = send(at, &case).await;
+            let (status, body) = send(address, &case).await;
             let problem = Problem::from_body(&body).unwrap();
             assert_eq!(problem.kind, case.expected, "{}: {problem}", case.name);
             assert_eq!(status.as_u16(), problem.kind.status(), "{}", case.name);
         }
-        let anyone = kind(world.jordan().program(at, "x", "").await);
-        assert_eq!(anyone, Kind::Unauthorized);
+        let rejection = rejection_kind(world.jordan().program(address, "x", "").await);
+        assert_eq!(rejection, Kind::Unauthorized);
         world.stop().await;
     });
 }
