--- a/crates/gradedyke/src/owner/accept.rs
+++ b/crates/gradedyke/src/owner/accept.rs
@@ -1,4 +1,4 @@
-//! Takes calls in from entries and streams their answers back.
+//! Accepts calls from entries and streams the answers back.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,18 +22,18 @@
 use crate::program::state::Key;
 use crate::wire::{Call, Frame, MAX_FRAME, MODEL, Outcome, Work};
 
-/// Longest time for a call to arrive from an entry.
+/// Timeout for receiving the body of a call from an entry.
 const ARRIVAL: Duration = Duration::from_secs(30);
-/// Chunks that may wait for a slow entry; the text itself waits in the answer.
+/// Chunks buffered for a slow entry; the text itself is kept in the answer.
 const CHUNKS: usize = 2;
 
-/// The listener for calls from entries.
+/// HTTP handler of calls from entries.
 pub struct Calls {
     owner: Arc<Owner>,
 }
 
 impl Calls {
-    /// Calls to `owner`.
+    /// Creates a handler that passes calls to `owner`.
     pub fn new(owner: Arc<Owner>) -> Self {
         Self { owner }
     }
@@ -64,11 +64,12 @@
 }
 
 impl Owner {
-    /// Takes a call in: returns its answer, which may be under way already.
+    /// Accepts a call and returns its answer. A repeat of a known request returns
+    /// the existing answer, which may be in progress or complete.
     ///
     /// # Errors
     ///
-    /// The problem for the caller; the call did not run.
+    /// The error for the caller; the call did not run.
     pub fn accept(self: &Arc<Self>, call: &Call, now: Instant) -> Result<Arc<Answer>, Problem> {
         let holding = self.holding(call.program.slot())?;
         let session = holding.find(&call.account, &call.program)?;
@@ -80,8 +81,8 @@
             return session.known(key, &call.request).ok_or_else(not_issued);
         };
         let fingerprint = fingerprint(work)?;
-        // Nothing may fail between a call's arrival and its run, so what a new
-        // call needs is looked up before it. A known one needs nothing.
+        // Nothing may fail between enqueueing a call and spawning its task, so
+        // the settings of a new call are looked up first.
         let effective = match session.known(key, &call.request) {
             Some(_) => Effective::default(),
             None => self.check(&holding, &session, key, work)?,
@@ -95,8 +96,8 @@
             Arrival::Known(answer) => Ok(answer),
             Arrival::New(answer, ticket) => {
                 if holding.closing() {
-                    // The slot began to close after it was looked at; either
-                    // this is seen here, or the call is seen there.
+                    // The slot was marked as closing after the check above.
+                    // Either it is seen here, or the handover sees the call.
                     session.finish(key, &call.request, ticket, End::Moved, false);
                     return Err(moving());
                 }
@@ -118,7 +119,7 @@
         }
     }
 
-    /// The settings of a program's agent program.
+    /// Returns the effective settings of a program's agent program.
     pub(super) fn effective(&self, session: &Session, key: Key) -> Result<Effective, Problem> {
         let agent = session.read(key, |p| p.agent.clone()).unwrap_or_default();
         let tree = self.current.get();
@@ -129,8 +130,7 @@
         })
     }
 
-    /// Checks that a new call may be issued, and returns the settings it runs
-    /// under.
+    /// Checks that a new call is allowed, and returns its effective settings.
     fn check(
         &self,
         holding: &Holding,
@@ -180,8 +180,8 @@
     Problem::new(Kind::NotFound, message)
 }
 
-/// What tells one call from another under the same request id. Whether the
-/// answer is streamed is no difference.
+/// Hash of a call, to detect a request id that is reused for another call. It
+/// doesn't depend on whether the answer is streamed.
 fn fingerprint(work: &Work) -> Result<String, Problem> {
     let mut work = work.clone();
     if let Work::Chat { request, .. } = &mut work {
@@ -195,7 +195,8 @@
     Ok(blake3::hash(&bytes).to_hex()[..32].to_owned())
 }
 
-/// Checks that the text the caller has is the text that is here.
+/// Checks that the text the caller already has is a prefix of this answer, and
+/// returns the offset to continue from.
 fn check_offset(answer: &Answer, call: &Call) -> Result<usize, Problem> {
     let offset = usize::try_from(call.offset).unwrap_or(usize::MAX);
     let (true, Some(seen)) = (offset > 0, &call.seen) else {
@@ -207,13 +208,14 @@
                            fetch it whole with the same request id";
             Err(Problem::new(Kind::BackendFailed, message))
         }
-        // The new owner has not come as far yet; the text is checked again
-        // when the stream gets there.
+        // A new owner may not have generated that much text yet; `stream` waits
+        // until the answer reaches the offset.
         _ => Ok(offset),
     }
 }
 
-/// Streams an answer from `offset` on.
+/// Streams an answer to an entry, starting at byte `offset` of the text. With
+/// `whole`, only the end is sent.
 async fn stream(answer: Arc<Answer>, offset: usize, whole: bool, sender: Sender) {
     let mut changes = answer.subscribe();
     let mut offset = offset;
@@ -245,14 +247,15 @@
     }
 }
 
-/// The reader has gone.
+/// The reader closed the connection.
 struct Gone;
 
-/// Sends the text that has come since `offset`.
+/// Sends the text after `offset` and advances it. Returns the end of the answer
+/// if there is one.
 async fn next(answer: &Answer, offset: &mut usize, sender: &Sender) -> Result<Option<End>, Gone> {
     let Some(news) = answer.since(*offset) else {
-        // The reader is ahead: the answer is being resumed here. Unless it has
-        // ended shorter, wait until it gets there.
+        // The reader has more text than this answer, which is being resumed
+        // here. Wait for more text, unless the answer has ended.
         return Ok(answer.end());
     };
     if !news.text.is_empty() {
@@ -271,12 +274,13 @@
     sender.send(Ok(bytes)).await.map_err(|_| Gone)
 }
 
-/// The problem that ends a call, as its outcome.
+/// Returns the end of a call that failed with `problem`.
 pub(super) fn failed(problem: Problem) -> End {
     End::Outcome(Outcome::Failed(problem))
 }
 
-/// A request's name towards backend servers, the same for every attempt.
+/// Returns the idempotency key that is sent to backend servers, the same for
+/// every attempt at a request.
 pub(super) fn idempotency_key(program: &id::Program, request: &id::Request) -> String {
     format!("{program}:{request}")
 }
--- a/crates/gradedyke/src/owner/answer.rs
+++ b/crates/gradedyke/src/owner/answer.rs
@@ -1,8 +1,8 @@
-//! An answer while it comes in.
+//! The answer of a call, readable while it is generated.
 //!
-//! The text is kept once, whatever the number of readers; each reader takes
-//! what has come since its own offset. A slow reader thus gets larger pieces,
-//! never a longer queue, and a reader that comes back goes on at its offset.
+//! All readers share one copy of the text, and each reads from its own offset. A
+//! slow reader thus gets larger pieces instead of a growing queue, and a reader
+//! that reconnects continues at its offset.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
@@ -11,21 +11,21 @@
 
 use crate::wire::Outcome;
 
-/// How an answer under way ends.
+/// How an answer ends.
 #[derive(Clone, Debug, PartialEq)]
 pub enum End {
-    /// With an outcome.
+    /// The call ended with this outcome.
     Outcome(Outcome),
-    /// Here without one: ask the program's owner again.
+    /// The slot moved to another owner, which continues the call: ask that owner.
     Moved,
 }
 
-/// What has come since a reader's offset.
+/// The part of an answer after a reader's offset.
 #[derive(Clone, Debug, PartialEq)]
 pub struct News {
-    /// New text.
+    /// Text after the offset.
     pub text: String,
-    /// The end, if there.
+    /// How the answer ended, if it has.
     pub end: Option<End>,
 }
 
@@ -36,21 +36,21 @@
     read: bool,
 }
 
-/// An answer under way.
+/// The answer of a call in progress or of a call that has ended.
 #[derive(Debug)]
 pub struct Answer {
-    /// Hash of the work as the caller sent it.
+    /// Hash of the call as the caller sent it, to detect a reused request id.
     pub fingerprint: String,
-    /// The model that answers; empty for a plain service.
+    /// The model that generates it; empty for a plain service.
     pub model: String,
-    /// Cancels the call.
+    /// Token that cancels the call.
     pub cancel: CancellationToken,
     state: Mutex<State>,
     changed: watch::Sender<()>,
 }
 
 impl Answer {
-    /// An answer of which nothing has come yet.
+    /// Creates an empty answer of a call in progress.
     pub fn new(fingerprint: String, model: String, cancel: CancellationToken) -> Self {
         Self {
             fingerprint,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// An answer that is whole already.
+    /// Creates the answer of a call that has ended.
     pub fn ended(fingerprint: String, outcome: Outcome) -> Self {
         let model = match &outcome {
             Outcome::Chat(completion) => completion.model.clone(),
@@ -76,8 +76,8 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Writes text at a byte offset. Text that is there already must be the
-    /// same; tells whether it is.
+    /// Writes text at a byte offset. Returns whether it agrees with the text that
+    /// is already there; if not, nothing is written.
     ///
     /// ```
     /// use gradedyke::owner::answer::Answer;
@@ -105,23 +105,23 @@
         true
     }
 
-    /// Bytes of text so far.
+    /// Returns the length of the text so far, in bytes.
     pub fn len(&self) -> usize {
         self.lock().text.len()
     }
 
-    /// Whether no text has come.
+    /// Returns whether there is no text yet.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// The text so far.
+    /// Returns the text so far.
     pub fn text(&self) -> String {
         self.lock().text.clone()
     }
 
-    /// Begins the text anew, unless a reader has had some of it already: then
-    /// what comes must repeat it.
+    /// Clears the text before another attempt. If a reader has already received
+    /// text, it stays and the new attempt must produce the same text.
     pub fn restart(&self) {
         let mut state = self.lock();
         if !state.read {
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Ends the answer. A second end is ignored.
+    /// Ends the answer. Any later call is ignored.
     pub fn finish(&self, end: End) {
         let mut state = self.lock();
         if let (End::Outcome(Outcome::Chat(completion)), true) = (&end, state.text.is_empty()) {
@@ -140,13 +140,13 @@
         self.changed.send_replace(());
     }
 
-    /// Follows changes.
+    /// Returns a receiver that is notified of every change.
     pub fn subscribe(&self) -> watch::Receiver<()> {
         self.changed.subscribe()
     }
 
-    /// What has come since `offset`, or `None` when the text cannot be cut
-    /// there.
+    /// Reads from byte `offset` on. Returns `None` if the offset is beyond the text
+    /// or inside a character.
     ///
     /// ```
     /// use gradedyke::owner::answer::Answer;
@@ -166,14 +166,15 @@
         })
     }
 
-    /// BLAKE3 of the first `length` bytes of the text, if there are so many.
+    /// Returns the BLAKE3 hash of the first `length` bytes of the text in hex, or
+    /// `None` if the text is shorter.
     pub fn hash(&self, length: usize) -> Option<String> {
         let state = self.lock();
         let head = state.text.as_bytes().get(..length)?;
         Some(blake3::hash(head).to_hex().to_string())
     }
 
-    /// The end, if it has come.
+    /// Returns how the answer ended, if it has.
     pub fn end(&self) -> Option<End> {
         self.lock().end.clone()
     }
--- a/crates/gradedyke/src/owner/attempt.rs
+++ b/crates/gradedyke/src/owner/attempt.rs
@@ -1,5 +1,5 @@
-//! One attempt at a model call: send it, read its stream, resume it where it
-//! broke off.
+//! One attempt at a model call: sends it, reads the response stream and resumes
+//! an interrupted stream.
 
 use std::time::Duration;
 
@@ -12,31 +12,31 @@
 use super::run::Context;
 use crate::routing::fleet::{Choice, Link};
 
-/// Times that a cut stream is resumed at the same engine.
+/// Maximum number of times an interrupted stream is resumed on the same engine.
 const RESUMES: u32 = 2;
-/// First wait before a lost attempt is cancelled again.
+/// First backoff before a failed cancellation is retried.
 const CANCEL_FIRST: Duration = Duration::from_millis(50);
-/// Longest such wait.
+/// Maximum backoff between cancellation retries.
 const CANCEL_LAST: Duration = Duration::from_secs(2);
-/// Times that a lost attempt is cancelled before it is left to its end.
+/// Maximum number of retries of a cancellation.
 const CANCELS: u32 = 8;
 
 /// How an attempt ended.
 pub(super) enum Attempt {
-    /// The answer is whole.
+    /// The answer is complete.
     Whole(Completion, Option<Usage>),
     /// It certainly did not run.
     NotRun(Error),
-    /// The call itself is at fault.
+    /// The engine rejected the call as invalid.
     Invalid(Error),
-    /// It may have run, and its answer is lost.
+    /// It may have run, but its answer is lost.
     Lost(Error),
-    /// It gives another answer than the one that readers have begun to read.
+    /// Its text differs from text that readers have already received.
     Differs,
 }
 
-/// Makes one attempt, cancelled by the caller, by the end of the program or by
-/// the deadline.
+/// Runs one attempt. The caller, the end of the program or the deadline can
+/// cancel it.
 pub(super) async fn make(context: &Context, call: &Call, choice: &Choice) -> Attempt {
     let Link::Engine(engine) = &choice.link else {
         return Attempt::NotRun(Error::NotSent("not an engine".to_owned()));
@@ -78,7 +78,8 @@
     }
 }
 
-/// Resumes a cut stream at the engine that has it.
+/// Resumes an interrupted stream on the engine that runs the attempt, with up to
+/// `tries` tries.
 pub(super) async fn resume(
     context: &Context,
     choice: &Choice,
@@ -103,7 +104,8 @@
     Attempt::Lost(error)
 }
 
-/// Reads a stream, whose text begins at `position`, to its end into the answer.
+/// Reads a stream to its end and writes the text into the answer, starting at
+/// byte offset `position`.
 async fn read(
     context: &Context,
     mut chunks: Box<dyn Chunks>,
@@ -148,7 +150,7 @@
         .record(context.came.elapsed().as_secs_f64());
 }
 
-/// Cancels a lost attempt in the background, so that it stops spending.
+/// Cancels a lost attempt in the background, so that it stops using tokens.
 pub(super) fn cancel(context: &Context, choice: &Choice, attempt: &str) {
     let Link::Engine(engine) = choice.link.clone() else {
         return;
--- a/crates/gradedyke/src/owner/chat.rs
+++ b/crates/gradedyke/src/owner/chat.rs
@@ -1,8 +1,9 @@
-//! A model call: route, send, stream, and go on elsewhere when an engine fails.
+//! Runs a model call: routes and sends it, streams the answer, and retries on
+//! another engine on failure.
 //!
-//! A model call may be repeated, since it changes nothing but the engine's
-//! cache. Each further attempt reserves its own worst case, because a lost one
-//! may have spent all of its own.
+//! A model call can be retried, since its only side effect is on the engine's
+//! cache. Each attempt reserves its own maximum of tokens, because a lost attempt
+//! may have spent its whole reservation.
 
 use std::time::Duration;
 
@@ -23,17 +24,17 @@
 use crate::routing::fleet::{Choice, Key, Link};
 use crate::wire::{History, Outcome, Work};
 
-/// First wait before another attempt.
+/// First backoff before another attempt.
 const RETRY_FIRST: Duration = Duration::from_millis(50);
-/// Longest such wait.
+/// Maximum backoff between attempts.
 const RETRY_LAST: Duration = Duration::from_secs(2);
-/// Attempts after the first.
+/// Maximum number of attempts after the first.
 const RETRIES: u32 = 8;
-/// When to come back where no engine can be reached.
+/// Retry delay suggested to callers when no engine ran the call.
 const COME_BACK: Duration = Duration::from_secs(2);
-/// Bytes that make a token, for estimates that only guide routing.
+/// Assumed bytes per token, for the estimates used by routing.
 const BYTES_PER_TOKEN: u64 = 4;
-/// Priority of batch work towards engines; staff work has 0.
+/// Priority of batch calls on engines; lower runs first and staff calls have 0.
 const BATCH_PRIORITY: i32 = 10;
 
 /// A call that is ready to be sent.
@@ -75,8 +76,9 @@
     attempts(context, ready, first, 0).await
 }
 
-/// Goes on with a model call that an earlier owner had sent. Its worst case has
-/// been reserved with the session.
+/// Resumes a model call that an earlier owner had sent. Its tokens are already
+/// reserved: [`Session::new`](super::session::Session::new) reserves them again
+/// for every open call.
 pub(super) async fn take_up(
     context: &Context,
     request: &chat::Request,
@@ -137,7 +139,7 @@
     }
 }
 
-/// The name of an attempt: no two have the same, also across owners.
+/// Returns the id of an attempt. The epoch makes it unique across owners.
 fn attempt_name(context: &Context, number: u32) -> String {
     let Context {
         program, request, ..
@@ -148,12 +150,13 @@
     )
 }
 
+/// Estimates the tokens of a message.
 fn estimate(message: &Message) -> u64 {
     let bytes: usize = message.values().map(|v| v.to_string().len()).sum();
     bytes as u64 / BYTES_PER_TOKEN + 1
 }
 
-/// Chooses an engine and books the call there.
+/// Chooses an engine and counts the call as in flight there.
 fn choose(context: &Context, ready: &Ready, avoid: &[Key], now: Instant) -> Option<Choice> {
     let owner = &context.owner;
     let chain = ready.call.chain.keys();
@@ -170,9 +173,9 @@
         .book(key, chain, &ready.tokens, ready.max_tokens)
 }
 
-/// Makes attempts until one is whole, the deadline comes, or none is left. The
-/// worst case of the next attempt is reserved at every turn of the loop; `lost`
-/// tokens are spent already.
+/// Makes attempts until one completes, the deadline passes or no retry is left.
+/// At the start of each iteration the tokens of the next attempt are reserved;
+/// `lost` tokens were spent on lost attempts.
 async fn attempts(
     context: &Context,
     mut ready: Ready,
@@ -212,22 +215,22 @@
         ready.call.attempt = attempt_name(context, number);
         let now = Instant::now();
         choice = choose(context, &ready, &avoid, now).or_else(|| {
-            // All have failed once; any of them may be well again.
+            // All have failed once and any may have recovered: start over.
             avoid.clear();
             choose(context, &ready, &avoid, now)
         });
     }
 }
 
-/// What follows from an attempt.
+/// What to do after an attempt.
 enum Step {
-    /// The call has ended.
+    /// End the call.
     End(Finished),
-    /// It is to be tried again.
+    /// Try again.
     Again(Error),
 }
 
-/// Makes one attempt and draws the conclusion.
+/// Makes one attempt and decides whether the call ends or is retried.
 async fn step(
     context: &Context,
     ready: &Ready,
@@ -266,8 +269,8 @@
     }
 }
 
-/// Takes a lost attempt as spent whole and reserves the next one. Returns the
-/// end of the call when there can be no next one.
+/// Charges the whole reservation of a lost attempt and reserves the tokens of
+/// the next one. Returns the end of the call if it can't be retried.
 fn lose(context: &Context, ready: &Ready, lost: u64) -> Option<Finished> {
     context.session.settle(ready.reserved, ready.reserved);
     if context.answer.cancel.is_cancelled() {
@@ -284,7 +287,7 @@
     }
 }
 
-/// The end of a call whose answer is whole.
+/// Settles a call whose answer is complete.
 fn whole_answer(
     context: &Context,
     ready: &Ready,
@@ -293,7 +296,7 @@
     lost: u64,
 ) -> Finished {
     ready.call.chain.model().clone_into(&mut completion.model);
-    // An engine that does not count is taken to have spent the worst case.
+    // Without a token count from the engine, the whole reservation is charged.
     completion.usage = usage.unwrap_or(Usage {
         prompt_tokens: ready.reserved - ready.max_tokens,
         completion_tokens: ready.max_tokens,
@@ -315,8 +318,8 @@
     }
 }
 
-/// Ends a call of which no attempt is under way, and gives its reservation
-/// back. Where an earlier attempt may have run, that is the call's outcome.
+/// Ends a call that has no attempt in flight and releases its reservation. If an
+/// earlier attempt was lost, the call fails; otherwise it is withdrawn as not run.
 async fn give_back(
     context: &Context,
     ready: &Ready,
@@ -330,7 +333,7 @@
     Err(context.withdraw(problem).await)
 }
 
-/// Ends a call for which no attempt is left.
+/// Ends a call that has used up its retries or its time.
 async fn exhausted(
     context: &Context,
     ready: &Ready,
@@ -346,7 +349,7 @@
     give_back(context, ready, problem, lost).await
 }
 
-/// Keeps the prompt's prefix in the engine's memory while the program lives.
+/// Pins the prompt's prefix in the engine's cache until the program ends.
 async fn keep_prefix(context: &Context, ready: &Ready, choice: &Choice) {
     let Link::Engine(engine) = &choice.link else {
         return;
--- a/crates/gradedyke/src/owner/holding.rs
+++ b/crates/gradedyke/src/owner/holding.rs
@@ -1,4 +1,4 @@
-//! A slot that this process serves at one epoch.
+//! A slot that this process serves at one epoch, with its log and sessions.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -17,25 +17,26 @@
 use crate::program::record::Record;
 use crate::program::state::{Tree, Trees};
 
-/// A slot served at one epoch.
+/// A slot that this process owns at one epoch.
 pub struct Holding {
     /// The slot.
     pub slot: Slot,
-    /// Its log.
+    /// Its journal log.
     pub log: Arc<Log>,
-    /// Ends everything in this holding when the slot is lost.
+    /// Cancelled when the slot moves to another owner or the process stops; ends
+    /// all calls in the slot.
     pub stop: CancellationToken,
-    /// Set while the slot is about to be handed over: nothing new begins.
+    /// Set before the slot is handed over: no new program or call is accepted.
     closing: AtomicBool,
-    /// The entry before which the log was trimmed.
+    /// Index of the entry before which the log was last trimmed.
     trimmed: AtomicU64,
     sessions: Mutex<HashMap<String, Arc<Session>>>,
-    /// Held while a program is opened, so that it is opened once.
+    /// Held while a program is opened, so that concurrent requests open it once.
     pub opening: tokio::sync::Mutex<()>,
 }
 
 impl Holding {
-    /// A holding with the trees recovered from its log.
+    /// Creates a served slot with the trees recovered from its log.
     pub fn new(
         slot: Slot,
         log: Arc<Log>,
@@ -55,11 +56,11 @@
         }
     }
 
-    /// Keeps a record in the journal.
+    /// Appends a record to the journal.
     ///
     /// # Errors
     ///
-    /// `moving` when the slot has gone to another owner.
+    /// `moving` when the slot has moved to another owner or its log was closed.
     pub async fn keep(&self, record: &Record) -> Result<(), Problem> {
         let data = to_raw_value(record).map_err(|e| {
             let message = format!("a record cannot be written ({e}); report this");
@@ -76,17 +77,17 @@
         }
     }
 
-    /// The session of a program's tree.
+    /// Returns the session of a program's tree.
     pub fn session(&self, program: &id::Program) -> Option<Arc<Session>> {
         lock(&self.sessions).get(program.root()).cloned()
     }
 
-    /// The session of a program's tree if it is `account`'s.
+    /// Returns the session of a program's tree if the program belongs to `account`.
     ///
     /// # Errors
     ///
-    /// `not_found`, the same for a program that is not there and for one of
-    /// another client account.
+    /// `not_found`, with the same text for a program that does not exist and for a
+    /// program of another client account.
     pub fn find(
         &self,
         account: &id::Account,
@@ -97,7 +98,7 @@
         own.ok_or_else(unknown)
     }
 
-    /// Adds the session of a new tree.
+    /// Adds a new tree and returns its session.
     pub fn insert(&self, program: &id::Program, tree: Tree, now: Instant) -> Arc<Session> {
         let session = Arc::new(Session::new(tree, now));
         let root = program.root().to_owned();
@@ -105,33 +106,34 @@
         session
     }
 
-    /// Forgets a tree.
+    /// Removes the session of a tree.
     pub fn remove(&self, program: &id::Program) {
         lock(&self.sessions).remove(program.root());
     }
 
-    /// All sessions.
+    /// Returns all sessions.
     pub fn sessions(&self) -> Vec<Arc<Session>> {
         lock(&self.sessions).values().cloned().collect()
     }
 
-    /// Whether nothing new may begin.
+    /// Returns whether no new program or call is accepted.
     pub fn closing(&self) -> bool {
         self.closing.load(Ordering::SeqCst)
     }
 
-    /// Lets nothing new begin, or lets it again.
+    /// Sets whether new programs and calls are refused.
     pub fn close(&self, closing: bool) {
         self.closing.store(closing, Ordering::SeqCst);
     }
 
-    /// Whether no call is in progress.
+    /// Returns whether no call is queued or running.
     pub fn idle(&self) -> bool {
         self.sessions().iter().all(|s| s.idle())
     }
 
-    /// The index to trim the log before, when nothing in it is needed any more.
-    /// The last entry stays, so that a keeper that lags finds where to go on.
+    /// Returns the index before which the log can be trimmed, and remembers it.
+    /// `None` while there are sessions or nothing new to trim. The last entry
+    /// stays, so that a lagging keeper finds where to continue.
     pub fn trimmable(&self) -> Option<u64> {
         let last = self.log.last();
         let empty = lock(&self.sessions).is_empty();
@@ -143,7 +145,8 @@
     }
 }
 
-/// The problem of a program that is not there for this client account.
+/// Returns the error for a program that does not exist or that belongs to another
+/// client account.
 pub fn unknown() -> Problem {
     let message = "no such program of yours; open one with POST /v1/programs, or correct the id";
     Problem::new(Kind::NotFound, message)
--- a/crates/gradedyke/src/owner/mod.rs
+++ b/crates/gradedyke/src/owner/mod.rs
@@ -1,11 +1,11 @@
-//! The owner: orders the calls of the programs it owns, keeps their history and
-//! budget, routes and dispatches to backend servers.
+//! The owner role: orders the calls of the programs it owns, keeps their history
+//! and budget, and routes and dispatches calls to backend servers.
 //!
-//! Each slot that the map gives to this process becomes a [`holding::Holding`],
-//! recovered from the journal; each tree of programs in it is a
-//! [`session::Session`]. A call runs in a task of its own, written straight
-//! down in `run`, and outlives the connection that brought it, so a caller
-//! may come back for the rest from any entry.
+//! Each slot that the slot map assigns to this process becomes a
+//! [`holding::ServedSlot`], recovered from the journal; each tree of programs in
+//! it is a [`session::Session`]. A call runs in its own task (see `run`) and
+//! outlives the connection it arrived on, so a caller can fetch the rest of the
+//! answer through any entry.
 
 pub mod accept;
 pub mod answer;
@@ -40,7 +40,7 @@
 use crate::routing::{self, Policy};
 use holding::Holding;
 
-/// When to come back to a slot that changes its owner.
+/// Retry delay suggested to callers while a slot changes its owner.
 const MOVING_RETRY: std::time::Duration = std::time::Duration::from_millis(200);
 
 /// The owner role of one process.
@@ -54,7 +54,7 @@
     policies: BTreeMap<&'static str, Arc<dyn Policy>>,
     journal: Arc<Journal>,
     holdings: Mutex<HashMap<Slot, Arc<Holding>>>,
-    /// Number of slots served, for whoever waits for it.
+    /// Number of slots served; a planned stop waits until it is 0.
     served: watch::Sender<usize>,
     draining: CancellationToken,
     stop: CancellationToken,
@@ -66,7 +66,7 @@
 }
 
 impl Owner {
-    /// The owner role over what `kernel` holds.
+    /// Creates the owner role on the services of `kernel`.
     pub fn new(kernel: &Kernel) -> Arc<Self> {
         Arc::new(Self {
             id: kernel.settings.id.clone(),
@@ -85,7 +85,7 @@
         })
     }
 
-    /// Starts the tasks of the role.
+    /// Starts the background tasks of the role.
     pub fn start(self: &Arc<Self>, kernel: &Kernel) {
         let assigner = crate::ownership::assign::Assigner::new(
             self.kv.clone(),
@@ -99,11 +99,11 @@
         tokio::spawn(poll::run(self.clone(), kernel.instances.clone()));
     }
 
-    /// The holding of a slot that is served here.
+    /// Returns a slot that is served here.
     ///
     /// # Errors
     ///
-    /// `moving` when it is not, or not any more.
+    /// `moving` when the slot is not served here, or no longer.
     pub fn holding(&self, slot: Slot) -> Result<Arc<Holding>, Problem> {
         let holding = lock(&self.holdings).get(&slot).cloned();
         holding
@@ -115,7 +115,7 @@
         lock(&self.holdings).values().cloned().collect()
     }
 
-    /// Number of slots served here.
+    /// Returns the number of slots served here.
     pub fn serves(&self) -> usize {
         lock(&self.holdings).len()
     }
@@ -132,7 +132,7 @@
     }
 }
 
-/// The problem of a slot that changes its owner.
+/// Returns the error for a slot whose owner is changing.
 pub fn moving() -> Problem {
     let message = "the program's owner is changing; send the request again with the same id";
     Problem::new(Kind::Moving, message).retry_after(MOVING_RETRY)
--- a/crates/gradedyke/src/owner/poll.rs
+++ b/crates/gradedyke/src/owner/poll.rs
@@ -1,4 +1,4 @@
-//! Watches backend servers: one task for each engine, and one for the platform's
+//! Polls backend servers: one task for each engine, and one for the platform's
 //! instance list.
 
 use std::collections::{BTreeSet, HashMap};
@@ -13,17 +13,18 @@
 use super::Owner;
 use crate::routing::fleet::Key;
 
-/// How often an engine's load and cache events are read.
+/// Interval between reads of an engine's load and cache events.
 const LOAD: Duration = Duration::from_millis(250);
-/// How often an engine is asked what it holds, in rounds of [`LOAD`]. The list is
-/// long, and only what an earlier owner left behind waits for it.
+/// Interval between reads of an engine's pins, in rounds of
+/// [`LOAD_POLL_INTERVAL`]. The list is long and only serves to find pins that an
+/// earlier owner left behind, so it is read rarely.
 const PINS_EVERY: u32 = 40;
-/// How often the instance list is read.
+/// Interval between reads of the instance list.
 const LIST: Duration = Duration::from_secs(1);
-/// The name under which the platform lists backend servers.
+/// Name of the service under which the platform lists backend servers.
 const BACKENDS: &str = "backends";
 
-/// Keeps a task for each engine of the settings in force until the process
+/// Runs a polling task for each engine in the current settings until the process
 /// stops.
 pub(super) async fn run(owner: Arc<Owner>, instances: Option<Arc<dyn Instances>>) {
     if let Some(instances) = instances {
@@ -86,8 +87,8 @@
     }
 }
 
-/// Releases what an engine holds for programs of this owner that have ended,
-/// whoever had it pinned: an earlier owner may have died before it released it.
+/// Releases the pins of an engine for programs of this owner that have ended,
+/// including pins of an earlier owner that died before it released them.
 async fn reconcile(owner: &Owner, id: &id::Backend, engine: &dyn Engine) {
     let Ok(pins) = engine.pins().await else {
         return;
--- a/crates/gradedyke/src/owner/run.rs
+++ b/crates/gradedyke/src/owner/run.rs
@@ -1,4 +1,4 @@
-//! One call, from its turn to its end, written straight down.
+//! Runs one call, from waiting in its queue to publishing its outcome.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,7 +18,7 @@
 use crate::routing::{Candidate, Question};
 use crate::wire::{Outcome, Work};
 
-/// All that a call needs on its way.
+/// State of a running call.
 pub(super) struct Context {
     pub owner: Arc<Owner>,
     pub holding: Arc<Holding>,
@@ -32,11 +32,11 @@
     pub came: Instant,
 }
 
-/// Why a call ends without an outcome of its own.
+/// Why a call ends without an outcome in the journal.
 pub(super) enum Stop {
     /// It certainly did not run; the caller may send it again.
     NotRun(Problem),
-    /// The slot has gone to another owner.
+    /// The slot has moved to another owner.
     Moved,
 }
 
@@ -49,7 +49,7 @@
     }
 }
 
-/// An outcome with the tokens it took.
+/// An outcome and the tokens spent on it.
 pub(super) struct Finished {
     pub outcome: Outcome,
     pub spent: u64,
@@ -77,7 +77,7 @@
     }
 }
 
-/// Goes on with a call that an earlier owner had sent.
+/// Resumes a call that an earlier owner had sent.
 pub(super) async fn go_on(context: Context, intent: Intent) {
     let result = tokio::select! {
         biased;
@@ -89,7 +89,7 @@
 
 async fn take_up(context: &Context, intent: &Intent) -> Result<Finished, Stop> {
     match context.turn().await {
-        // It may have run, so it must not be called not run.
+        // The earlier owner may have sent it, so it may have run.
         Err(Stop::NotRun(problem)) => {
             context.session.settle(intent.reserved, intent.reserved);
             return Ok(Finished {
@@ -110,7 +110,7 @@
 }
 
 impl Context {
-    /// When the call must have ended.
+    /// Returns the deadline of the call.
     pub(super) fn deadline(&self) -> Instant {
         self.came + Duration::from_millis(self.effective.call_ms)
     }
@@ -134,7 +134,7 @@
         Ok(())
     }
 
-    /// The backend server that the program's routing policy chooses.
+    /// Chooses a backend server by the program's routing policy.
     pub(super) fn route(&self, question: &Question, candidates: &[Candidate]) -> Option<Key> {
         let policies = &self.owner.policies;
         let named = policies.get(self.effective.routing.as_str());
@@ -143,7 +143,7 @@
         candidates.get(place).map(|candidate| candidate.key)
     }
 
-    /// Keeps the intent to send this call.
+    /// Appends the intent to send this call to the journal.
     pub(super) async fn intend(&self, intent: Intent) -> Result<(), Stop> {
         let record = Record::Intended {
             program: self.program.clone(),
@@ -153,7 +153,7 @@
         self.keep(record).await
     }
 
-    /// Keeps that an intended call certainly did not run.
+    /// Records in the journal that an intended call certainly did not run.
     pub(super) async fn withdraw(&self, problem: Problem) -> Stop {
         let record = Record::Withdrawn {
             program: self.program.clone(),
@@ -171,7 +171,8 @@
         Ok(())
     }
 
-    /// Keeps the outcome, then publishes it and gives the turn on.
+    /// Appends the outcome to the journal, publishes it and lets the next call of
+    /// the program run.
     async fn finish(self, work: &Work, result: Result<Finished, Stop>) {
         let (end, ran) = match result {
             Ok(finished) => match self.answered(finished).await {
@@ -223,7 +224,7 @@
     }
 }
 
-/// The problem of a call that was cancelled before it was sent.
+/// Returns the error for a call that was cancelled before it was sent.
 pub(super) fn cancelled() -> Problem {
     let message =
         "the program has ended or was cancelled, and the call was not run; open a new one";
@@ -232,7 +233,6 @@
     problem
 }
 
-/// Turns the problem of a lost slot into the stop of the call.
 impl From<Stop> for Problem {
     fn from(stop: Stop) -> Self {
         match stop {
--- a/crates/gradedyke/src/owner/session.rs
+++ b/crates/gradedyke/src/owner/session.rs
@@ -1,5 +1,5 @@
-//! A tree of programs while it is served: its state, its budget, the lines in
-//! which calls wait, and the calls under way.
+//! The in-memory state of a served tree of programs: its journaled state, its
+//! budget, the call queue of each program and the calls in flight.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::{Arc, Mutex};
@@ -18,25 +18,25 @@
 use crate::routing::fleet;
 use crate::wire::{History, Outcome};
 
-/// The line in which the calls of one program wait for their turn.
+/// Queue of the calls of one program, which run one at a time by number.
 #[derive(Debug)]
 struct Line {
-    /// The number that the next call without one gets.
+    /// Number for the next call that arrives without a sequence number.
     next: u64,
-    /// The number whose turn it is.
+    /// Number of the call that may run now.
     turn: watch::Sender<u64>,
-    /// Numbers that the caller gave, with the requests they stand for.
+    /// Numbers assigned by the caller, with their requests, while these are queued.
     given: BTreeMap<u64, id::Request>,
-    /// Numbers whose calls have left before their turn came.
+    /// Numbers of calls that left the queue before all earlier ones had.
     left: BTreeSet<u64>,
 }
 
-/// A call's place in its line.
+/// A call's place in its program's queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ticket {
-    /// Its number.
+    /// Its number, from 0.
     pub number: u64,
-    /// Whether the caller gave the number.
+    /// Whether the caller assigned the number.
     pub given: bool,
 }
 
@@ -45,45 +45,45 @@
     budget: Budget,
     lines: HashMap<Key, Line>,
     calls: HashMap<(Key, id::Request), Arc<Answer>>,
-    /// Engines that hold memory for a program.
+    /// Engines that have cache prefixes pinned for a program.
     held: HashMap<Key, BTreeSet<fleet::Key>>,
     touched: Instant,
 }
 
-/// A tree of programs while it is served.
+/// A served tree of programs.
 pub struct Session {
     /// The client account.
     pub account: id::Account,
     inner: Mutex<Inner>,
 }
 
-/// What a call finds when it arrives.
+/// Result of [`Session::submit`].
 pub enum Arrival {
-    /// The answer exists or is on its way.
+    /// A repeat of a known request, with its answer, possibly still in progress.
     Known(Arc<Answer>),
-    /// A new call with its place in the line.
+    /// A new call, with its empty answer and its place in the queue.
     New(Arc<Answer>, Ticket),
 }
 
-/// A conversation ready to be sent.
+/// A conversation to send to a model.
 pub struct Conversation {
-    /// What is new in it.
+    /// The messages after the history.
     pub new: Vec<Message>,
-    /// All of it.
+    /// All messages, history included.
     pub whole: Vec<Message>,
-    /// The most tokens the call can spend, which have been reserved.
+    /// Tokens reserved for the call: the most that it can spend.
     pub reserved: u64,
-    /// The most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u64,
 }
 
 impl Session {
-    /// A session over a tree.
+    /// Creates a session of a tree and reserves tokens for its open calls.
     pub fn new(tree: Tree, now: Instant) -> Self {
         let mut budget = Budget::new(tree.budget_tokens, tree.spent);
         let open = tree.programs().flat_map(|(_, p)| p.open.values());
         let reserved: u64 = open.map(|intent| intent.reserved).sum();
-        // It was reserved before, by the owner that sent these calls.
+        // Always fits: the owner that sent these calls reserved the same tokens.
         budget.reserve(reserved);
         Self {
             account: tree.account.clone(),
@@ -98,47 +98,47 @@
         }
     }
 
-    /// The key of a program.
+    /// Returns the key of a program.
     pub fn find(&self, program: &id::Program) -> Option<Key> {
         lock(&self.inner).tree.find(program)
     }
 
-    /// Reads a program.
+    /// Calls `read` with a program, or returns `None` if there is no such program.
     pub fn read<T>(&self, key: Key, read: impl FnOnce(&Program) -> T) -> Option<T> {
         lock(&self.inner).tree.get(key).map(read)
     }
 
-    /// The budget as it stands.
+    /// Returns a copy of the budget.
     pub fn budget(&self) -> Budget {
         lock(&self.inner).budget
     }
 
-    /// Takes in a record that the journal keeps.
+    /// Applies a record that has been appended to the journal.
     pub fn apply(&self, record: &Record) {
         lock(&self.inner).tree.apply(record);
     }
 
-    /// Whether no call is in progress.
+    /// Returns whether no call is queued or running.
     pub fn idle(&self) -> bool {
         lock(&self.inner).calls.is_empty()
     }
 
-    /// Whether every program has ended.
+    /// Returns whether every program of the tree has ended.
     pub fn ended(&self) -> bool {
         lock(&self.inner).tree.ended()
     }
 
-    /// When a call last came or ended.
+    /// Returns when a call last arrived or ended.
     pub fn touched(&self) -> Instant {
         lock(&self.inner).touched
     }
 
-    /// Notes that a call came or ended.
+    /// Records that a call arrived or ended.
     pub fn touch(&self, now: Instant) {
         lock(&self.inner).touched = now;
     }
 
-    /// The programs of the tree, the root first.
+    /// Returns the programs of the tree with the reason why they ended, root first.
     pub fn programs(&self) -> Vec<(Key, id::Program, Option<Why>)> {
         let inner = lock(&self.inner);
         let program = |(key, p): (Key, &Program)| (key, p.id.clone(), p.ended);
@@ -147,7 +147,8 @@
         programs
     }
 
-    /// Calls that were sent by an earlier owner and have not ended.
+    /// Returns the calls that an earlier owner had sent or was about to send and
+    /// that have no outcome yet.
     pub fn open_calls(&self) -> Vec<(Key, id::Request, Intent)> {
         let inner = lock(&self.inner);
         let programs = inner.tree.programs();
@@ -158,16 +159,17 @@
         open.collect()
     }
 
-    /// Looks a request up.
+    /// Returns the answer of a request that is in progress or has ended.
     pub fn known(&self, key: Key, request: &id::Request) -> Option<Arc<Answer>> {
         lock(&self.inner).known(key, request)
     }
 
-    /// Takes a call in: finds its answer, or gives it a place in the line.
+    /// Submits a call: returns the answer of a known request, or queues a new call
+    /// with the answer that `answer` creates.
     ///
     /// # Errors
     ///
-    /// `conflict` when the request's id or number stands for another call.
+    /// `conflict` when another call has the same request id or sequence number.
     pub fn arrive(
         &self,
         key: Key,
@@ -196,24 +198,25 @@
         Ok(Arrival::New(answer, ticket))
     }
 
-    /// Waits for a call's turn.
+    /// Waits until a queued call may run.
     pub async fn turn(&self, key: Key, ticket: Ticket) {
         let turn = {
             let inner = lock(&self.inner);
             inner.lines.get(&key).map(|line| line.turn.subscribe())
         };
         if let Some(mut turn) = turn {
-            // The line lives as long as the session, which the caller holds.
+            // Can't fail: the queue lives as long as the session.
             let _ = turn.wait_for(|number| *number >= ticket.number).await;
         }
     }
 
-    /// Gives a conversation for a chat request and reserves its worst case.
+    /// Builds the conversation for a chat request and reserves the most tokens
+    /// that it can spend.
     ///
     /// # Errors
     ///
-    /// `conflict` when the messages do not go on from the history,
-    /// `over_budget` when the budget does not cover the worst case.
+    /// `conflict` when the messages do not continue the history, `bad_request`
+    /// when there is no new message, `over_budget` when the budget is too small.
     pub fn converse(
         &self,
         key: Key,
@@ -243,7 +246,7 @@
     ///
     /// # Errors
     ///
-    /// `over_budget`.
+    /// `over_budget` when the budget has too few tokens left.
     pub fn reserve(&self, tokens: u64) -> Result<(), Problem> {
         let mut inner = lock(&self.inner);
         if inner.budget.reserve(tokens) {
@@ -252,13 +255,14 @@
         Err(over_budget(tokens, inner.budget.left()))
     }
 
-    /// Gives a reservation back and takes what was spent of it.
+    /// Releases a reservation and charges the tokens that were spent.
     pub fn settle(&self, reserved: u64, spent: u64) {
         lock(&self.inner).budget.settle(reserved, spent);
     }
 
-    /// Ends a call: publishes how, and lets the next one have its turn. A call
-    /// with a given number that did not run keeps its number free.
+    /// Ends a call: publishes how it ended and lets the next one run. If the
+    /// caller assigned the number and the call did not run, the number is not used
+    /// up, so the caller can send the call again with it.
     pub fn finish(&self, key: Key, request: &id::Request, ticket: Ticket, end: End, ran: bool) {
         let mut inner = lock(&self.inner);
         if let Some(line) = inner.lines.get_mut(&key) {
@@ -269,7 +273,7 @@
         }
     }
 
-    /// Notes that an engine holds memory for a program.
+    /// Records that an engine has a cache prefix pinned for a program.
     pub fn hold(&self, key: Key, engine: fleet::Key) {
         lock(&self.inner)
             .held
@@ -278,19 +282,20 @@
             .insert(engine);
     }
 
-    /// Takes the engines that hold memory for a program, to release it there.
+    /// Removes and returns the engines that have cache prefixes pinned for a
+    /// program.
     pub fn take_held(&self, key: Key) -> BTreeSet<fleet::Key> {
         lock(&self.inner).held.remove(&key).unwrap_or_default()
     }
 
-    /// The answers under way of a program.
+    /// Returns the answers of a program's queued and running calls.
     pub fn under_way(&self, key: Key) -> Vec<Arc<Answer>> {
         let inner = lock(&self.inner);
         let calls = inner.calls.iter().filter(|((k, _), _)| *k == key);
         calls.map(|(_, answer)| answer.clone()).collect()
     }
 
-    /// Cancels the calls of a program.
+    /// Cancels the queued and running calls of a program.
     pub fn cancel(&self, key: Key) {
         for answer in self.under_way(key) {
             answer.cancel.cancel();
@@ -356,7 +361,7 @@
     }
 }
 
-/// The messages of a request that the history does not have yet.
+/// Returns the messages of a request that are not in the history yet.
 fn news(known: &[Message], sent: &[Message], history: History) -> Result<Vec<Message>, Problem> {
     if history == History::Append {
         return Ok(sent.to_vec());
@@ -376,7 +381,8 @@
     Ok(new)
 }
 
-/// The most tokens a message can have: no token is shorter than a byte.
+/// Returns an upper bound on the tokens of a message: a token has at least one
+/// byte.
 fn most_tokens(message: &Message) -> u64 {
     let bytes: usize = message.values().map(|v| v.to_string().len()).sum();
     bytes as u64 + TEMPLATE_TOKENS
--- a/crates/gradedyke/src/owner/sweep.rs
+++ b/crates/gradedyke/src/owner/sweep.rs
@@ -1,4 +1,5 @@
-//! Comes round to end idle programs, forget ended ones and trim logs.
+//! Periodically ends idle programs, removes programs that ended long ago and trims
+//! logs.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,9 +11,9 @@
 use super::session::Session;
 use crate::program::record::{Record, Why};
 
-/// How often programs are looked at.
+/// Interval between sweeps.
 const ROUND: Duration = Duration::from_secs(5);
-/// How long the answers of an ended program can be fetched.
+/// How long the answers of an ended program stay available.
 const RETENTION: Duration = Duration::from_secs(600);
 
 /// Sweeps until the process stops.
@@ -27,8 +28,8 @@
 }
 
 impl Owner {
-    /// Ends programs that are idle for too long as of `now`, and forgets those
-    /// that ended long ago.
+    /// Ends trees that have been idle for too long as of `now`, removes trees that
+    /// ended long ago, and trims the logs of slots that have become empty.
     pub async fn sweep(self: &Arc<Self>, now: Instant) {
         for holding in self.all() {
             for session in holding.sessions() {
@@ -48,7 +49,8 @@
         }
     }
 
-    /// The idle time of a tree: that of its root.
+    /// Returns the idle timeout of a tree, which is that of its root's agent
+    /// program.
     fn idle_time(&self, session: &Session) -> Duration {
         let programs = session.programs();
         let root = programs.first().map(|(key, ..)| *key);
@@ -63,7 +65,7 @@
             return;
         };
         tracing::info!(event = "program_idle", account = %session.account, program = %root);
-        // A slot that is just lost ends its programs elsewhere.
+        // If the slot moves meanwhile, the new owner ends the programs.
         let _ = self.end(holding, session, root, Why::Idle).await;
     }
 }
--- a/crates/gradedyke/src/owner/takeover.rs
+++ b/crates/gradedyke/src/owner/takeover.rs
@@ -1,5 +1,5 @@
-//! Takes up the slots that the map gives to this process, lets go of those it
-//! takes away, and hands slots over.
+//! Recovers the slots that the slot map assigns to this process, drops those that
+//! it assigns to others, and hands slots over.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -22,12 +22,11 @@
 use crate::program::record::{Intent, Record};
 use crate::program::state::{Key, Trees, fold};
 
-/// How often everything is looked through when nothing has changed.
+/// Delay before a pass that could not recover or hand over every slot is retried.
 const TICK: Duration = Duration::from_millis(200);
 
-/// Follows the map and the members until the process stops. Looking through
-/// all slots costs milliseconds, so it is done only when something has changed
-/// or was left over.
+/// Follows the slot map and the members until the process stops. A pass goes
+/// through all slots, so it runs only after a change or an incomplete pass.
 pub(super) async fn run(owner: Arc<Owner>) {
     let mut map = owner.map.subscribe();
     let mut members = owner.members.subscribe();
@@ -49,13 +48,13 @@
 }
 
 impl Owner {
-    /// Whether every slot here is being closed.
+    /// Returns whether a planned stop is in progress.
     fn closing(&self) -> bool {
         self.draining.is_cancelled()
     }
 
-    /// Brings the holdings in line with the map. Tells whether all slots that
-    /// the map gives to this process are served.
+    /// Drops and recovers slots as the slot map says. Returns whether all slots
+    /// that are assigned to this process are served.
     async fn take_up(self: &Arc<Self>) -> bool {
         let view = self.map.view();
         self.drop_lost(&view);
@@ -75,7 +74,8 @@
         whole
     }
 
-    /// Lets go of slots that the map gives to somebody else by now.
+    /// Cancels and drops slots that have a newer epoch in the slot map, and drops
+    /// slots that are already cancelled.
     fn drop_lost(&self, view: &[Version]) {
         lock(&self.holdings).retain(|slot, holding| {
             let (shard, place) = place(*slot);
@@ -89,7 +89,7 @@
         });
     }
 
-    /// The slots of a shard that the map gives to this process and that are not
+    /// Returns the slots of a shard that are assigned to this process and not
     /// served yet.
     fn missing(&self, number: u16, version: &Version) -> Vec<Seal> {
         let holdings = lock(&self.holdings);
@@ -107,7 +107,7 @@
         seals.collect()
     }
 
-    /// Recovers slots and serves them. Tells whether all are served.
+    /// Recovers slots and serves them. Returns false if any has to be retried.
     async fn claim(self: &Arc<Self>, claim: &Claim) -> bool {
         let tokens: HashMap<Slot, CancellationToken> = claim
             .seals
@@ -121,7 +121,7 @@
         for (slot, result) in recovered {
             match result {
                 Ok(recovered) => self.serve(slot, recovered, token(slot)).await,
-                // The map will say who has it.
+                // Another owner has it; the slot map will show which.
                 Err(Error::Fenced(_)) => {}
                 Err(error) => {
                     left += 1;
@@ -135,7 +135,7 @@
         left == 0
     }
 
-    /// Serves a recovered slot and goes on with the calls found open in it.
+    /// Serves a recovered slot and resumes its open calls.
     async fn serve(self: &Arc<Self>, slot: Slot, recovered: Recovered, stop: CancellationToken) {
         let mut trees = Trees::new();
         let entries = recovered.entries.len();
@@ -153,7 +153,7 @@
         let epoch = recovered.log.epoch();
         let holding = Arc::new(Holding::new(slot, recovered.log, trees, stop, now));
         if entries > 0 {
-            // From here on, this owner's epoch settles what counts.
+            // Commits the recovered entries under this owner's epoch.
             if holding.keep(&Record::Taken).await.is_err() {
                 return;
             }
@@ -186,11 +186,12 @@
         let arrival = session.arrive(key, &request, None, &intent.fingerprint, new);
         let program = session.read(key, |p| p.id.clone());
         let (Ok(Arrival::New(answer, ticket)), Some(program)) = (arrival, program) else {
-            // Two open calls of one program cannot be.
+            // Not expected: the calls of a program run one at a time.
             tracing::error!(event = "open_call_stranded", slot = %holding.slot, %request);
             return;
         };
-        // The call was allowed when it was sent, whatever the settings say now.
+        // The call was allowed when it was sent, even if the settings have changed
+        // since.
         let effective = self.effective(session, key).unwrap_or_default();
         let context = Context {
             owner: self.clone(),
@@ -207,9 +208,9 @@
         self.tasks.spawn(run::go_on(context, intent));
     }
 
-    /// Hands over the slots that fall to somebody else: all of them when this
-    /// process is stopping, else those that a newcomer should have. A slot goes
-    /// when nothing is in progress in it. Tells whether none is left over.
+    /// Hands over idle slots that other owners should have: all slots during a
+    /// planned stop, otherwise those whose preferred owner is another member.
+    /// Returns whether none is left to hand over.
     async fn hand_over(&self) -> bool {
         let members = self.members.view();
         let mut owners = assign::owners(&members);
@@ -226,8 +227,8 @@
             if to.is_some_and(|to| to.id == self.id) {
                 continue;
             }
-            // A process that stops lets nothing new begin; otherwise a busy
-            // slot just stays for now.
+            // During a planned stop a busy slot refuses new work until it is idle;
+            // otherwise it keeps working and is tried again later.
             holding.close(true);
             if !holding.idle() {
                 busy = true;
@@ -241,7 +242,7 @@
                     let shard = moves.entry(shard).or_default();
                     shard.push((place, to.id.clone(), epoch));
                 }
-                // Nobody is left to take it; the journal keeps it.
+                // No other owner is there; the slot can be recovered from the journal.
                 None => self.let_go(&holding),
             }
         }
@@ -257,7 +258,8 @@
         lock(&self.holdings).remove(&holding.slot);
     }
 
-    /// Gives slots of a shard to other owners. Tells whether that took place.
+    /// Writes new owners for slots of a shard into the slot map. Returns whether
+    /// nothing is left to hand over in this shard.
     async fn give(
         &self,
         number: u16,
@@ -300,7 +302,7 @@
         }
     }
 
-    /// Lets work begin again in slots that could not be handed over.
+    /// Accepts new work again in slots that could not be handed over.
     fn reopen(&self, number: u16, moves: &[(u16, id::Instance)], draining: bool) {
         if draining {
             return;
--- a/crates/gradedyke/src/owner/tool.rs
+++ b/crates/gradedyke/src/owner/tool.rs
@@ -1,10 +1,9 @@
-//! A call to a plain service.
+//! Runs a call to a plain service.
 //!
-//! A call that may not be repeated is sent at most once, whatever happens: its
-//! intent is in the journal before it goes out, and from then on nobody sends
-//! it again unless the connect itself failed. Where its answer is lost, the
-//! service is asked what became of it; a service that cannot tell leaves the
-//! outcome unknown, and the caller is told so.
+//! A call that is not repeatable is sent at most once: its intent is in the
+//! journal before it is sent, and after that it is sent again only if it
+//! certainly did not run. If its answer is lost, the service is queried for the
+//! outcome; if that fails, the caller gets the error `outcome_unknown`.
 
 use std::time::Duration;
 
@@ -20,15 +19,15 @@
 use crate::routing::fleet::{Choice, Key, Link};
 use crate::wire::{Outcome, Work};
 
-/// First wait before another attempt.
+/// First backoff before another attempt or outcome query.
 const RETRY_FIRST: Duration = Duration::from_millis(50);
-/// Longest such wait.
+/// Maximum backoff between attempts or outcome queries.
 const RETRY_LAST: Duration = Duration::from_secs(1);
-/// Attempts after the first.
+/// Maximum number of attempts after the first.
 const RETRIES: u32 = 5;
-/// Times that a service is asked what became of a call.
+/// Maximum number of outcome queries after the first.
 const QUESTIONS: u32 = 5;
-/// When to come back where no backend server can be reached.
+/// Retry delay suggested to callers when no backend server ran the call.
 const COME_BACK: Duration = Duration::from_secs(2);
 
 /// Runs a new call.
@@ -51,7 +50,7 @@
     attempts(context, name, call, repeatable, first, false).await
 }
 
-/// Goes on with a call that an earlier owner had sent, or was about to.
+/// Resumes a call that an earlier owner had sent or was about to send.
 pub(super) async fn take_up(
     context: &Context,
     name: &str,
@@ -81,8 +80,8 @@
     owner.fleet.book(key, &[], &[], 0)
 }
 
-/// Makes attempts until one is answered or none is left. `sent` tells whether
-/// the call may have run already.
+/// Makes attempts until one is answered or no retry is left. `sent` tells
+/// whether the call may have run already.
 async fn attempts(
     context: &Context,
     name: &str,
@@ -152,7 +151,7 @@
     }
 }
 
-/// Asks what became of a call whose answer is lost.
+/// Determines the outcome of a call whose answer is lost.
 async fn ask(context: &Context, choice: Option<&Choice>, cause: &str) -> Finished {
     let key = idempotency_key(&context.program, &context.request);
     let reply = match choice.map(|c| &c.link) {
@@ -171,8 +170,8 @@
     finished(Outcome::Failed(Problem::new(Kind::OutcomeUnknown, message)))
 }
 
-/// The outcome, if the service tells it. That a call has not arrived is no
-/// outcome: it may still be on its way.
+/// Queries the service for the outcome of a call, with retries. If the service
+/// has not seen the call, it is queried again: the call may still be in transit.
 async fn told(service: &dyn Service, key: &str) -> Option<service::Reply> {
     let mut backoff = Backoff::new(RETRY_FIRST, RETRY_LAST, QUESTIONS);
     loop {
--- a/crates/gradedyke/src/ownership/assign.rs
+++ b/crates/gradedyke/src/ownership/assign.rs
@@ -1,13 +1,13 @@
-//! Gives slots without a live owner to one.
+//! Assigns slots without a live owner to a live one.
 //!
-//! Every owner watches members and map. For each shard, the live owner with the
-//! highest rendezvous weight acts, so that as a rule one process writes a
-//! shard; where views differ and two act, compare-and-swap lets one win. An
-//! owner that is missing from the members is looked up in the key-value service
-//! and then asked directly before its slots are given away, because this view
-//! may lag and a lapsed lease may mean only that the platform is slow. These
-//! questions spare needless moves, which two processes with different views
-//! could otherwise keep up for ever; epochs keep even a wrong move harmless.
+//! Every owner watches the members and the slot map. For each shard, the member
+//! with the highest rendezvous weight does the assigning, so that usually one
+//! process writes a shard; if views differ and two write, compare-and-swap lets
+//! one win. Before the slots of an owner that is not in the members are moved, the
+//! owner is looked up in the key-value service and then probed directly, because
+//! the local view may lag and a lease can expire while its process is alive. This
+//! avoids needless moves, which two processes with different views could otherwise
+//! repeat forever. Epochs keep even a wrong move safe.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -23,32 +23,32 @@
 use super::map::{Map, PER_SHARD, SHARDS, Shard, Version, slot};
 use crate::membership::{self, Member, Members};
 
-/// How often the map is looked through when nothing has changed.
+/// Interval between checks of the slot map when nothing has changed.
 const TICK: Duration = Duration::from_secs(1);
-/// Wait after a change, so that several changes are handled at once.
+/// Delay after a change, so that several changes are handled together.
 const SETTLE: Duration = Duration::from_millis(50);
-/// Longest time for an instance to say that it lives.
+/// Timeout of a liveness probe.
 const ASK: Duration = Duration::from_millis(500);
 
-/// Members that may own slots, in the order of their names.
+/// Returns the members that may own slots, ordered by id.
 pub fn owners(members: &BTreeMap<id::Instance, Member>) -> Vec<&Member> {
     let fit = |m: &&Member| m.runs(Role::Owner) && !m.draining;
     members.values().filter(fit).collect()
 }
 
-/// The member that `key` falls to by rendezvous.
+/// Returns the member with the highest rendezvous weight for `key`.
 pub fn first<'a>(key: &[u8], members: &[&'a Member]) -> Option<&'a Member> {
     let weight = |m: &&&Member| id::weight(key, m.id.as_str());
     members.iter().max_by_key(weight).copied()
 }
 
-/// The owner that a slot falls to.
+/// Returns the preferred owner of a slot.
 pub fn wanted<'a>(slot: id::Slot, owners: &[&'a Member]) -> Option<&'a Member> {
     first(&slot.0.to_le_bytes(), owners)
 }
 
-/// Chooses the keepers of a shard: on disk before in memory, in different data
-/// centres, by rendezvous.
+/// Chooses the keepers of a shard. Keepers that store on disk come before those in
+/// memory, then different data centres are preferred, then the rendezvous weight.
 ///
 /// ```
 /// use gradedyke::ownership::assign::keepers;
@@ -74,9 +74,9 @@
     chosen.iter().filter_map(|m| m.keeper()).collect()
 }
 
-/// The slots of a shard that need an owner, and who they fall to.
+/// Returns the slots of a shard that need a new owner, each with that owner.
 ///
-/// `gone` tells whether an owner that is no member does not answer either.
+/// `gone` returns whether an owner that is not a member is down.
 pub fn moves(
     number: u16,
     shard: &Shard,
@@ -100,23 +100,23 @@
     moves
 }
 
-/// The assigner of one process.
+/// Task that assigns slots; each owner process runs one.
 pub struct Assigner {
     /// The key-value service.
     pub kv: Arc<dyn KeyValue>,
     /// The members.
     pub members: Arc<Members>,
-    /// The map.
+    /// The slot map.
     pub map: Arc<Map>,
-    /// Where members that have gone were last seen.
+    /// Last known data of all members seen so far, to probe those that are gone.
     seen: HashMap<id::Instance, Member>,
     client: Client,
-    /// Keepers that a shard must have.
+    /// Number of keepers for each shard.
     copies: usize,
 }
 
 impl Assigner {
-    /// An assigner over these services.
+    /// Creates an assigner that gives each shard `copies` keepers.
     pub fn new(kv: Arc<dyn KeyValue>, members: Arc<Members>, map: Arc<Map>, copies: usize) -> Self {
         let config = client::Config {
             connect: ASK,
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Assigns slots until `stop`.
+    /// Assigns slots until `stop` is cancelled.
     pub async fn run(mut self, stop: CancellationToken) {
         let mut members = self.members.subscribe();
         let mut map = self.map.subscribe();
@@ -182,7 +182,8 @@
         }
     }
 
-    /// Asks the owners of a shard that are no members whether they live.
+    /// Checks whether the owners of a shard that are not members are alive, and
+    /// caches the results in `answers`.
     async fn ask(
         &self,
         shard: &Shard,
@@ -202,8 +203,8 @@
         }
     }
 
-    /// Whether an instance is registered after all. Where the service cannot be
-    /// asked, it cannot be written either, so nothing is lost by a yes.
+    /// Returns whether an instance is registered in the key-value service. Also
+    /// true if the service can't be read: writing would most likely fail as well.
     async fn registered(&self, owner: &id::Instance) -> bool {
         let key = format!("{}{owner}", membership::PREFIX);
         let found = self.kv.get(&key).await;
--- a/crates/gradedyke/src/ownership/map.rs
+++ b/crates/gradedyke/src/ownership/map.rs
@@ -1,4 +1,4 @@
-//! The map of slots, and the view each process has of it.
+//! The slot map, which is stored in the key-value service, and the local view of it.
 
 use std::sync::Arc;
 
@@ -10,50 +10,49 @@
 
 use crate::watching;
 
-/// Where the map's values stand.
+/// Key prefix of the slot map's values.
 pub const PREFIX: &str = "gradedyke/slots/";
-/// Number of values that hold the map.
+/// Number of values in which the slot map is stored.
 ///
-/// Few enough that a full read is cheap, many enough that changes of different
-/// owners seldom meet in one value.
+/// Fewer make a full read cheaper; more make conflicting writes rarer.
 pub const SHARDS: u16 = 64;
-/// Slots in one value.
+/// Number of slots in one value.
 pub const PER_SHARD: u16 = SLOTS / SHARDS;
 
-/// A part of the map, as the key-value service holds it.
+/// A part of the slot map, as stored in the key-value service.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Shard {
-    /// The highest epoch given out in this shard.
+    /// The highest epoch used in this shard.
     pub epoch: Epoch,
     /// The keepers of all its slots.
     pub keepers: Vec<id::Keeper>,
-    /// The owners that `slots` refers to by place.
+    /// The owners that `slots` refers to by index.
     pub owners: Vec<id::Instance>,
-    /// For each slot the place of its owner and its epoch.
+    /// For each slot, the index of its owner in `owners` and the epoch.
     pub slots: Vec<(u16, Epoch)>,
-    /// Sets this write apart from any other.
+    /// A unique id of this write, so that a writer recognizes its own value.
     pub mark: String,
 }
 
-/// Who owns a slot.
+/// The owner of a slot and the epoch at which it owns the slot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Holder {
     /// The owner.
     pub owner: id::Instance,
-    /// At which epoch.
+    /// The epoch.
     pub epoch: Epoch,
 }
 
 impl Shard {
-    /// Who owns the slot at `place` in this shard.
+    /// Returns the owner of the slot at index `place` in this shard.
     pub fn holder(&self, place: u16) -> Option<Holder> {
         let (owner, epoch) = *self.slots.get(usize::from(place))?;
         let owner = self.owners.get(usize::from(owner))?.clone();
         Some(Holder { owner, epoch })
     }
 
-    /// The shard after the slots at `moves` went to new owners, at one new
-    /// epoch.
+    /// Returns a copy of the shard in which the given slots, by index, have new
+    /// owners, all at one new epoch.
     ///
     /// ```
     /// use gradedyke::ownership::map::Shard;
@@ -105,12 +104,12 @@
     }
 }
 
-/// The shard of a slot, and its place there.
+/// Returns the shard of a slot and the index of the slot in it.
 pub fn place(slot: Slot) -> (u16, u16) {
     (slot.0 / PER_SHARD, slot.0 % PER_SHARD)
 }
 
-/// The slot at a place of a shard.
+/// Returns the slot at an index of a shard.
 pub fn slot(shard: u16, place: u16) -> Slot {
     Slot(shard * PER_SHARD + place)
 }
@@ -118,16 +117,16 @@
 /// A shard with the revision of its key.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Version {
-    /// The key's revision, 0 where there is none yet.
+    /// Revision of the key, or 0 if the key does not exist yet.
     pub revision: Revision,
     /// The shard.
     pub shard: Arc<Shard>,
 }
 
-/// The whole map as seen from this process.
+/// The whole slot map as seen by this process, one item for each shard.
 pub type View = Arc<Vec<Version>>;
 
-/// The map, followed.
+/// The slot map, kept up to date by a watch.
 #[derive(Debug)]
 pub struct Map {
     view: watch::Sender<View>,
@@ -145,40 +144,41 @@
 }
 
 impl Map {
-    /// The present view.
+    /// Returns the current view.
     pub fn view(&self) -> View {
         self.view.borrow().clone()
     }
 
-    /// Follows the view.
+    /// Returns a receiver that is notified of every change of the view.
     pub fn subscribe(&self) -> watch::Receiver<View> {
         self.view.subscribe()
     }
 
-    /// Whether the map has been read once.
+    /// Returns whether the slot map has been read at least once.
     pub fn loaded(&self) -> bool {
         *self.loaded.borrow()
     }
 
-    /// Whether every slot has been given to an owner.
+    /// Returns whether every shard has been written, so that every slot has an owner.
     pub fn assigned(&self) -> bool {
         let view = self.view.borrow();
         view.iter().all(|version| version.revision > 0)
     }
 
-    /// Who owns a slot, as far as is known here.
+    /// Returns the owner of a slot in the local view.
     pub fn holder(&self, slot: Slot) -> Option<Holder> {
         let (shard, place) = place(slot);
         self.view.borrow()[usize::from(shard)].shard.holder(place)
     }
 
-    /// Writes a shard in place of `known`, and takes in what then stands there.
-    /// Tells whether the write took place.
+    /// Writes a shard if its stored revision is still that of `known`, and updates
+    /// the local view to the value that is stored afterwards. Returns whether the
+    /// shard was written.
     ///
     /// # Errors
     ///
-    /// The key-value service failed; the write may have taken place, and then
-    /// the watch brings it.
+    /// The key-value service failed. The shard may have been written; the watch
+    /// then updates the view.
     pub async fn swap(
         &self,
         kv: &dyn KeyValue,
@@ -207,7 +207,7 @@
         }
     }
 
-    /// Follows the map until `stop`.
+    /// Follows the slot map until `stop` is cancelled.
     pub async fn follow(self: Arc<Self>, kv: Arc<dyn KeyValue>, stop: CancellationToken) {
         watching::keep("slots", stop, || self.once(&*kv)).await;
     }
@@ -240,7 +240,7 @@
         }
     }
 
-    /// Takes a shard in unless something newer is known.
+    /// Puts a shard into the view unless the view has the same or a newer revision.
     fn take(&self, number: u16, revision: Revision, shard: Shard) {
         self.view.send_if_modified(|view| {
             let known = &view[usize::from(number)];
@@ -258,7 +258,7 @@
     }
 }
 
-/// The key of a shard.
+/// Returns the key under which a shard is stored.
 pub fn key(shard: u16) -> String {
     format!("{PREFIX}{shard}")
 }
--- a/crates/gradedyke/src/ownership/mod.rs
+++ b/crates/gradedyke/src/ownership/mod.rs
@@ -1,13 +1,13 @@
-//! Who owns which slot, at which epoch, with which keepers.
+//! The owner, epoch and keepers of each slot.
 //!
-//! Programs hash into slots; the key-value service holds the map of slots in
-//! [`map::SHARDS`] values, each changed by compare-and-swap only when an owner
-//! changes. A call costs the service nothing. The epoch of a slot rises with
-//! every change of owner, and keepers refuse lower epochs, so correctness never
-//! rests on a lease or a clock.
+//! Programs hash into slots. The key-value service stores the slot map in
+//! [`map::SHARDS`] values, which are changed by compare-and-swap and only when an
+//! owner changes; calls don't access the service. The epoch of a slot rises with
+//! every change of owner, and keepers reject lower epochs, so correctness does not
+//! depend on leases or clocks.
 //!
-//! - [`map`]: the map's values and the view each process has of it.
-//! - [`assign`]: gives slots without a live owner to one.
+//! - [`map`]: the slot map and the local view of it.
+//! - [`assign`]: assigns slots without a live owner to a live one.
 
 pub mod assign;
 pub mod map;
--- a/crates/gradedyke/src/program/budget.rs
+++ b/crates/gradedyke/src/program/budget.rs
@@ -1,12 +1,13 @@
-//! What a tree of programs may still spend.
+//! The token budget of a tree of programs.
 //!
-//! The worst case of a call is reserved before it is sent and settled after,
-//! so that calls which run beside each other cannot overspend together.
+//! The most tokens that a call can spend are reserved before it is sent, and the
+//! reservation is settled afterwards, so that concurrent calls together cannot
+//! exceed the budget.
 
-/// Tokens that a chat template may add to each message, at most.
+/// Maximum number of tokens that a chat template adds to a message.
 pub const TEMPLATE_TOKENS: u64 = 16;
 
-/// A budget in tokens.
+/// A token budget.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Budget {
     limit: u64,
@@ -15,7 +16,7 @@
 }
 
 impl Budget {
-    /// A budget of `limit` tokens of which `spent` are gone.
+    /// Creates a budget of `limit` tokens of which `spent` have been spent.
     pub fn new(limit: u64, spent: u64) -> Self {
         Self {
             limit,
@@ -24,22 +25,22 @@
         }
     }
 
-    /// Tokens that are neither spent nor reserved.
+    /// Returns the tokens that are neither spent nor reserved.
     pub fn left(&self) -> u64 {
         self.limit.saturating_sub(self.spent + self.reserved)
     }
 
-    /// Tokens spent.
+    /// Returns the tokens spent.
     pub fn spent(&self) -> u64 {
         self.spent
     }
 
-    /// Tokens that may be spent in all.
+    /// Returns the total number of tokens that may be spent.
     pub fn limit(&self) -> u64 {
         self.limit
     }
 
-    /// Reserves `tokens`, or says that they are not there.
+    /// Reserves `tokens`. Returns false, and reserves nothing, if fewer are available.
     ///
     /// ```
     /// use gradedyke::program::budget::Budget;
@@ -58,7 +59,7 @@
         enough
     }
 
-    /// Gives `reserved` back and takes what was spent of it.
+    /// Releases `reserved` tokens and adds `spent` to the tokens spent.
     pub fn settle(&mut self, reserved: u64, spent: u64) {
         self.reserved = self.reserved.saturating_sub(reserved);
         self.spent += spent;
--- a/crates/gradedyke/src/program/mod.rs
+++ b/crates/gradedyke/src/program/mod.rs
@@ -1,8 +1,8 @@
-//! Programs as their owner knows them.
+//! The state of programs on their owner.
 //!
-//! - [`record`]: what the journal says of a tree of programs.
-//! - [`state`]: the state that follows from the records.
-//! - [`budget`]: what a tree may still spend.
+//! - [`record`]: the journal records of a tree of programs.
+//! - [`state`]: the state that is rebuilt from the records.
+//! - [`budget`]: the token budget of a tree.
 
 pub mod budget;
 pub mod record;
--- a/crates/gradedyke/src/program/record.rs
+++ b/crates/gradedyke/src/program/record.rs
@@ -1,9 +1,8 @@
 //! Journal records of programs.
 //!
-//! A call leaves two records: an intent before anything is sent, and its
-//! outcome before the caller is answered. Everything else can be told from
-//! these: after a crash, an intent without an outcome is a call that may have
-//! run.
+//! Each call appends two records: an intent before it is sent to a backend server,
+//! and an outcome before the caller gets it. After a crash, an intent without an
+//! outcome is a call that may have run.
 
 use gradedyke_base::id;
 use serde::{Deserialize, Serialize};
@@ -19,7 +18,7 @@
     Done,
     /// The caller cancelled it.
     Cancelled,
-    /// No call came for its idle time.
+    /// No call arrived within its idle timeout.
     Idle,
     /// Its parent ended.
     Parent,
@@ -28,24 +27,24 @@
 /// A call that is about to be sent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Intent {
-    /// What is sent; of a conversation, only the new messages.
+    /// The call. A model call has only the messages after the history.
     pub work: Work,
-    /// Hash of the work as the caller sent it.
+    /// Hash of the call as the caller sent it, to detect a reused request id.
     pub fingerprint: String,
     /// The backend server it is sent to first.
     pub backend: Option<id::Backend>,
-    /// The attempt's name there.
+    /// Id of the first attempt, or the idempotency key for a plain service.
     pub attempt: String,
     /// Tokens reserved for it.
     pub reserved: u64,
 }
 
-/// One record.
+/// A journal record.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Record {
-    /// A new owner took the slot over. It says nothing of programs, but its
-    /// epoch settles which of the records before it count.
+    /// A new owner took the slot over. It changes no program; appending it commits
+    /// the recovered records before it under the new owner's epoch.
     Taken,
     /// A program was opened.
     Opened {
@@ -55,7 +54,7 @@
         account: id::Account,
         /// Its agent program.
         agent: String,
-        /// What its tree may spend, in tokens, if it is a root.
+        /// Token budget of its tree; used only if the program is a root.
         budget_tokens: u64,
     },
     /// A call is about to be sent.
@@ -67,7 +66,7 @@
         /// The call.
         intent: Intent,
     },
-    /// A call that was to be sent certainly did not run; it may come again.
+    /// An intended call certainly did not run; the caller may send it again.
     Withdrawn {
         /// The program.
         program: id::Program,
@@ -82,19 +81,19 @@
         request: id::Request,
         /// How it ended.
         outcome: Outcome,
-        /// Tokens it spent, lost attempts included.
+        /// Tokens spent, including those of lost attempts.
         spent: u64,
     },
     /// A program ended.
     Ended {
         /// The program.
         program: id::Program,
-        /// Why.
+        /// The reason.
         why: Why,
     },
-    /// The whole state of a tree, which makes its earlier records useless.
+    /// The whole state of a tree, which replaces all earlier records of it.
     Restated(Box<Snapshot>),
-    /// A tree was forgotten: its answers can no longer be fetched.
+    /// A tree was removed; its answers can no longer be fetched.
     Forgotten {
         /// The tree's root.
         program: id::Program,
--- a/crates/gradedyke/src/program/state.rs
+++ b/crates/gradedyke/src/program/state.rs
@@ -1,8 +1,7 @@
-//! The state of a tree of programs, as a fold over its journal records.
+//! The state of a tree of programs, built by applying its journal records in order.
 //!
-//! The owner applies each record when the journal keeps it, and a new owner
-//! applies the same records again, so both come to the same state by the same
-//! code.
+//! An owner applies each record once it is appended to the journal. A new owner
+//! replays the same records with the same code and gets the same state.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -15,33 +14,33 @@
 use crate::wire::{Outcome, Work};
 
 new_key_type! {
-    /// A program within its tree.
+    /// Key of a program in its tree.
     pub struct Key;
 }
 
-/// An answer that can be fetched again.
+/// The stored answer of a call that has ended.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Answer {
-    /// Hash of the work as the caller sent it.
+    /// Hash of the call as the caller sent it, to detect a reused request id.
     pub fingerprint: String,
     /// How the call ended.
     pub outcome: Outcome,
 }
 
-/// One program.
+/// The state of a program.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Program {
-    /// Its identifier.
+    /// Its id.
     pub id: id::Program,
     /// Its agent program.
     pub agent: String,
     /// The conversation so far.
     pub history: Vec<Message>,
-    /// Tokens of the conversation, as the engine counted them last.
+    /// Tokens of the conversation, as last reported by an engine.
     pub history_tokens: u64,
-    /// Calls that ended, by request.
+    /// Answers of calls that have ended, by request.
     pub answers: BTreeMap<id::Request, Answer>,
-    /// Calls that were sent and have not ended.
+    /// Calls with an intent and no outcome yet, by request.
     pub open: BTreeMap<id::Request, Intent>,
     /// Why it ended, if it has.
     pub ended: Option<Why>,
@@ -52,22 +51,22 @@
 pub struct Tree {
     /// The client account.
     pub account: id::Account,
-    /// What the tree may spend, in tokens.
+    /// Token budget of the tree.
     pub budget_tokens: u64,
-    /// What it has spent, in tokens.
+    /// Tokens spent by the tree.
     pub spent: u64,
     programs: SlotMap<Key, Program>,
     names: HashMap<id::Program, Key>,
 }
 
-/// The whole state of a tree, for the journal.
+/// The whole state of a tree, as written to the journal.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
     /// The client account.
     pub account: id::Account,
-    /// What the tree may spend, in tokens.
+    /// Token budget of the tree.
     pub budget_tokens: u64,
-    /// What it has spent, in tokens.
+    /// Tokens spent by the tree.
     pub spent: u64,
     /// Its programs.
     pub programs: Vec<Program>,
@@ -104,7 +103,7 @@
 }
 
 impl Tree {
-    /// A tree with no program yet.
+    /// Creates a tree without programs.
     pub fn new(account: id::Account, budget_tokens: u64) -> Self {
         Self {
             account,
@@ -115,7 +114,7 @@
         }
     }
 
-    /// The tree in a snapshot.
+    /// Creates a tree from a snapshot.
     pub fn restore(snapshot: Snapshot) -> Self {
         let mut tree = Self::new(snapshot.account, snapshot.budget_tokens);
         tree.spent = snapshot.spent;
@@ -123,7 +122,7 @@
         tree
     }
 
-    /// The tree's whole state.
+    /// Returns a snapshot of the tree.
     pub fn snapshot(&self) -> Snapshot {
         Snapshot {
             account: self.account.clone(),
@@ -139,27 +138,27 @@
         self.names.insert(id, key);
     }
 
-    /// The key of a program of this tree.
+    /// Returns the key of a program of this tree.
     pub fn find(&self, id: &id::Program) -> Option<Key> {
         self.names.get(id).copied()
     }
 
-    /// A program by its key.
+    /// Returns a program by its key.
     pub fn get(&self, key: Key) -> Option<&Program> {
         self.programs.get(key)
     }
 
-    /// All programs of the tree.
+    /// Iterates over the programs of the tree, in no particular order.
     pub fn programs(&self) -> impl Iterator<Item = (Key, &Program)> {
         self.programs.iter()
     }
 
-    /// Whether the tree's root has ended.
+    /// Returns whether every program of the tree has ended.
     pub fn ended(&self) -> bool {
         self.programs.values().all(|p| p.ended.is_some())
     }
 
-    /// Takes in what a record says.
+    /// Applies a record to the tree. Records about whole trees or slots are ignored.
     pub fn apply(&mut self, record: &Record) {
         match record {
             Record::Opened { program, agent, .. } => {
@@ -207,10 +206,10 @@
     }
 }
 
-/// All trees of a slot, by their root's name.
+/// All trees of a slot, by the id of their root program.
 pub type Trees = HashMap<String, Tree>;
 
-/// Takes a record of a slot into its trees.
+/// Applies a record of a slot to its trees.
 pub fn fold(trees: &mut Trees, record: Record) {
     match record {
         Record::Taken => {}
--- a/crates/gradedyke/src/routing/fleet.rs
+++ b/crates/gradedyke/src/routing/fleet.rs
@@ -1,9 +1,9 @@
-//! The backend servers, with what is known and guessed of them.
+//! The backend servers and their estimated load and cache contents.
 //!
-//! Reports lag, so each is corrected by what this owner has sent since. Cache
-//! events come late and with gaps: a prefix counts as cached from the moment a
-//! call with it was sent, until an event says otherwise; a gap in the events
-//! makes everything known of that cache doubtful, and it is forgotten.
+//! Load reports lag, so the work of this owner's calls in flight is added to them.
+//! Cache events are late and can be lost: a prefix counts as cached once a call
+//! with it is sent, until an event reports its eviction. A gap in the event
+//! numbers clears the estimate of that cache.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -22,20 +22,20 @@
 use super::Candidate;
 
 new_key_type! {
-    /// A backend server in the fleet.
+    /// Key of a backend server in the fleet.
     pub struct Key;
 }
 
-/// Longest time for a control call to an engine.
+/// Timeout of a control call to a backend server.
 const CONTROL: Duration = Duration::from_secs(2);
-/// How long a backend server that failed gets no work, the first time.
+/// First backoff of a failed backend server, during which it gets no calls.
 const REST_FIRST: Duration = Duration::from_millis(500);
-/// The longest such rest.
+/// Maximum backoff of a failed backend server.
 const REST_LAST: Duration = Duration::from_secs(30);
-/// Prefixes remembered for each engine.
+/// Maximum number of cached prefixes remembered for each engine.
 const PREFIXES: usize = 65_536;
 
-/// How a backend server is spoken to.
+/// The client of a backend server.
 #[derive(Clone)]
 pub enum Link {
     /// A model engine.
@@ -56,9 +56,9 @@
     last_event: u64,
     failures: u32,
     rests_until: Option<Instant>,
-    /// The instance list says that it is leaving.
+    /// Whether the instance list reports that it is shutting down.
     listed_leaving: bool,
-    /// Its data centre is evacuated.
+    /// Whether its data centre is evacuated.
     evacuated: bool,
 }
 
@@ -69,14 +69,15 @@
     pub key: Key,
     /// Its name.
     pub id: id::Backend,
-    /// How it is spoken to.
+    /// Its client.
     pub link: Link,
-    /// Ends the booking with the last clone of the choice, if there is one.
+    /// Counts the call as in flight until the last clone is dropped; `None` if the
+    /// call is not counted.
     _booking: Option<Arc<Booking>>,
 }
 
-/// A call on its way to a backend server. It is over when this is dropped, so
-/// that a call which is given up in any way leaves no work behind in the books.
+/// Guard that counts a call as in flight on a backend server until it is dropped,
+/// however the call ends.
 struct Booking {
     fleet: Arc<Fleet>,
     key: Key,
@@ -92,7 +93,7 @@
     }
 }
 
-/// The backend servers as this owner sees them.
+/// The backend servers as seen by this owner.
 pub struct Fleet {
     data_centre: String,
     client: Client,
@@ -100,8 +101,8 @@
 }
 
 impl Fleet {
-    /// A fleet as seen from a data centre; it is empty before
-    /// [`Fleet::update`].
+    /// Creates an empty fleet as seen from a data centre. [`Fleet::update`] adds
+    /// backend servers.
     pub fn new(data_centre: &str) -> Self {
         Self {
             data_centre: data_centre.to_owned(),
@@ -114,8 +115,8 @@
         self.servers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Brings the fleet in line with the settings in force. What is known of a
-    /// backend server whose settings did not change is kept.
+    /// Updates the fleet to the current settings. The state of a backend server
+    /// whose settings did not change is kept.
     pub fn update(&self, tree: &Tree) {
         let mut servers = self.lock();
         servers.retain(|_, s| tree.backends.get(s.id.as_str()) == Some(&s.settings));
@@ -163,8 +164,9 @@
         }
     }
 
-    /// The engines that can serve `model` now, with `chain` as the prompt's
-    /// prefixes and `tokens` for each of them.
+    /// Returns the engines that can serve `model` now, without those in `avoid`.
+    /// `chain` holds the keys of the prompt's prefixes, one for each message, and
+    /// `tokens` the tokens of each message.
     pub fn engines(
         &self,
         model: &str,
@@ -180,7 +182,8 @@
         self.candidates(serves, avoid, now, |s| s.cached_tokens(chain, tokens))
     }
 
-    /// The backend servers that offer `service` now.
+    /// Returns the backend servers that offer `service` now, without those in
+    /// `avoid`.
     pub fn services(&self, service: &str, avoid: &[Key], now: Instant) -> Vec<Candidate> {
         let offers = |s: &Server| match &s.settings {
             Backend::Service { service: name, .. } => name == service,
@@ -199,8 +202,8 @@
         let servers = self.lock();
         let stays = |(key, s): &(Key, &Server)| fits(s) && !s.leaves() && !avoid.contains(key);
         let mut able: Vec<_> = servers.iter().filter(stays).collect();
-        // A rest spares a failed backend server while others do its work. When
-        // all of them rest, it would only refuse work that might succeed.
+        // Backend servers in backoff are skipped while others are available. If
+        // all are in backoff, any of them may be tried.
         if able.iter().any(|(_, s)| !s.rests(now)) {
             able.retain(|(_, s)| !s.rests(now));
         }
@@ -215,8 +218,9 @@
         .collect()
     }
 
-    /// Books a call that means `work` tokens on a backend server, and returns how
-    /// to speak to it. The booking ends when the choice is dropped.
+    /// Counts a call with `work` tokens to generate as in flight on a backend
+    /// server until the returned choice is dropped, and assumes that the prompt's
+    /// prefixes are cached there from now on.
     pub fn book(
         self: &Arc<Self>,
         key: Key,
@@ -246,7 +250,7 @@
         })
     }
 
-    /// Takes in that a call went well.
+    /// Records that a call succeeded, which ends the backoff.
     pub fn succeeded(&self, key: Key) {
         if let Some(server) = self.lock().get_mut(key) {
             server.failures = 0;
@@ -254,8 +258,8 @@
         }
     }
 
-    /// Takes in that a call failed through the backend server's fault: it gets
-    /// no work for a while, longer each time.
+    /// Records that a call failed because of the backend server, and starts or
+    /// extends its backoff.
     pub fn failed(&self, key: Key, now: Instant) {
         if let Some(server) = self.lock().get_mut(key) {
             let rest = REST_FIRST * 2_u32.saturating_pow(server.failures.min(10));
@@ -264,21 +268,22 @@
         }
     }
 
-    /// Takes in a load report.
+    /// Stores a load report.
     pub fn report(&self, key: Key, load: Load) {
         if let Some(server) = self.lock().get_mut(key) {
             server.load = load;
         }
     }
 
-    /// Marks the backend servers that the instance list says are leaving.
+    /// Marks the backend servers that are shutting down according to the instance
+    /// list. All others are unmarked.
     pub fn leaving(&self, ids: &BTreeSet<String>) {
         for server in self.lock().values_mut() {
             server.listed_leaving = ids.contains(server.id.as_str());
         }
     }
 
-    /// Takes in cache events.
+    /// Applies cache events of an engine.
     pub fn cache_events(&self, key: Key, events: &[CacheEvent]) {
         let mut servers = self.lock();
         let Some(server) = servers.get_mut(key) else {
@@ -296,12 +301,13 @@
         }
     }
 
-    /// The number of the last cache event of a backend server that was seen.
+    /// Returns the number of the last cache event received from a backend server,
+    /// or 0.
     pub fn last_event(&self, key: Key) -> u64 {
         self.lock().get(key).map_or(0, |s| s.last_event)
     }
 
-    /// All engines.
+    /// Returns all engines.
     pub fn all_engines(&self) -> Vec<(Key, id::Backend, Arc<dyn Engine>)> {
         let servers = self.lock();
         let engine = |(key, s): (Key, &Server)| match &s.link {
@@ -311,7 +317,7 @@
         servers.iter().filter_map(engine).collect()
     }
 
-    /// A backend server by its name, without a booking.
+    /// Finds a backend server by its name, without counting a call as in flight.
     pub fn find(&self, id: &id::Backend) -> Option<Choice> {
         let servers = self.lock();
         let (key, server) = servers.iter().find(|(_, s)| s.id == *id)?;
@@ -333,7 +339,7 @@
         self.rests_until.is_some_and(|until| until > now)
     }
 
-    /// Tokens of the longest known prefix of `chain`.
+    /// Returns the tokens of the longest prefix of `chain` that is assumed cached.
     fn cached_tokens(&self, chain: &[prefix::Key], tokens: &[u64]) -> u64 {
         let known = chain.iter().take_while(|k| self.cached.contains_key(k));
         known.zip(tokens).map(|(_, tokens)| tokens).sum()
--- a/crates/gradedyke/src/routing/mod.rs
+++ b/crates/gradedyke/src/routing/mod.rs
@@ -1,13 +1,13 @@
-//! Where a call runs.
+//! Routing: chooses the backend server for a call.
 //!
-//! A policy chooses among candidates that the fleet prepares; it sees numbers
-//! only and the present time is an argument, so that any two policies can be
-//! compared on the same inputs. Policies register themselves by name and are
-//! chosen in the settings for each client account and agent program.
+//! A policy chooses among candidates from the fleet. It sees only numbers, and the
+//! current time is an argument, so that different policies can be compared on the
+//! same inputs. Policies register themselves by name and are selected in the
+//! settings for each client account and agent program.
 //!
-//! - [`fleet`]: the backend servers, with what is known and guessed of them.
+//! - [`fleet`]: the backend servers and their estimated load and cache contents.
 //! - [`prefix`]: the policy that weighs load against cached prefixes.
-//! - [`round_robin`]: the naive policy, to compare with.
+//! - [`round_robin`]: takes each candidate in turn, as a baseline for comparisons.
 
 pub mod fleet;
 pub mod prefix;
@@ -20,50 +20,51 @@
 use gradedyke_base::settings::tree::Tree;
 use tokio::time::Instant;
 
-/// What a policy knows of the call.
+/// What a policy knows about the call.
 #[derive(Clone, Copy, Debug)]
 pub struct Question {
-    /// Tokens of the prompt, estimated.
+    /// Estimated tokens of the prompt.
     pub prompt_tokens: u64,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub answer_tokens: u64,
-    /// The present time.
+    /// The current time.
     pub now: Instant,
 }
 
-/// What a policy knows of a backend server that could run the call.
+/// What a policy knows about a backend server that can run the call.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
     /// The backend server.
     pub key: fleet::Key,
-    /// Tokens that wait there: its last report, and what was sent since.
+    /// Tokens pending there: as last reported, plus those of calls from this owner
+    /// that are in flight.
     pub pending_tokens: u64,
-    /// Calls of this owner in progress there.
+    /// Calls from this owner in flight there.
     pub in_flight: u32,
-    /// Tokens of the prompt that are probably cached there.
+    /// Estimated tokens of the prompt that are cached there.
     pub cached_tokens: u64,
-    /// Whether it stands in this owner's data centre.
+    /// Whether it is in this owner's data centre.
     pub near: bool,
 }
 
-/// Decides where a call runs.
+/// A routing policy: chooses the backend server that runs a call.
 pub trait Policy: Send + Sync {
-    /// The place in `candidates` of the one to run the call, or `None` when
-    /// there are none.
+    /// Returns the index in `candidates` of the backend server that runs the call,
+    /// or `None` if there are no candidates.
     fn choose(&self, question: &Question, candidates: &[Candidate]) -> Option<usize>;
 }
 
-/// A policy that registers itself.
+/// The registration of a policy.
 pub struct Plugin {
-    /// The name settings know it by.
+    /// Its name in the settings.
     pub name: &'static str,
-    /// Makes one.
+    /// Creates an instance of the policy.
     pub build: fn() -> Arc<dyn Policy>,
 }
 
 inventory::collect!(Plugin);
 
-/// The places of a tree that name a policy which is not registered.
+/// Returns a fault for each routing policy in the settings that is not registered.
 ///
 /// ```
 /// use gradedyke_base::settings::tree::Tree;
@@ -97,7 +98,7 @@
     unknown.collect()
 }
 
-/// One of each registered policy, by name.
+/// Creates one instance of each registered policy, by name.
 ///
 /// ```
 /// let policies = gradedyke::routing::policies();
--- a/crates/gradedyke/src/routing/prefix.rs
+++ b/crates/gradedyke/src/routing/prefix.rs
@@ -1,10 +1,9 @@
-//! The policy that weighs waiting against rebuilding.
+//! The policy that weighs load against cached prefixes.
 //!
-//! The cost of a candidate is the work that stands before the call there, plus
-//! the part of its prompt that would have to be computed, in tokens of decode
-//! work. Prompt tokens are computed many at a time and count for less, but a
-//! cached prefix is worth keeping even at some wait, because rebuilding it also
-//! pushes somebody else's out.
+//! The cost of a candidate is the work that is already pending there plus the
+//! uncached part of the prompt, both in units of one generated token. Prompt tokens
+//! cost less because an engine processes many in parallel. A cached prefix is worth
+//! some waiting, because computing it again also evicts others from the cache.
 
 use std::sync::Arc;
 
@@ -12,17 +11,17 @@
 
 /// Prompt tokens that cost as much as one generated token.
 const PROMPT_PER_TOKEN: f64 = 16.0;
-/// Pending tokens that an engine works off side by side: its usual batch.
+/// Tokens that an engine generates in parallel: its usual batch size.
 const SIDE_BY_SIDE: f64 = 32.0;
-/// Cost of leaving the data centre, in generated tokens: a millisecond or two
-/// against tens of milliseconds for a token.
+/// Cost of a call to another data centre, in generated tokens. The network adds
+/// much less than the time to generate one token.
 const FAR: f64 = 0.1;
 
-/// Weighs load against cached prefixes.
+/// The policy `prefix`: takes the candidate with the lowest [`cost`].
 #[derive(Debug, Default)]
 pub struct Prefix;
 
-/// The cost of a candidate, in generated tokens.
+/// Returns the cost of a candidate, in generated tokens.
 pub fn cost(question: &Question, candidate: &Candidate) -> f64 {
     let rebuild = question
         .prompt_tokens
@@ -39,8 +38,8 @@
             let b = cost(question, &candidates[*b]);
             a.total_cmp(&b)
         };
-        // Equal ones are taken at random, so that owners which decide on the
-        // same report do not all go the same way.
+        // Ties are broken at random, so that owners with the same load reports do
+        // not all choose the same backend server.
         let best = (0..candidates.len()).min_by(by_cost)?;
         let lowest = cost(question, &candidates[best]);
         let equal = |i: &usize| cost(question, &candidates[*i]) <= lowest;
--- a/crates/gradedyke/src/routing/round_robin.rs
+++ b/crates/gradedyke/src/routing/round_robin.rs
@@ -1,11 +1,11 @@
-//! The naive policy: each candidate in turn.
+//! The policy that takes each candidate in turn.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 use super::{Candidate, Plugin, Policy, Question};
 
-/// Takes each candidate in turn, whatever its load.
+/// The policy `round_robin`: takes each candidate in turn, whatever its load.
 #[derive(Debug, Default)]
 pub struct RoundRobin {
     next: AtomicUsize,
