--- a/crates/gradedyke/src/owner/accept.rs
+++ b/crates/gradedyke/src/owner/accept.rs
@@ -15,35 +15,35 @@
 use tokio::time::Instant;
 
 use super::answer::{Answer, End};
-use super::holding::Holding;
+use super::holding::ServedSlot;
 use super::run::{self, Context};
-use super::session::{Arrival, Session};
-use super::{Owner, moving};
+use super::session::{Session, Submission};
+use super::{Owner, slot_moving};
 use crate::program::state::Key;
 use crate::wire::{Call, Frame, MAX_FRAME, MODEL, Outcome, Work};
 
 /// Timeout for receiving the body of a call from an entry.
-const ARRIVAL: Duration = Duration::from_secs(30);
+const BODY_TIMEOUT: Duration = Duration::from_secs(30);
 /// Chunks buffered for a slow entry; the text itself is kept in the answer.
-const CHUNKS: usize = 2;
+const CHANNEL_CAPACITY: usize = 2;
 
 /// HTTP handler of calls from entries.
-pub struct Calls {
+pub struct CallHandler {
     owner: Arc<Owner>,
 }
 
-impl Calls {
+impl CallHandler {
     /// Creates a handler that passes calls to `owner`.
     pub fn new(owner: Arc<Owner>) -> Self {
         Self { owner }
     }
 
-    async fn take(&self, request: Request<Incoming>) -> Result<Response<Body>, Problem> {
-        let bytes = body::collect(request.into_body(), MAX_FRAME, ARRIVAL).await?;
+    async fn handle_call(&self, request: Request<Incoming>) -> Result<Response<Body>, Problem> {
+        let bytes = body::collect(request.into_body(), MAX_FRAME, BODY_TIMEOUT).await?;
         let call: Call = reply::parse(&bytes)?;
         let answer = self.owner.accept(&call, Instant::now())?;
         let offset = check_offset(&answer, &call)?;
-        let (sender, body) = body::channel(CHUNKS);
+        let (sender, body) = body::channel(CHANNEL_CAPACITY);
         let mut reply = Response::new(body);
         if let Ok(model) = HeaderValue::from_str(&answer.model) {
             reply.headers_mut().insert(MODEL, model);
@@ -54,9 +54,9 @@
 }
 
 #[async_trait]
-impl Handler for Calls {
+impl Handler for CallHandler {
     async fn handle(&self, request: Request<Incoming>) -> Response<Body> {
-        match self.take(request).await {
+        match self.handle_call(request).await {
             Ok(reply) => reply,
             Err(problem) => reply::problem(&problem),
         }
@@ -71,39 +71,42 @@
     ///
     /// The error for the caller; the call did not run.
     pub fn accept(self: &Arc<Self>, call: &Call, now: Instant) -> Result<Arc<Answer>, Problem> {
-        let holding = self.holding(call.program.slot())?;
-        let session = holding.find(&call.account, &call.program)?;
+        let served_slot = self.served_slot(call.program.slot())?;
+        let session = served_slot.find(&call.account, &call.program)?;
         let key = session
             .find(&call.program)
-            .ok_or_else(super::holding::unknown)?;
-        session.touch(now);
+            .ok_or_else(super::holding::program_not_found)?;
+        session.record_activity(now);
         let Some(work) = &call.work else {
-            return session.known(key, &call.request).ok_or_else(not_issued);
+            return session
+                .find_answer(key, &call.request)
+                .ok_or_else(request_not_found);
         };
         let fingerprint = fingerprint(work)?;
         // Nothing may fail between enqueueing a call and spawning its task, so
         // the settings of a new call are looked up first.
-        let effective = match session.known(key, &call.request) {
+        let effective = match session.find_answer(key, &call.request) {
             Some(_) => Effective::default(),
-            None => self.check(&holding, &session, key, work)?,
+            None => self.check_new_call(&served_slot, &session, key, work)?,
         };
-        let new = || {
+        let new_answer = || {
             let model = work.model().to_owned();
-            Answer::new(fingerprint.clone(), model, holding.stop.child_token())
+            Answer::new(fingerprint.clone(), model, served_slot.stop.child_token())
         };
-        let arrival = session.arrive(key, &call.request, call.sequence, &fingerprint, new)?;
-        match arrival {
-            Arrival::Known(answer) => Ok(answer),
-            Arrival::New(answer, ticket) => {
-                if holding.closing() {
+        let submission =
+            session.submit(key, &call.request, call.sequence, &fingerprint, new_answer)?;
+        match submission {
+            Submission::Known(answer) => Ok(answer),
+            Submission::New(answer, ticket) => {
+                if served_slot.is_closing() {
                     // The slot was marked as closing after the check above.
                     // Either it is seen here, or the handover sees the call.
                     session.finish(key, &call.request, ticket, End::Moved, false);
-                    return Err(moving());
+                    return Err(slot_moving());
                 }
                 let context = Context {
                     owner: self.clone(),
-                    holding,
+                    served_slot,
                     session,
                     key,
                     program: call.program.clone(),
@@ -111,7 +114,7 @@
                     ticket,
                     answer: answer.clone(),
                     effective,
-                    came: now,
+                    accepted_at: now,
                 };
                 self.tasks.spawn(run::run(context, work.clone()));
                 Ok(answer)
@@ -131,19 +134,19 @@
     }
 
     /// Checks that a new call is allowed, and returns its effective settings.
-    fn check(
+    fn check_new_call(
         &self,
-        holding: &Holding,
+        served_slot: &ServedSlot,
         session: &Session,
         key: Key,
         work: &Work,
     ) -> Result<Effective, Problem> {
-        if holding.closing() {
-            return Err(moving());
+        if served_slot.is_closing() {
+            return Err(slot_moving());
         }
         let ended = session.read(key, |p| p.ended.is_some()).unwrap_or(true);
         if ended {
-            return Err(run::cancelled());
+            return Err(run::program_ended());
         }
         let effective = self.effective(session, key)?;
         let turns = session.read(key, |p| p.answers.len()).unwrap_or(0);
@@ -156,16 +159,18 @@
         match work {
             Work::Chat { request, .. } => {
                 request.check()?;
-                allowed("model", &request.model, &effective.models)?;
+                check_allowed("model", &request.model, &effective.models)?;
+            }
+            Work::Service { service, .. } => {
+                check_allowed("service", service, &effective.services)?
             }
-            Work::Service { service, .. } => allowed("service", service, &effective.services)?,
         }
         Ok(effective)
     }
 }
 
-fn allowed(what: &str, name: &str, names: &[String]) -> Result<(), Problem> {
-    if names.iter().any(|n| n == name) {
+fn check_allowed(what: &str, name: &str, names: &[String]) -> Result<(), Problem> {
+    if names.iter().any(|allowed| allowed == name) {
         return Ok(());
     }
     let message = format!(
@@ -175,7 +180,7 @@
     Err(Problem::new(Kind::NotFound, message))
 }
 
-fn not_issued() -> Problem {
+fn request_not_found() -> Problem {
     let message = "no such request in this program; issue the call first";
     Problem::new(Kind::NotFound, message)
 }
@@ -202,7 +207,7 @@
     let (true, Some(seen)) = (offset > 0, &call.seen) else {
         return Ok(offset);
     };
-    match answer.hash(offset) {
+    match answer.prefix_hash(offset) {
         Some(hash) if hash != *seen => {
             let message = "the answer had to be started anew and differs from what you have; \
                            fetch it whole with the same request id";
@@ -224,14 +229,14 @@
         let end = if whole {
             answer.end()
         } else {
-            match next(&answer, &mut offset, &sender).await {
+            match send_update(&answer, &mut offset, &sender).await {
                 Ok(end) => end,
-                Err(Gone) => return,
+                Err(ReaderClosed) => return,
             }
         };
         match end {
             Some(End::Outcome(outcome)) => {
-                let _ = send(&sender, &Frame::end(&outcome)).await;
+                let _ = send_frame(&sender, &Frame::end(&outcome)).await;
                 return;
             }
             Some(End::Moved) => {
@@ -248,34 +253,38 @@
 }
 
 /// The reader closed the connection.
-struct Gone;
+struct ReaderClosed;
 
 /// Sends the text after `offset` and advances it. Returns the end of the answer
 /// if there is one.
-async fn next(answer: &Answer, offset: &mut usize, sender: &Sender) -> Result<Option<End>, Gone> {
-    let Some(news) = answer.since(*offset) else {
+async fn send_update(
+    answer: &Answer,
+    offset: &mut usize,
+    sender: &Sender,
+) -> Result<Option<End>, ReaderClosed> {
+    let Some(update) = answer.read_from(*offset) else {
         // The reader has more text than this answer, which is being resumed
         // here. Wait for more text, unless the answer has ended.
         return Ok(answer.end());
     };
-    if !news.text.is_empty() {
-        let at = *offset as u64;
-        *offset += news.text.len();
-        send(sender, &Frame::Text(at, news.text)).await?;
+    if !update.text.is_empty() {
+        let start = *offset as u64;
+        *offset += update.text.len();
+        send_frame(sender, &Frame::Text(start, update.text)).await?;
     }
-    Ok(news.end)
+    Ok(update.end)
 }
 
-async fn send(sender: &Sender, frame: &Frame) -> Result<(), Gone> {
+async fn send_frame(sender: &Sender, frame: &Frame) -> Result<(), ReaderClosed> {
     let bytes = frame.encode().unwrap_or_else(|error| {
         tracing::error!(event = "frame_not_sent", %error);
         Bytes::new()
     });
-    sender.send(Ok(bytes)).await.map_err(|_| Gone)
+    sender.send(Ok(bytes)).await.map_err(|_| ReaderClosed)
 }
 
 /// Returns the end of a call that failed with `problem`.
-pub(super) fn failed(problem: Problem) -> End {
+pub(super) fn failed_end(problem: Problem) -> End {
     End::Outcome(Outcome::Failed(problem))
 }
 
--- a/crates/gradedyke/src/owner/answer.rs
+++ b/crates/gradedyke/src/owner/answer.rs
@@ -22,7 +22,7 @@
 
 /// The part of an answer after a reader's offset.
 #[derive(Clone, Debug, PartialEq)]
-pub struct News {
+pub struct Update {
     /// Text after the offset.
     pub text: String,
     /// How the answer ended, if it has.
@@ -33,7 +33,7 @@
 struct State {
     text: String,
     end: Option<End>,
-    read: bool,
+    was_read: bool,
 }
 
 /// The answer of a call in progress or of a call that has ended.
@@ -62,7 +62,7 @@
     }
 
     /// Creates the answer of a call that has ended.
-    pub fn ended(fingerprint: String, outcome: Outcome) -> Self {
+    pub fn finished(fingerprint: String, outcome: Outcome) -> Self {
         let model = match &outcome {
             Outcome::Chat(completion) => completion.model.clone(),
             Outcome::Service(_) | Outcome::Failed(_) => String::new(),
@@ -83,12 +83,12 @@
     /// use gradedyke::owner::answer::Answer;
     ///
     /// let answer = Answer::new(String::new(), String::new(), Default::default());
-    /// assert!(answer.write(0, "two "));
-    /// assert!(answer.write(0, "two words"));
-    /// assert!(!answer.write(0, "three"));
+    /// assert!(answer.write_at(0, "two "));
+    /// assert!(answer.write_at(0, "two words"));
+    /// assert!(!answer.write_at(0, "three"));
     /// assert_eq!(answer.text(), "two words");
     /// ```
-    pub fn write(&self, offset: usize, text: &str) -> bool {
+    pub fn write_at(&self, offset: usize, text: &str) -> bool {
         let mut state = self.lock();
         let Some(known) = state.text.get(offset..) else {
             return false;
@@ -124,7 +124,7 @@
     /// text, it stays and the new attempt must produce the same text.
     pub fn restart(&self) {
         let mut state = self.lock();
-        if !state.read {
+        if !state.was_read {
             state.text.clear();
         }
     }
@@ -152,15 +152,15 @@
     /// use gradedyke::owner::answer::Answer;
     ///
     /// let answer = Answer::new(String::new(), String::new(), Default::default());
-    /// answer.write(0, "two words");
-    /// assert_eq!(answer.since(4).unwrap().text, "words");
-    /// assert!(answer.since(40).is_none());
+    /// answer.write_at(0, "two words");
+    /// assert_eq!(answer.read_from(4).unwrap().text, "words");
+    /// assert!(answer.read_from(40).is_none());
     /// ```
-    pub fn since(&self, offset: usize) -> Option<News> {
+    pub fn read_from(&self, offset: usize) -> Option<Update> {
         let mut state = self.lock();
         let text = state.text.get(offset..)?.to_owned();
-        state.read |= !text.is_empty();
-        Some(News {
+        state.was_read |= !text.is_empty();
+        Some(Update {
             text,
             end: state.end.clone(),
         })
@@ -168,7 +168,7 @@
 
     /// Returns the BLAKE3 hash of the first `length` bytes of the text in hex, or
     /// `None` if the text is shorter.
-    pub fn hash(&self, length: usize) -> Option<String> {
+    pub fn prefix_hash(&self, length: usize) -> Option<String> {
         let state = self.lock();
         let head = state.text.as_bytes().get(..length)?;
         Some(blake3::hash(head).to_hex().to_string())
--- a/crates/gradedyke/src/owner/attempt.rs
+++ b/crates/gradedyke/src/owner/attempt.rs
@@ -10,21 +10,21 @@
 use tokio::time::Instant;
 
 use super::run::Context;
-use crate::routing::fleet::{Choice, Link};
+use crate::routing::fleet::{BackendClient, Choice};
 
 /// Maximum number of times an interrupted stream is resumed on the same engine.
-const RESUMES: u32 = 2;
+const MAX_RESUMES: u32 = 2;
 /// First backoff before a failed cancellation is retried.
-const CANCEL_FIRST: Duration = Duration::from_millis(50);
+const MIN_CANCEL_BACKOFF: Duration = Duration::from_millis(50);
 /// Maximum backoff between cancellation retries.
-const CANCEL_LAST: Duration = Duration::from_secs(2);
+const MAX_CANCEL_BACKOFF: Duration = Duration::from_secs(2);
 /// Maximum number of retries of a cancellation.
-const CANCELS: u32 = 8;
+const MAX_CANCEL_RETRIES: u32 = 8;
 
 /// How an attempt ended.
-pub(super) enum Attempt {
+pub(super) enum AttemptResult {
     /// The answer is complete.
-    Whole(Completion, Option<Usage>),
+    Complete(Completion, Option<Usage>),
     /// It certainly did not run.
     NotRun(Error),
     /// The engine rejected the call as invalid.
@@ -32,49 +32,51 @@
     /// It may have run, but its answer is lost.
     Lost(Error),
     /// Its text differs from text that readers have already received.
-    Differs,
+    Diverged,
 }
 
 /// Runs one attempt. The caller, the end of the program or the deadline can
 /// cancel it.
-pub(super) async fn make(context: &Context, call: &Call, choice: &Choice) -> Attempt {
-    let Link::Engine(engine) = &choice.link else {
-        return Attempt::NotRun(Error::NotSent("not an engine".to_owned()));
+pub(super) async fn run(context: &Context, call: &Call, choice: &Choice) -> AttemptResult {
+    let BackendClient::Engine(engine) = &choice.client else {
+        return AttemptResult::NotRun(Error::NotSent("not an engine".to_owned()));
     };
     let fleet = &context.owner.fleet;
-    let exchange = async {
+    let response = async {
         let chunks = match engine.chat(call).await {
             Ok(chunks) => chunks,
             Err(error) => return classify(error),
         };
         context.answer.restart();
-        match read(context, chunks, 0).await {
+        match read_stream(context, chunks, 0).await {
             Ok(attempt) => attempt,
-            Err(_) => resume(context, choice, &call.attempt, RESUMES).await,
+            Err(_) => resume(context, choice, &call.attempt, MAX_RESUMES).await,
         }
     };
     let attempt = tokio::select! {
-        attempt = exchange => attempt,
+        attempt = response => attempt,
         () = context.answer.cancel.cancelled() => {
-            Attempt::Lost(Error::Broken("cancelled".to_owned()))
+            AttemptResult::Lost(Error::Broken("cancelled".to_owned()))
         }
         () = tokio::time::sleep_until(context.deadline()) => {
-            Attempt::Lost(Error::Broken("the deadline passed".to_owned()))
+            AttemptResult::Lost(Error::Broken("the deadline passed".to_owned()))
         }
     };
     match &attempt {
-        Attempt::Whole(..) => fleet.succeeded(choice.key),
-        Attempt::NotRun(_) | Attempt::Lost(_) => fleet.failed(choice.key, Instant::now()),
-        Attempt::Invalid(_) | Attempt::Differs => {}
+        AttemptResult::Complete(..) => fleet.succeeded(choice.key),
+        AttemptResult::NotRun(_) | AttemptResult::Lost(_) => {
+            fleet.failed(choice.key, Instant::now())
+        }
+        AttemptResult::Invalid(_) | AttemptResult::Diverged => {}
     }
     attempt
 }
 
-fn classify(error: Error) -> Attempt {
+fn classify(error: Error) -> AttemptResult {
     match error {
-        Error::Invalid { .. } => Attempt::Invalid(error),
-        Error::Broken(_) => Attempt::Lost(error),
-        _ => Attempt::NotRun(error),
+        Error::Invalid { .. } => AttemptResult::Invalid(error),
+        Error::Broken(_) => AttemptResult::Lost(error),
+        _ => AttemptResult::NotRun(error),
     }
 }
 
@@ -85,15 +87,15 @@
     choice: &Choice,
     attempt: &str,
     tries: u32,
-) -> Attempt {
-    let Link::Engine(engine) = &choice.link else {
-        return Attempt::NotRun(Error::NotSent("not an engine".to_owned()));
+) -> AttemptResult {
+    let BackendClient::Engine(engine) = &choice.client else {
+        return AttemptResult::NotRun(Error::NotSent("not an engine".to_owned()));
     };
     let mut error = Error::Broken("the stream was cut".to_owned());
     for _ in 0..tries {
         let offset = context.answer.len();
         let resumed = match engine.resume(attempt, offset as u64).await {
-            Ok(chunks) => read(context, chunks, offset).await,
+            Ok(chunks) => read_stream(context, chunks, offset).await,
             Err(e) => Err(e),
         };
         match resumed {
@@ -101,31 +103,31 @@
             Err(e) => error = e,
         }
     }
-    Attempt::Lost(error)
+    AttemptResult::Lost(error)
 }
 
 /// Reads a stream to its end and writes the text into the answer, starting at
 /// byte offset `position`.
-async fn read(
+async fn read_stream(
     context: &Context,
     mut chunks: Box<dyn Chunks>,
     mut position: usize,
-) -> Result<Attempt, Error> {
+) -> Result<AttemptResult, Error> {
     let mut completion = Completion::default();
     let mut usage = None;
     while let Some(chunk) = chunks.next().await? {
         let Chunk {
             choices,
-            usage: counted,
+            usage: reported,
         } = chunk;
-        usage = counted.or(usage);
+        usage = reported.or(usage);
         for choice in choices {
             let text = choice.delta.content.unwrap_or_default();
             if !text.is_empty() && context.answer.is_empty() {
-                first_token(context);
+                record_first_token(context);
             }
-            if !context.answer.write(position, &text) {
-                return Ok(Attempt::Differs);
+            if !context.answer.write_at(position, &text) {
+                return Ok(AttemptResult::Diverged);
             }
             position += text.len();
             for part in choice.delta.tool_calls.unwrap_or_default() {
@@ -138,27 +140,27 @@
     }
     completion.content = context.answer.text();
     if position < completion.content.len() {
-        return Ok(Attempt::Differs);
+        return Ok(AttemptResult::Diverged);
     }
-    Ok(Attempt::Whole(completion, usage))
+    Ok(AttemptResult::Complete(completion, usage))
 }
 
-fn first_token(context: &Context) {
+fn record_first_token(context: &Context) {
     let account = context.session.account.to_string();
     let class = context.effective.class.name();
     metrics::histogram!("gradedyke_first_token_seconds", "account" => account, "class" => class)
-        .record(context.came.elapsed().as_secs_f64());
+        .record(context.accepted_at.elapsed().as_secs_f64());
 }
 
 /// Cancels a lost attempt in the background, so that it stops using tokens.
 pub(super) fn cancel(context: &Context, choice: &Choice, attempt: &str) {
-    let Link::Engine(engine) = choice.link.clone() else {
+    let BackendClient::Engine(engine) = choice.client.clone() else {
         return;
     };
     let attempt = attempt.to_owned();
     let stop = context.owner.stop.clone();
     tokio::spawn(async move {
-        let mut backoff = Backoff::new(CANCEL_FIRST, CANCEL_LAST, CANCELS);
+        let mut backoff = Backoff::new(MIN_CANCEL_BACKOFF, MAX_CANCEL_BACKOFF, MAX_CANCEL_RETRIES);
         while engine.cancel(&attempt).await.is_err() {
             let Some(wait) = backoff.wait(rand::random()) else {
                 return;
--- a/crates/gradedyke/src/owner/chat.rs
+++ b/crates/gradedyke/src/owner/chat.rs
@@ -16,29 +16,29 @@
 use gradedyke_base::settings::tree::Class;
 use tokio::time::Instant;
 
-use super::attempt::{self, Attempt};
-use super::run::{Context, Finished, Stop, cancelled};
+use super::attempt::{self, AttemptResult};
+use super::run::{Abort, Context, Finished, program_ended};
 use super::session::Conversation;
 use crate::program::record::Intent;
-use crate::routing::Question;
-use crate::routing::fleet::{Choice, Key, Link};
+use crate::routing::CallInfo;
+use crate::routing::fleet::{BackendClient, Choice, Key};
 use crate::wire::{History, Outcome, Work};
 
 /// First backoff before another attempt.
-const RETRY_FIRST: Duration = Duration::from_millis(50);
+const MIN_RETRY_BACKOFF: Duration = Duration::from_millis(50);
 /// Maximum backoff between attempts.
-const RETRY_LAST: Duration = Duration::from_secs(2);
+const MAX_RETRY_BACKOFF: Duration = Duration::from_secs(2);
 /// Maximum number of attempts after the first.
-const RETRIES: u32 = 8;
+const MAX_RETRIES: u32 = 8;
 /// Retry delay suggested to callers when no engine ran the call.
-const COME_BACK: Duration = Duration::from_secs(2);
+const RETRY_AFTER: Duration = Duration::from_secs(2);
 /// Assumed bytes per token, for the estimates used by routing.
 const BYTES_PER_TOKEN: u64 = 4;
 /// Priority of batch calls on engines; lower runs first and staff calls have 0.
 const BATCH_PRIORITY: i32 = 10;
 
 /// A call that is ready to be sent.
-struct Ready {
+struct PreparedCall {
     call: Call,
     tokens: Vec<u64>,
     reserved: u64,
@@ -50,74 +50,79 @@
     context: &Context,
     request: &chat::Request,
     history: History,
-) -> Result<Finished, Stop> {
+) -> Result<Finished, Abort> {
     let max_tokens = request.limit().unwrap_or(context.effective.max_tokens);
-    let conversation = context
-        .session
-        .converse(context.key, request, history, max_tokens)?;
-    let ready = prepare(context, request, &conversation);
-    let first = choose(context, &ready, &[], Instant::now());
-    let mut new = request.clone();
-    new.messages = conversation.new;
+    let conversation =
+        context
+            .session
+            .prepare_conversation(context.key, request, history, max_tokens)?;
+    let prepared = prepare(context, request, &conversation);
+    let first = choose(context, &prepared, &[], Instant::now());
+    let mut new_request = request.clone();
+    new_request.messages = conversation.new_messages;
     let intent = Intent {
         work: Work::Chat {
-            request: new,
+            request: new_request,
             history: History::Append,
         },
         fingerprint: context.answer.fingerprint.clone(),
         backend: first.as_ref().map(|choice| choice.id.clone()),
-        attempt: ready.call.attempt.clone(),
-        reserved: ready.reserved,
+        attempt: prepared.call.attempt.clone(),
+        reserved: prepared.reserved,
     };
-    if let Err(stop) = context.intend(intent).await {
-        context.session.settle(ready.reserved, 0);
-        return Err(stop);
+    if let Err(abort) = context.append_intent(intent).await {
+        context.session.settle(prepared.reserved, 0);
+        return Err(abort);
     }
-    attempts(context, ready, first, 0).await
+    run_attempts(context, prepared, first, 0).await
 }
 
 /// Resumes a model call that an earlier owner had sent. Its tokens are already
 /// reserved: [`Session::new`](super::session::Session::new) reserves them again
 /// for every open call.
-pub(super) async fn take_up(
+pub(super) async fn resume(
     context: &Context,
     request: &chat::Request,
     intent: &Intent,
-) -> Result<Finished, Stop> {
+) -> Result<Finished, Abort> {
     let max_tokens = request.limit().unwrap_or(context.effective.max_tokens);
     let history = context.session.read(context.key, |p| p.history.clone());
-    let mut whole: Vec<Message> = history.unwrap_or_default();
-    whole.extend(request.messages.iter().cloned());
+    let mut messages: Vec<Message> = history.unwrap_or_default();
+    messages.extend(request.messages.iter().cloned());
     let conversation = Conversation {
-        new: request.messages.clone(),
-        whole,
+        new_messages: request.messages.clone(),
+        messages,
         reserved: intent.reserved,
         max_tokens,
     };
-    let ready = prepare(context, request, &conversation);
+    let prepared = prepare(context, request, &conversation);
     let engine = intent.backend.as_ref();
     let sent_to = engine.and_then(|id| context.owner.fleet.find(id));
     if let Some(choice) = sent_to {
         let resumed = attempt::resume(context, &choice, &intent.attempt, 1).await;
-        if let Attempt::Whole(completion, usage) = resumed {
-            return Ok(whole_answer(context, &ready, completion, usage, 0));
+        if let AttemptResult::Complete(completion, usage) = resumed {
+            return Ok(complete_call(context, &prepared, completion, usage, 0));
         }
         attempt::cancel(context, &choice, &intent.attempt);
     }
-    if let Some(end) = lose(context, &ready, ready.reserved) {
+    if let Some(end) = charge_lost_attempt(context, &prepared, prepared.reserved) {
         return Ok(end);
     }
-    let first = choose(context, &ready, &[], Instant::now());
-    let lost = ready.reserved;
-    attempts(context, ready, first, lost).await
+    let first = choose(context, &prepared, &[], Instant::now());
+    let lost_tokens = prepared.reserved;
+    run_attempts(context, prepared, first, lost_tokens).await
 }
 
-fn prepare(context: &Context, request: &chat::Request, conversation: &Conversation) -> Ready {
+fn prepare(
+    context: &Context,
+    request: &chat::Request,
+    conversation: &Conversation,
+) -> PreparedCall {
     let account = &context.session.account;
-    let chain = Chain::over(account, &request.model, &conversation.whole);
-    let tokens = conversation.whole.iter().map(estimate).collect();
+    let chain = Chain::over(account, &request.model, &conversation.messages);
+    let tokens = conversation.messages.iter().map(estimate_tokens).collect();
     let mut sent = request.clone();
-    sent.messages.clone_from(&conversation.whole);
+    sent.messages.clone_from(&conversation.messages);
     sent.stream = true;
     sent.max_completion_tokens = None;
     sent.max_tokens = Some(conversation.max_tokens);
@@ -126,9 +131,9 @@
         Class::Staff => 0,
         Class::Batch => BATCH_PRIORITY,
     };
-    Ready {
+    PreparedCall {
         call: Call {
-            attempt: attempt_name(context, 0),
+            attempt: attempt_id(context, 0),
             request: sent,
             chain,
             priority,
@@ -140,49 +145,56 @@
 }
 
 /// Returns the id of an attempt. The epoch makes it unique across owners.
-fn attempt_name(context: &Context, number: u32) -> String {
+fn attempt_id(context: &Context, number: u32) -> String {
     let Context {
         program, request, ..
     } = context;
     format!(
         "{program}:{request}:{}:{number}",
-        context.holding.log.epoch()
+        context.served_slot.log.epoch()
     )
 }
 
 /// Estimates the tokens of a message.
-fn estimate(message: &Message) -> u64 {
+fn estimate_tokens(message: &Message) -> u64 {
     let bytes: usize = message.values().map(|v| v.to_string().len()).sum();
     bytes as u64 / BYTES_PER_TOKEN + 1
 }
 
 /// Chooses an engine and counts the call as in flight there.
-fn choose(context: &Context, ready: &Ready, avoid: &[Key], now: Instant) -> Option<Choice> {
+fn choose(
+    context: &Context,
+    prepared: &PreparedCall,
+    avoid: &[Key],
+    now: Instant,
+) -> Option<Choice> {
     let owner = &context.owner;
-    let chain = ready.call.chain.keys();
-    let model = ready.call.chain.model();
-    let candidates = owner.fleet.engines(model, chain, &ready.tokens, avoid, now);
-    let question = Question {
-        prompt_tokens: ready.tokens.iter().sum(),
-        answer_tokens: ready.max_tokens,
+    let chain = prepared.call.chain.keys();
+    let model = prepared.call.chain.model();
+    let candidates = owner
+        .fleet
+        .engines(model, chain, &prepared.tokens, avoid, now);
+    let call_info = CallInfo {
+        prompt_tokens: prepared.tokens.iter().sum(),
+        answer_tokens: prepared.max_tokens,
         now,
     };
-    let key = context.route(&question, &candidates)?;
+    let key = context.route(&call_info, &candidates)?;
     owner
         .fleet
-        .book(key, chain, &ready.tokens, ready.max_tokens)
+        .book(key, chain, &prepared.tokens, prepared.max_tokens)
 }
 
 /// Makes attempts until one completes, the deadline passes or no retry is left.
 /// At the start of each iteration the tokens of the next attempt are reserved;
-/// `lost` tokens were spent on lost attempts.
-async fn attempts(
+/// `lost_tokens` tokens were spent on lost attempts.
+async fn run_attempts(
     context: &Context,
-    mut ready: Ready,
+    mut prepared: PreparedCall,
     first: Option<Choice>,
-    mut lost: u64,
-) -> Result<Finished, Stop> {
-    let mut backoff = Backoff::new(RETRY_FIRST, RETRY_LAST, RETRIES);
+    mut lost_tokens: u64,
+) -> Result<Finished, Abort> {
+    let mut backoff = Backoff::new(MIN_RETRY_BACKOFF, MAX_RETRY_BACKOFF, MAX_RETRIES);
     let mut choice = first;
     let mut avoid = Vec::new();
     let mut number = 0;
@@ -190,9 +202,9 @@
         let failed = match choice {
             Some(chosen) => {
                 avoid.push(chosen.key);
-                match step(context, &ready, &chosen, &mut lost).await? {
-                    Step::End(finished) => return Ok(finished),
-                    Step::Again(error) => error,
+                match run_attempt(context, &prepared, &chosen, &mut lost_tokens).await? {
+                    NextStep::Finish(finished) => return Ok(finished),
+                    NextStep::Retry(error) => error,
                 }
             }
             None => Error::NotSent("no backend server takes this model's calls now".to_owned()),
@@ -200,114 +212,125 @@
         tracing::warn!(event = "attempt_failed", program = %context.program,
             request = %context.request, number, error = %failed);
         let Some(wait) = backoff.wait(rand::random()) else {
-            return exhausted(context, &ready, &failed, lost).await;
+            return fail_unavailable(context, &prepared, &failed, lost_tokens).await;
         };
         tokio::select! {
             () = tokio::time::sleep(wait) => {}
             () = context.answer.cancel.cancelled() => {
-                return give_back(context, &ready, cancelled(), lost).await;
+                return release_reservation(context, &prepared, program_ended(), lost_tokens).await;
             }
             () = tokio::time::sleep_until(context.deadline()) => {
-                return exhausted(context, &ready, &failed, lost).await;
+                return fail_unavailable(context, &prepared, &failed, lost_tokens).await;
             }
         }
         number += 1;
-        ready.call.attempt = attempt_name(context, number);
+        prepared.call.attempt = attempt_id(context, number);
         let now = Instant::now();
-        choice = choose(context, &ready, &avoid, now).or_else(|| {
+        choice = choose(context, &prepared, &avoid, now).or_else(|| {
             // All have failed once and any may have recovered: start over.
             avoid.clear();
-            choose(context, &ready, &avoid, now)
+            choose(context, &prepared, &avoid, now)
         });
     }
 }
 
 /// What to do after an attempt.
-enum Step {
+enum NextStep {
     /// End the call.
-    End(Finished),
+    Finish(Finished),
     /// Try again.
-    Again(Error),
+    Retry(Error),
 }
 
 /// Makes one attempt and decides whether the call ends or is retried.
-async fn step(
+async fn run_attempt(
     context: &Context,
-    ready: &Ready,
+    prepared: &PreparedCall,
     chosen: &Choice,
-    lost: &mut u64,
-) -> Result<Step, Stop> {
-    let made = attempt::make(context, &ready.call, chosen).await;
-    match made {
-        Attempt::Whole(completion, usage) => {
-            keep_prefix(context, ready, chosen).await;
-            let finished = whole_answer(context, ready, completion, usage, *lost);
-            Ok(Step::End(finished))
+    lost_tokens: &mut u64,
+) -> Result<NextStep, Abort> {
+    let result = attempt::run(context, &prepared.call, chosen).await;
+    match result {
+        AttemptResult::Complete(completion, usage) => {
+            pin_prefix(context, prepared, chosen).await;
+            let finished = complete_call(context, prepared, completion, usage, *lost_tokens);
+            Ok(NextStep::Finish(finished))
         }
-        Attempt::Invalid(error) => {
+        AttemptResult::Invalid(error) => {
             let problem = Problem::new(Kind::BadRequest, error.to_string());
-            give_back(context, ready, problem, *lost)
+            release_reservation(context, prepared, problem, *lost_tokens)
                 .await
-                .map(Step::End)
+                .map(NextStep::Finish)
         }
-        Attempt::NotRun(error) => Ok(Step::Again(error)),
-        Attempt::Lost(error) => {
-            attempt::cancel(context, chosen, &ready.call.attempt);
-            *lost += ready.reserved;
-            let end = lose(context, ready, *lost);
-            Ok(end.map_or(Step::Again(error), Step::End))
+        AttemptResult::NotRun(error) => Ok(NextStep::Retry(error)),
+        AttemptResult::Lost(error) => {
+            attempt::cancel(context, chosen, &prepared.call.attempt);
+            *lost_tokens += prepared.reserved;
+            let end = charge_lost_attempt(context, prepared, *lost_tokens);
+            Ok(end.map_or(NextStep::Retry(error), NextStep::Finish))
         }
-        Attempt::Differs => {
-            attempt::cancel(context, chosen, &ready.call.attempt);
-            *lost += ready.reserved;
-            context.session.settle(ready.reserved, ready.reserved);
+        AttemptResult::Diverged => {
+            attempt::cancel(context, chosen, &prepared.call.attempt);
+            *lost_tokens += prepared.reserved;
+            context.session.settle(prepared.reserved, prepared.reserved);
             let message = "the engine failed in the middle of the answer and another one answers \
                            differently; issue the call anew";
             let problem = Problem::new(Kind::BackendFailed, message);
-            Ok(Step::End(failure(problem, *lost)))
+            Ok(NextStep::Finish(failure(problem, *lost_tokens)))
         }
     }
 }
 
 /// Charges the whole reservation of a lost attempt and reserves the tokens of
 /// the next one. Returns the end of the call if it can't be retried.
-fn lose(context: &Context, ready: &Ready, lost: u64) -> Option<Finished> {
-    context.session.settle(ready.reserved, ready.reserved);
+fn charge_lost_attempt(
+    context: &Context,
+    prepared: &PreparedCall,
+    lost_tokens: u64,
+) -> Option<Finished> {
+    context.session.settle(prepared.reserved, prepared.reserved);
     if context.answer.cancel.is_cancelled() {
         let message = "the program was ended or cancelled while this call ran; open a new one";
-        return Some(failure(Problem::new(Kind::Ended, message), lost));
+        return Some(failure(Problem::new(Kind::Ended, message), lost_tokens));
     }
     if Instant::now() >= context.deadline() {
         let message = "the call took longer than its time; ask for less, or have call_ms raised";
-        return Some(failure(Problem::new(Kind::DeadlineExceeded, message), lost));
+        return Some(failure(
+            Problem::new(Kind::DeadlineExceeded, message),
+            lost_tokens,
+        ));
     }
-    match context.session.reserve(ready.reserved) {
+    match context.session.reserve(prepared.reserved) {
         Ok(()) => None,
-        Err(problem) => Some(failure(problem.may_have_run(), lost)),
+        Err(problem) => Some(failure(problem.may_have_run(), lost_tokens)),
     }
 }
 
 /// Settles a call whose answer is complete.
-fn whole_answer(
+fn complete_call(
     context: &Context,
-    ready: &Ready,
+    prepared: &PreparedCall,
     mut completion: Completion,
     usage: Option<Usage>,
-    lost: u64,
+    lost_tokens: u64,
 ) -> Finished {
-    ready.call.chain.model().clone_into(&mut completion.model);
+    prepared
+        .call
+        .chain
+        .model()
+        .clone_into(&mut completion.model);
     // Without a token count from the engine, the whole reservation is charged.
     completion.usage = usage.unwrap_or(Usage {
-        prompt_tokens: ready.reserved - ready.max_tokens,
-        completion_tokens: ready.max_tokens,
-        total_tokens: ready.reserved,
+        prompt_tokens: prepared.reserved - prepared.max_tokens,
+        completion_tokens: prepared.max_tokens,
+        total_tokens: prepared.reserved,
         prompt_tokens_details: None,
     });
     let spent = completion.usage.total_tokens;
-    context.session.settle(ready.reserved, spent);
+    context.session.settle(prepared.reserved, spent);
     Finished {
         outcome: Outcome::Chat(completion),
-        spent: spent + lost,
+        spent: spent + lost_tokens,
     }
 }
 
@@ -320,38 +343,38 @@
 
 /// Ends a call that has no attempt in flight and releases its reservation. If an
 /// earlier attempt was lost, the call fails; otherwise it is withdrawn as not run.
-async fn give_back(
+async fn release_reservation(
     context: &Context,
-    ready: &Ready,
+    prepared: &PreparedCall,
     problem: Problem,
-    lost: u64,
-) -> Result<Finished, Stop> {
-    context.session.settle(ready.reserved, 0);
-    if lost > 0 {
-        return Ok(failure(problem.may_have_run(), lost));
+    lost_tokens: u64,
+) -> Result<Finished, Abort> {
+    context.session.settle(prepared.reserved, 0);
+    if lost_tokens > 0 {
+        return Ok(failure(problem.may_have_run(), lost_tokens));
     }
     Err(context.withdraw(problem).await)
 }
 
 /// Ends a call that has used up its retries or its time.
-async fn exhausted(
+async fn fail_unavailable(
     context: &Context,
-    ready: &Ready,
+    prepared: &PreparedCall,
     error: &Error,
-    lost: u64,
-) -> Result<Finished, Stop> {
+    lost_tokens: u64,
+) -> Result<Finished, Abort> {
     let message = format!("no backend server ran the call ({error}); send it again later");
-    let kind = match lost {
+    let kind = match lost_tokens {
         0 => Kind::Unavailable,
         _ => Kind::BackendFailed,
     };
-    let problem = Problem::new(kind, message).retry_after(COME_BACK);
-    give_back(context, ready, problem, lost).await
+    let problem = Problem::new(kind, message).retry_after(RETRY_AFTER);
+    release_reservation(context, prepared, problem, lost_tokens).await
 }
 
 /// Pins the prompt's prefix in the engine's cache until the program ends.
-async fn keep_prefix(context: &Context, ready: &Ready, choice: &Choice) {
-    let Link::Engine(engine) = &choice.link else {
+async fn pin_prefix(context: &Context, prepared: &PreparedCall, choice: &Choice) {
+    let BackendClient::Engine(engine) = &choice.client else {
         return;
     };
     let ended = context.session.read(context.key, |p| p.ended.is_some());
@@ -360,9 +383,9 @@
     }
     let pin = Pin {
         holder: context.program.clone(),
-        keys: ready.call.chain.keys().to_vec(),
+        keys: prepared.call.chain.keys().to_vec(),
     };
-    context.session.hold(context.key, choice.key);
+    context.session.add_pinned(context.key, choice.key);
     if let Err(error) = engine.pin(&pin).await {
         tracing::debug!(event = "pin_failed", program = %context.program, %error);
     }
--- a/crates/gradedyke/src/owner/holding.rs
+++ b/crates/gradedyke/src/owner/holding.rs
@@ -13,12 +13,12 @@
 use tokio_util::sync::CancellationToken;
 
 use super::session::Session;
-use super::{lock, moving};
+use super::{lock, slot_moving};
 use crate::program::record::Record;
 use crate::program::state::{Tree, Trees};
 
 /// A slot that this process owns at one epoch.
-pub struct Holding {
+pub struct ServedSlot {
     /// The slot.
     pub slot: Slot,
     /// Its journal log.
@@ -29,13 +29,13 @@
     /// Set before the slot is handed over: no new program or call is accepted.
     closing: AtomicBool,
     /// Index of the entry before which the log was last trimmed.
-    trimmed: AtomicU64,
+    trimmed_before: AtomicU64,
     sessions: Mutex<HashMap<String, Arc<Session>>>,
     /// Held while a program is opened, so that concurrent requests open it once.
-    pub opening: tokio::sync::Mutex<()>,
+    pub open_lock: tokio::sync::Mutex<()>,
 }
 
-impl Holding {
+impl ServedSlot {
     /// Creates a served slot with the trees recovered from its log.
     pub fn new(
         slot: Slot,
@@ -50,9 +50,9 @@
             log,
             stop,
             closing: AtomicBool::new(false),
-            trimmed: AtomicU64::new(0),
+            trimmed_before: AtomicU64::new(0),
             sessions: Mutex::new(trees.into_iter().map(session).collect()),
-            opening: tokio::sync::Mutex::default(),
+            open_lock: tokio::sync::Mutex::default(),
         }
     }
 
@@ -61,7 +61,7 @@
     /// # Errors
     ///
     /// `moving` when the slot has moved to another owner or its log was closed.
-    pub async fn keep(&self, record: &Record) -> Result<(), Problem> {
+    pub async fn append(&self, record: &Record) -> Result<(), Problem> {
         let data = to_raw_value(record).map_err(|e| {
             let message = format!("a record cannot be written ({e}); report this");
             Problem::new(Kind::Internal, message)
@@ -71,9 +71,9 @@
             Err(Error::Fenced(newer)) => {
                 tracing::info!(event = "slot_fenced", slot = %self.slot, epoch = %self.log.epoch(), %newer);
                 self.stop.cancel();
-                Err(moving())
+                Err(slot_moving())
             }
-            Err(_) => Err(moving()),
+            Err(_) => Err(slot_moving()),
         }
     }
 
@@ -94,8 +94,8 @@
         program: &id::Program,
     ) -> Result<Arc<Session>, Problem> {
         let session = self.session(program);
-        let own = session.filter(|s| s.account == *account && s.find(program).is_some());
-        own.ok_or_else(unknown)
+        let owned = session.filter(|s| s.account == *account && s.find(program).is_some());
+        owned.ok_or_else(program_not_found)
     }
 
     /// Adds a new tree and returns its session.
@@ -117,29 +117,29 @@
     }
 
     /// Returns whether no new program or call is accepted.
-    pub fn closing(&self) -> bool {
+    pub fn is_closing(&self) -> bool {
         self.closing.load(Ordering::SeqCst)
     }
 
     /// Sets whether new programs and calls are refused.
-    pub fn close(&self, closing: bool) {
+    pub fn set_closing(&self, closing: bool) {
         self.closing.store(closing, Ordering::SeqCst);
     }
 
     /// Returns whether no call is queued or running.
-    pub fn idle(&self) -> bool {
-        self.sessions().iter().all(|s| s.idle())
+    pub fn is_idle(&self) -> bool {
+        self.sessions().iter().all(|s| s.is_idle())
     }
 
     /// Returns the index before which the log can be trimmed, and remembers it.
     /// `None` while there are sessions or nothing new to trim. The last entry
     /// stays, so that a lagging keeper finds where to continue.
-    pub fn trimmable(&self) -> Option<u64> {
+    pub fn take_trim_index(&self) -> Option<u64> {
         let last = self.log.last();
         let empty = lock(&self.sessions).is_empty();
-        let before = self.trimmed.load(Ordering::Relaxed);
+        let before = self.trimmed_before.load(Ordering::Relaxed);
         (empty && last > before + 1).then(|| {
-            self.trimmed.store(last, Ordering::Relaxed);
+            self.trimmed_before.store(last, Ordering::Relaxed);
             last
         })
     }
@@ -147,7 +147,7 @@
 
 /// Returns the error for a program that does not exist or that belongs to another
 /// client account.
-pub fn unknown() -> Problem {
+pub fn program_not_found() -> Problem {
     let message = "no such program of yours; open one with POST /v1/programs, or correct the id";
     Problem::new(Kind::NotFound, message)
 }
--- a/crates/gradedyke/src/owner/mod.rs
+++ b/crates/gradedyke/src/owner/mod.rs
@@ -38,10 +38,10 @@
 use crate::ownership::map::Map;
 use crate::routing::fleet::Fleet;
 use crate::routing::{self, Policy};
-use holding::Holding;
+use holding::ServedSlot;
 
 /// Retry delay suggested to callers while a slot changes its owner.
-const MOVING_RETRY: std::time::Duration = std::time::Duration::from_millis(200);
+const MOVING_RETRY_AFTER: std::time::Duration = std::time::Duration::from_millis(200);
 
 /// The owner role of one process.
 pub struct Owner {
@@ -53,9 +53,9 @@
     fleet: Arc<Fleet>,
     policies: BTreeMap<&'static str, Arc<dyn Policy>>,
     journal: Arc<Journal>,
-    holdings: Mutex<HashMap<Slot, Arc<Holding>>>,
+    served_slots: Mutex<HashMap<Slot, Arc<ServedSlot>>>,
     /// Number of slots served; a planned stop waits until it is 0.
-    served: watch::Sender<usize>,
+    served_count: watch::Sender<usize>,
     draining: CancellationToken,
     stop: CancellationToken,
     tasks: TaskTracker,
@@ -77,8 +77,8 @@
             fleet: Arc::new(Fleet::new(&kernel.settings.data_centre)),
             policies: routing::policies(),
             journal: kernel.journal.clone(),
-            holdings: Mutex::default(),
-            served: watch::Sender::new(0),
+            served_slots: Mutex::default(),
+            served_count: watch::Sender::new(0),
             draining: kernel.drain.clone(),
             stop: kernel.stop.clone(),
             tasks: TaskTracker::new(),
@@ -104,27 +104,27 @@
     /// # Errors
     ///
     /// `moving` when the slot is not served here, or no longer.
-    pub fn holding(&self, slot: Slot) -> Result<Arc<Holding>, Problem> {
-        let holding = lock(&self.holdings).get(&slot).cloned();
-        holding
-            .filter(|h| !h.stop.is_cancelled())
-            .ok_or_else(moving)
+    pub fn served_slot(&self, slot: Slot) -> Result<Arc<ServedSlot>, Problem> {
+        let served_slot = lock(&self.served_slots).get(&slot).cloned();
+        served_slot
+            .filter(|slot| !slot.stop.is_cancelled())
+            .ok_or_else(slot_moving)
     }
 
-    fn all(&self) -> Vec<Arc<Holding>> {
-        lock(&self.holdings).values().cloned().collect()
+    fn all_slots(&self) -> Vec<Arc<ServedSlot>> {
+        lock(&self.served_slots).values().cloned().collect()
     }
 
     /// Returns the number of slots served here.
-    pub fn serves(&self) -> usize {
-        lock(&self.holdings).len()
+    pub fn slot_count(&self) -> usize {
+        lock(&self.served_slots).len()
     }
 
     /// Waits until every slot has been handed over and every call has ended.
-    pub async fn drained(&self) {
-        let mut served = self.served.subscribe();
-        let none = served.wait_for(|slots| *slots == 0);
-        if none.await.is_ok() {
+    pub async fn wait_until_drained(&self) {
+        let mut counts = self.served_count.subscribe();
+        let all_gone = counts.wait_for(|slots| *slots == 0);
+        if all_gone.await.is_ok() {
             tracing::info!(event = "slots_gone", instance = %self.id);
             self.tasks.close();
             self.tasks.wait().await;
@@ -133,9 +133,9 @@
 }
 
 /// Returns the error for a slot whose owner is changing.
-pub fn moving() -> Problem {
+pub fn slot_moving() -> Problem {
     let message = "the program's owner is changing; send the request again with the same id";
-    Problem::new(Kind::Moving, message).retry_after(MOVING_RETRY)
+    Problem::new(Kind::Moving, message).retry_after(MOVING_RETRY_AFTER)
 }
 
 inventory::submit! {
@@ -145,10 +145,10 @@
             let owner = Owner::new(kernel);
             owner.start(kernel);
             mounts.methods(rpc::methods(owner.clone()))?;
-            mounts.calls(Arc::new(accept::Calls::new(owner.clone())));
+            mounts.calls(Arc::new(accept::CallHandler::new(owner.clone())));
             mounts.on_drain(move || {
                 let owner = owner.clone();
-                Box::pin(async move { owner.drained().await })
+                Box::pin(async move { owner.wait_until_drained().await })
             });
             Ok(())
         },
--- a/crates/gradedyke/src/owner/poll.rs
+++ b/crates/gradedyke/src/owner/poll.rs
@@ -14,37 +14,37 @@
 use crate::routing::fleet::Key;
 
 /// Interval between reads of an engine's load and cache events.
-const LOAD: Duration = Duration::from_millis(250);
+const LOAD_POLL_INTERVAL: Duration = Duration::from_millis(250);
 /// Interval between reads of an engine's pins, in rounds of
 /// [`LOAD_POLL_INTERVAL`]. The list is long and only serves to find pins that an
 /// earlier owner left behind, so it is read rarely.
-const PINS_EVERY: u32 = 40;
+const ROUNDS_PER_PIN_CHECK: u32 = 40;
 /// Interval between reads of the instance list.
-const LIST: Duration = Duration::from_secs(1);
+const LIST_POLL_INTERVAL: Duration = Duration::from_secs(1);
 /// Name of the service under which the platform lists backend servers.
-const BACKENDS: &str = "backends";
+const BACKEND_SERVICE: &str = "backends";
 
 /// Runs a polling task for each engine in the current settings until the process
 /// stops.
 pub(super) async fn run(owner: Arc<Owner>, instances: Option<Arc<dyn Instances>>) {
     if let Some(instances) = instances {
-        tokio::spawn(follow_list(owner.clone(), instances));
+        tokio::spawn(watch_instance_list(owner.clone(), instances));
     }
     let mut revision = owner.current.subscribe();
-    let mut polls: HashMap<Key, CancellationToken> = HashMap::new();
+    let mut polling_tasks: HashMap<Key, CancellationToken> = HashMap::new();
     loop {
         revision.borrow_and_update();
         owner.fleet.update(&owner.current.get().tree);
         let engines = owner.fleet.all_engines();
-        polls.retain(|key, stop| {
-            let stays = engines.iter().any(|(k, ..)| k == key);
-            if !stays {
+        polling_tasks.retain(|key, stop| {
+            let is_configured = engines.iter().any(|(k, ..)| k == key);
+            if !is_configured {
                 stop.cancel();
             }
-            stays
+            is_configured
         });
         for (key, id, engine) in engines {
-            polls.entry(key).or_insert_with(|| {
+            polling_tasks.entry(key).or_insert_with(|| {
                 let stop = owner.stop.child_token();
                 tokio::spawn(poll(owner.clone(), key, id, engine, stop.clone()));
                 stop
@@ -67,7 +67,7 @@
     let mut round = 0;
     loop {
         tokio::select! {
-            () = tokio::time::sleep(LOAD) => {}
+            () = tokio::time::sleep(LOAD_POLL_INTERVAL) => {}
             () = stop.cancelled() => return,
         }
         match engine.load().await {
@@ -81,20 +81,23 @@
             owner.fleet.cache_events(key, &events);
         }
         round += 1;
-        if round % PINS_EVERY == 0 {
-            reconcile(&owner, &id, &*engine).await;
+        if round % ROUNDS_PER_PIN_CHECK == 0 {
+            release_stale_pins(&owner, &id, &*engine).await;
         }
     }
 }
 
 /// Releases the pins of an engine for programs of this owner that have ended,
 /// including pins of an earlier owner that died before it released them.
-async fn reconcile(owner: &Owner, id: &id::Backend, engine: &dyn Engine) {
+async fn release_stale_pins(owner: &Owner, id: &id::Backend, engine: &dyn Engine) {
     let Ok(pins) = engine.pins().await else {
         return;
     };
     let holders: BTreeSet<_> = pins.into_iter().map(|pin| pin.holder).collect();
-    for holder in holders.iter().filter(|holder| owner.is_over(holder)) {
+    for holder in holders
+        .iter()
+        .filter(|holder| owner.can_release_pins(holder))
+    {
         match engine.release(holder).await {
             Ok(()) => tracing::info!(event = "memory_released", backend = %id, program = %holder),
             Err(error) => {
@@ -104,9 +107,9 @@
     }
 }
 
-async fn follow_list(owner: Arc<Owner>, instances: Arc<dyn Instances>) {
+async fn watch_instance_list(owner: Arc<Owner>, instances: Arc<dyn Instances>) {
     loop {
-        match instances.list(BACKENDS).await {
+        match instances.list(BACKEND_SERVICE).await {
             Ok(list) => {
                 let leaving = list.into_iter().filter(|i| i.state == State::Leaving);
                 owner.fleet.leaving(&leaving.map(|i| i.id).collect());
@@ -114,7 +117,7 @@
             Err(error) => tracing::warn!(event = "instance_list_not_read", %error),
         }
         tokio::select! {
-            () = tokio::time::sleep(LIST) => {}
+            () = tokio::time::sleep(LIST_POLL_INTERVAL) => {}
             () = owner.stop.cancelled() => return,
         }
     }
--- a/crates/gradedyke/src/owner/rpc.rs
+++ b/crates/gradedyke/src/owner/rpc.rs
@@ -14,14 +14,14 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-use super::holding::{Holding, unknown};
+use super::holding::{ServedSlot, program_not_found};
 use super::session::Session;
-use super::{Owner, moving};
+use super::{Owner, slot_moving};
 use crate::program::record::{Record, Why};
 use crate::program::state::Tree;
 
 /// Code of a JSON-RPC error whose data is a [`Problem`].
-const PROBLEM: i32 = -32_010;
+const PROBLEM_CODE: i32 = -32_010;
 
 /// A request to open a program.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -88,7 +88,7 @@
 }
 
 fn error(problem: Problem) -> ErrorObjectOwned {
-    ErrorObjectOwned::owned(PROBLEM, problem.message.clone(), Some(problem))
+    ErrorObjectOwned::owned(PROBLEM_CODE, problem.message.clone(), Some(problem))
 }
 
 /// Extracts the [`Problem`] from the error of a failed call of this API.
@@ -103,7 +103,7 @@
     };
     let data = call.data().map(|d| serde_json::from_str(d.get()));
     match data {
-        Some(Ok(problem)) if call.code() == PROBLEM => Ok(problem),
+        Some(Ok(problem)) if call.code() == PROBLEM_CODE => Ok(problem),
         _ => Err(error),
     }
 }
@@ -115,29 +115,29 @@
     }
 
     async fn show(&self, account: id::Account, program: id::Program) -> RpcResult<Info> {
-        let shown = self.owner.find(&account, &program);
-        let shown = shown.and_then(|(_, session)| info(&session, &program));
-        shown.map_err(error)
+        let result = self.owner.find(&account, &program);
+        let result = result.and_then(|(_, session)| info(&session, &program));
+        result.map_err(error)
     }
 
     async fn history(&self, account: id::Account, program: id::Program) -> RpcResult<Vec<Message>> {
         let (_, session) = self.owner.find(&account, &program).map_err(error)?;
         let key = session.find(&program);
         let history = key.and_then(|key| session.read(key, |p| p.history.clone()));
-        history.ok_or_else(|| error(unknown()))
+        history.ok_or_else(|| error(program_not_found()))
     }
 
     async fn end(&self, account: id::Account, program: id::Program, why: Why) -> RpcResult<Info> {
         let found = self.owner.find(&account, &program);
-        let (holding, session) = found.map_err(error)?;
-        let ended = self.owner.end(&holding, &session, &program, why).await;
+        let (served_slot, session) = found.map_err(error)?;
+        let ended = self.owner.end(&served_slot, &session, &program, why).await;
         ended.map_err(error)?;
         info(&session, &program).map_err(error)
     }
 }
 
 fn info(session: &Session, program: &id::Program) -> Result<Info, Problem> {
-    let key = session.find(program).ok_or_else(unknown)?;
+    let key = session.find(program).ok_or_else(program_not_found)?;
     let budget = session.budget();
     let info = session.read(key, |p| Info {
         id: p.id.clone(),
@@ -149,7 +149,7 @@
         spent_tokens: budget.spent(),
         ended: p.ended,
     });
-    info.ok_or_else(unknown)
+    info.ok_or_else(program_not_found)
 }
 
 impl Owner {
@@ -157,10 +157,10 @@
         &self,
         account: &id::Account,
         program: &id::Program,
-    ) -> Result<(Arc<Holding>, Arc<Session>), Problem> {
-        let holding = self.holding(program.slot())?;
-        let session = holding.find(account, program)?;
-        Ok((holding, session))
+    ) -> Result<(Arc<ServedSlot>, Arc<Session>), Problem> {
+        let served_slot = self.served_slot(program.slot())?;
+        let session = served_slot.find(account, program)?;
+        Ok((served_slot, session))
     }
 
     /// Opens a program.
@@ -170,9 +170,9 @@
     /// The error for the caller; nothing was opened. After `moving` it may have
     /// been opened, and the caller has to retry.
     pub async fn open(&self, opening: &Opening) -> Result<Info, Problem> {
-        let holding = self.holding(opening.program.slot())?;
-        let _one_at_a_time = holding.opening.lock().await;
-        if let Ok(session) = holding.find(&opening.account, &opening.program) {
+        let served_slot = self.served_slot(opening.program.slot())?;
+        let _one_at_a_time = served_slot.open_lock.lock().await;
+        if let Ok(session) = served_slot.find(&opening.account, &opening.program) {
             let info = info(&session, &opening.program)?;
             if info.agent != opening.agent {
                 let message = "this request id has opened a program of another agent program; \
@@ -181,31 +181,31 @@
             }
             return Ok(info);
         }
-        if holding.closing() {
-            return Err(moving());
+        if served_slot.is_closing() {
+            return Err(slot_moving());
         }
-        let limit = self.budget_of(opening)?;
-        let parent = self.parent(&holding, opening)?;
+        let limit = self.budget_limit(opening)?;
+        let parent = self.parent_session(&served_slot, opening)?;
         let record = Record::Opened {
             program: opening.program.clone(),
             account: opening.account.clone(),
             agent: opening.agent.clone(),
             budget_tokens: limit,
         };
-        holding.keep(&record).await?;
+        served_slot.append(&record).await?;
         let session = parent.unwrap_or_else(|| {
             let tree = Tree::new(opening.account.clone(), limit);
-            holding.insert(&opening.program, tree, Instant::now())
+            served_slot.insert(&opening.program, tree, Instant::now())
         });
         session.apply(&record);
-        session.touch(Instant::now());
+        session.record_activity(Instant::now());
         tracing::info!(event = "program_opened", account = %opening.account,
             program = %opening.program, agent = opening.agent);
         info(&session, &opening.program)
     }
 
     /// Returns the token budget for a program to open.
-    fn budget_of(&self, opening: &Opening) -> Result<u64, Problem> {
+    fn budget_limit(&self, opening: &Opening) -> Result<u64, Problem> {
         let settings = self.current.get();
         let effective = settings.tree.agent(&opening.account, &opening.agent);
         let Some(effective) = effective else {
@@ -222,16 +222,16 @@
     }
 
     /// Returns the session in which to open a sub-agent, or `None` for a root.
-    fn parent(
+    fn parent_session(
         &self,
-        holding: &Holding,
+        served_slot: &ServedSlot,
         opening: &Opening,
     ) -> Result<Option<Arc<Session>>, Problem> {
         let Some(parent) = opening.program.parent() else {
             return Ok(None);
         };
-        let session = holding.find(&opening.account, &parent)?;
-        let key = session.find(&parent).ok_or_else(unknown)?;
+        let session = served_slot.find(&opening.account, &parent)?;
+        let key = session.find(&parent).ok_or_else(program_not_found)?;
         if session.read(key, |p| p.ended.is_some()).unwrap_or(true) {
             let message = "the parent program has ended; open a new one";
             let mut problem = Problem::new(Kind::Ended, message);
@@ -249,50 +249,50 @@
     /// `moving` when some may not have ended, and the caller has to retry.
     pub async fn end(
         self: &Arc<Self>,
-        holding: &Arc<Holding>,
+        served_slot: &Arc<ServedSlot>,
         session: &Arc<Session>,
         program: &id::Program,
         why: Why,
     ) -> Result<(), Problem> {
-        let below = format!("{program}.");
+        let descendant_prefix = format!("{program}.");
         for (key, id, ended) in session.programs() {
-            let itself = id == *program;
-            if ended.is_some() || !(itself || id.as_str().starts_with(&below)) {
+            let is_target = id == *program;
+            if ended.is_some() || !(is_target || id.as_str().starts_with(&descendant_prefix)) {
                 continue;
             }
-            let why = if itself { why } else { Why::Parent };
+            let why = if is_target { why } else { Why::Parent };
             let record = Record::Ended {
                 program: id.clone(),
                 why,
             };
-            holding.keep(&record).await?;
+            served_slot.append(&record).await?;
             session.apply(&record);
             session.cancel(key);
-            session.touch(Instant::now());
+            session.record_activity(Instant::now());
             tracing::info!(event = "program_ended", account = %session.account, program = %id, ?why);
             let owner = self.clone();
             let session = session.clone();
             self.tasks
-                .spawn(async move { owner.release(&session, key, &id).await });
+                .spawn(async move { owner.release_pins(&session, key, &id).await });
         }
         Ok(())
     }
 
     /// Waits for the last call of an ended program, then asks each engine once to
     /// release the program's pins.
-    async fn release(
+    async fn release_pins(
         self: &Arc<Self>,
         session: &Session,
         key: crate::program::state::Key,
         program: &id::Program,
     ) {
-        for answer in session.under_way(key) {
+        for answer in session.active_answers(key) {
             let mut changes = answer.subscribe();
             while answer.end().is_none() && changes.changed().await.is_ok() {}
         }
-        let held = session.take_held(key);
+        let pinned = session.take_pinned(key);
         let engines = self.fleet.all_engines();
-        for (_, backend, engine) in engines.into_iter().filter(|(key, ..)| held.contains(key)) {
+        for (_, backend, engine) in engines.into_iter().filter(|(key, ..)| pinned.contains(key)) {
             if let Err(error) = engine.release(program).await {
                 // The polling task retries: it finds the pin in the engine's list.
                 tracing::warn!(event = "release_failed", %program, %backend, %error);
@@ -302,17 +302,17 @@
 
     /// Returns whether pins for `program` can be released: its slot is served
     /// here, and it has ended without calls in flight or does not exist.
-    pub(super) fn is_over(&self, program: &id::Program) -> bool {
-        let Ok(holding) = self.holding(program.slot()) else {
+    pub(super) fn can_release_pins(&self, program: &id::Program) -> bool {
+        let Ok(served_slot) = self.served_slot(program.slot()) else {
             return false;
         };
-        let Some(session) = holding.session(program) else {
+        let Some(session) = served_slot.session(program) else {
             return true;
         };
         let Some(key) = session.find(program) else {
             return true;
         };
         let ended = session.read(key, |p| p.ended.is_some()).unwrap_or(true);
-        ended && session.under_way(key).is_empty()
+        ended && session.active_answers(key).is_empty()
     }
 }
--- a/crates/gradedyke/src/owner/run.rs
+++ b/crates/gradedyke/src/owner/run.rs
@@ -9,19 +9,19 @@
 use tokio::time::Instant;
 
 use super::answer::{Answer, End};
-use super::holding::Holding;
+use super::holding::ServedSlot;
 use super::session::{Session, Ticket};
-use super::{Owner, accept, chat, moving, tool};
+use super::{Owner, accept, chat, slot_moving, tool};
 use crate::program::record::{Intent, Record};
 use crate::program::state;
 use crate::routing::fleet::Key;
-use crate::routing::{Candidate, Question};
+use crate::routing::{CallInfo, Candidate};
 use crate::wire::{Outcome, Work};
 
 /// State of a running call.
 pub(super) struct Context {
     pub owner: Arc<Owner>,
-    pub holding: Arc<Holding>,
+    pub served_slot: Arc<ServedSlot>,
     pub session: Arc<Session>,
     pub key: state::Key,
     pub program: id::Program,
@@ -29,22 +29,22 @@
     pub ticket: Ticket,
     pub answer: Arc<Answer>,
     pub effective: Effective,
-    pub came: Instant,
+    pub accepted_at: Instant,
 }
 
 /// Why a call ends without an outcome in the journal.
-pub(super) enum Stop {
+pub(super) enum Abort {
     /// It certainly did not run; the caller may send it again.
     NotRun(Problem),
     /// The slot has moved to another owner.
     Moved,
 }
 
-impl From<Problem> for Stop {
+impl From<Problem> for Abort {
     fn from(problem: Problem) -> Self {
         match problem.kind {
-            Kind::Moving => Stop::Moved,
-            _ => Stop::NotRun(problem),
+            Kind::Moving => Abort::Moved,
+            _ => Abort::NotRun(problem),
         }
     }
 }
@@ -59,14 +59,14 @@
 pub(super) async fn run(context: Context, work: Work) {
     let result = tokio::select! {
         biased;
-        () = context.holding.stop.cancelled() => Err(Stop::Moved),
-        result = work_off(&context, &work) => result,
+        () = context.served_slot.stop.cancelled() => Err(Abort::Moved),
+        result = execute(&context, &work) => result,
     };
     context.finish(&work, result).await;
 }
 
-async fn work_off(context: &Context, work: &Work) -> Result<Finished, Stop> {
-    context.turn().await?;
+async fn execute(context: &Context, work: &Work) -> Result<Finished, Abort> {
+    context.wait_turn().await?;
     match work {
         Work::Chat { request, history } => chat::call(context, request, *history).await,
         Work::Service {
@@ -78,19 +78,19 @@
 }
 
 /// Resumes a call that an earlier owner had sent.
-pub(super) async fn go_on(context: Context, intent: Intent) {
+pub(super) async fn resume(context: Context, intent: Intent) {
     let result = tokio::select! {
         biased;
-        () = context.holding.stop.cancelled() => Err(Stop::Moved),
-        result = take_up(&context, &intent) => result,
+        () = context.served_slot.stop.cancelled() => Err(Abort::Moved),
+        result = resume_work(&context, &intent) => result,
     };
     context.finish(&intent.work, result).await;
 }
 
-async fn take_up(context: &Context, intent: &Intent) -> Result<Finished, Stop> {
-    match context.turn().await {
+async fn resume_work(context: &Context, intent: &Intent) -> Result<Finished, Abort> {
+    match context.wait_turn().await {
         // The earlier owner may have sent it, so it may have run.
-        Err(Stop::NotRun(problem)) => {
+        Err(Abort::NotRun(problem)) => {
             context.session.settle(intent.reserved, intent.reserved);
             return Ok(Finished {
                 outcome: Outcome::Failed(problem.may_have_run()),
@@ -100,107 +100,107 @@
         other => other?,
     }
     match &intent.work {
-        Work::Chat { request, .. } => chat::take_up(context, request, intent).await,
+        Work::Chat { request, .. } => chat::resume(context, request, intent).await,
         Work::Service {
             service,
             call,
             repeatable,
-        } => tool::take_up(context, service, call, *repeatable, intent).await,
+        } => tool::resume(context, service, call, *repeatable, intent).await,
     }
 }
 
 impl Context {
     /// Returns the deadline of the call.
     pub(super) fn deadline(&self) -> Instant {
-        self.came + Duration::from_millis(self.effective.call_ms)
+        self.accepted_at + Duration::from_millis(self.effective.call_ms)
     }
 
-    async fn turn(&self) -> Result<(), Stop> {
-        let turn = self.session.turn(self.key, self.ticket);
+    async fn wait_turn(&self) -> Result<(), Abort> {
+        let turn = self.session.wait_turn(self.key, self.ticket);
         tokio::select! {
             () = turn => {}
-            () = self.answer.cancel.cancelled() => return Err(Stop::NotRun(cancelled())),
+            () = self.answer.cancel.cancelled() => return Err(Abort::NotRun(program_ended())),
             () = tokio::time::sleep_until(self.deadline()) => {
                 let message = "the calls before this one took too long, it was not run; send it \
                                again when they have ended";
                 let problem = Problem::new(Kind::Unavailable, message);
-                return Err(Stop::NotRun(problem.retry_after(Duration::from_secs(1))));
+                return Err(Abort::NotRun(problem.retry_after(Duration::from_secs(1))));
             }
         }
         let ended = self.session.read(self.key, |p| p.ended.is_some());
         if ended.unwrap_or(true) {
-            return Err(Stop::NotRun(cancelled()));
+            return Err(Abort::NotRun(program_ended()));
         }
         Ok(())
     }
 
     /// Chooses a backend server by the program's routing policy.
-    pub(super) fn route(&self, question: &Question, candidates: &[Candidate]) -> Option<Key> {
+    pub(super) fn route(&self, call_info: &CallInfo, candidates: &[Candidate]) -> Option<Key> {
         let policies = &self.owner.policies;
-        let named = policies.get(self.effective.routing.as_str());
-        let policy = named.or_else(|| policies.get(ROUTING))?;
-        let place = policy.choose(question, candidates)?;
-        candidates.get(place).map(|candidate| candidate.key)
+        let configured = policies.get(self.effective.routing.as_str());
+        let policy = configured.or_else(|| policies.get(ROUTING))?;
+        let index = policy.choose(call_info, candidates)?;
+        candidates.get(index).map(|candidate| candidate.key)
     }
 
     /// Appends the intent to send this call to the journal.
-    pub(super) async fn intend(&self, intent: Intent) -> Result<(), Stop> {
+    pub(super) async fn append_intent(&self, intent: Intent) -> Result<(), Abort> {
         let record = Record::Intended {
             program: self.program.clone(),
             request: self.request.clone(),
             intent,
         };
-        self.keep(record).await
+        self.append(record).await
     }
 
     /// Records in the journal that an intended call certainly did not run.
-    pub(super) async fn withdraw(&self, problem: Problem) -> Stop {
+    pub(super) async fn withdraw(&self, problem: Problem) -> Abort {
         let record = Record::Withdrawn {
             program: self.program.clone(),
             request: self.request.clone(),
         };
-        match self.keep(record).await {
-            Ok(()) => Stop::NotRun(problem),
-            Err(stop) => stop,
+        match self.append(record).await {
+            Ok(()) => Abort::NotRun(problem),
+            Err(abort) => abort,
         }
     }
 
-    async fn keep(&self, record: Record) -> Result<(), Stop> {
-        self.holding.keep(&record).await?;
+    async fn append(&self, record: Record) -> Result<(), Abort> {
+        self.served_slot.append(&record).await?;
         self.session.apply(&record);
         Ok(())
     }
 
     /// Appends the outcome to the journal, publishes it and lets the next call of
     /// the program run.
-    async fn finish(self, work: &Work, result: Result<Finished, Stop>) {
+    async fn finish(self, work: &Work, result: Result<Finished, Abort>) {
         let (end, ran) = match result {
-            Ok(finished) => match self.answered(finished).await {
+            Ok(finished) => match self.append_outcome(finished).await {
                 Ok(outcome) => (End::Outcome(outcome), true),
                 Err(_) => (End::Moved, false),
             },
-            Err(Stop::NotRun(problem)) => (accept::failed(problem), false),
-            Err(Stop::Moved) => (End::Moved, false),
+            Err(Abort::NotRun(problem)) => (accept::failed_end(problem), false),
+            Err(Abort::Moved) => (End::Moved, false),
         };
-        self.measure(work, &end);
+        self.record_metrics(work, &end);
         let now = Instant::now();
-        self.session.touch(now);
+        self.session.record_activity(now);
         self.session
             .finish(self.key, &self.request, self.ticket, end, ran);
     }
 
-    async fn answered(&self, finished: Finished) -> Result<Outcome, Stop> {
+    async fn append_outcome(&self, finished: Finished) -> Result<Outcome, Abort> {
         let record = Record::Answered {
             program: self.program.clone(),
             request: self.request.clone(),
             outcome: finished.outcome.clone(),
             spent: finished.spent,
         };
-        self.keep(record).await?;
+        self.append(record).await?;
         Ok(finished.outcome)
     }
 
-    fn measure(&self, work: &Work, end: &End) {
+    fn record_metrics(&self, work: &Work, end: &End) {
         let kind = match work {
             Work::Chat { .. } => "chat",
             Work::Service { .. } => "service",
@@ -212,7 +212,7 @@
         };
         let account = self.session.account.to_string();
         let class = self.effective.class.name();
-        let seconds = self.came.elapsed().as_secs_f64();
+        let seconds = self.accepted_at.elapsed().as_secs_f64();
         metrics::histogram!("gradedyke_call_seconds",
             "account" => account.clone(), "class" => class, "kind" => kind)
         .record(seconds);
@@ -225,7 +225,7 @@
 }
 
 /// Returns the error for a call that was cancelled before it was sent.
-pub(super) fn cancelled() -> Problem {
+pub(super) fn program_ended() -> Problem {
     let message =
         "the program has ended or was cancelled, and the call was not run; open a new one";
     let mut problem = Problem::new(Kind::Ended, message);
@@ -233,11 +233,11 @@
     problem
 }
 
-impl From<Stop> for Problem {
-    fn from(stop: Stop) -> Self {
-        match stop {
-            Stop::NotRun(problem) => problem,
-            Stop::Moved => moving(),
+impl From<Abort> for Problem {
+    fn from(abort: Abort) -> Self {
+        match abort {
+            Abort::NotRun(problem) => problem,
+            Abort::Moved => slot_moving(),
         }
     }
 }
--- a/crates/gradedyke/src/owner/session.rs
+++ b/crates/gradedyke/src/owner/session.rs
@@ -12,7 +12,7 @@
 
 use super::answer::{Answer, End};
 use super::lock;
-use crate::program::budget::{Budget, TEMPLATE_TOKENS};
+use crate::program::budget::{Budget, MAX_TEMPLATE_TOKENS};
 use crate::program::record::{Intent, Record, Why};
 use crate::program::state::{Key, Program, Tree};
 use crate::routing::fleet;
@@ -20,15 +20,15 @@
 
 /// Queue of the calls of one program, which run one at a time by number.
 #[derive(Debug)]
-struct Line {
+struct CallQueue {
     /// Number for the next call that arrives without a sequence number.
     next: u64,
     /// Number of the call that may run now.
-    turn: watch::Sender<u64>,
+    current: watch::Sender<u64>,
     /// Numbers assigned by the caller, with their requests, while these are queued.
-    given: BTreeMap<u64, id::Request>,
+    caller_numbered: BTreeMap<u64, id::Request>,
     /// Numbers of calls that left the queue before all earlier ones had.
-    left: BTreeSet<u64>,
+    finished: BTreeSet<u64>,
 }
 
 /// A call's place in its program's queue.
@@ -37,17 +37,17 @@
     /// Its number, from 0.
     pub number: u64,
     /// Whether the caller assigned the number.
-    pub given: bool,
+    pub by_caller: bool,
 }
 
 struct Inner {
     tree: Tree,
     budget: Budget,
-    lines: HashMap<Key, Line>,
+    queues: HashMap<Key, CallQueue>,
     calls: HashMap<(Key, id::Request), Arc<Answer>>,
     /// Engines that have cache prefixes pinned for a program.
-    held: HashMap<Key, BTreeSet<fleet::Key>>,
-    touched: Instant,
+    pinned: HashMap<Key, BTreeSet<fleet::Key>>,
+    last_activity: Instant,
 }
 
 /// A served tree of programs.
@@ -58,7 +58,7 @@
 }
 
 /// Result of [`Session::submit`].
-pub enum Arrival {
+pub enum Submission {
     /// A repeat of a known request, with its answer, possibly still in progress.
     Known(Arc<Answer>),
     /// A new call, with its empty answer and its place in the queue.
@@ -68,9 +68,9 @@
 /// A conversation to send to a model.
 pub struct Conversation {
     /// The messages after the history.
-    pub new: Vec<Message>,
+    pub new_messages: Vec<Message>,
     /// All messages, history included.
-    pub whole: Vec<Message>,
+    pub messages: Vec<Message>,
     /// Tokens reserved for the call: the most that it can spend.
     pub reserved: u64,
     /// Maximum number of tokens to generate.
@@ -90,10 +90,10 @@
             inner: Mutex::new(Inner {
                 tree,
                 budget,
-                lines: HashMap::new(),
+                queues: HashMap::new(),
                 calls: HashMap::new(),
-                held: HashMap::new(),
-                touched: now,
+                pinned: HashMap::new(),
+                last_activity: now,
             }),
         }
     }
@@ -119,23 +119,23 @@
     }
 
     /// Returns whether no call is queued or running.
-    pub fn idle(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         lock(&self.inner).calls.is_empty()
     }
 
     /// Returns whether every program of the tree has ended.
-    pub fn ended(&self) -> bool {
-        lock(&self.inner).tree.ended()
+    pub fn has_ended(&self) -> bool {
+        lock(&self.inner).tree.has_ended()
     }
 
     /// Returns when a call last arrived or ended.
-    pub fn touched(&self) -> Instant {
-        lock(&self.inner).touched
+    pub fn last_activity(&self) -> Instant {
+        lock(&self.inner).last_activity
     }
 
     /// Records that a call arrived or ended.
-    pub fn touch(&self, now: Instant) {
-        lock(&self.inner).touched = now;
+    pub fn record_activity(&self, now: Instant) {
+        lock(&self.inner).last_activity = now;
     }
 
     /// Returns the programs of the tree with the reason why they ended, root first.
@@ -160,8 +160,8 @@
     }
 
     /// Returns the answer of a request that is in progress or has ended.
-    pub fn known(&self, key: Key, request: &id::Request) -> Option<Arc<Answer>> {
-        lock(&self.inner).known(key, request)
+    pub fn find_answer(&self, key: Key, request: &id::Request) -> Option<Arc<Answer>> {
+        lock(&self.inner).find_answer(key, request)
     }
 
     /// Submits a call: returns the answer of a known request, or queues a new call
@@ -170,39 +170,42 @@
     /// # Errors
     ///
     /// `conflict` when another call has the same request id or sequence number.
-    pub fn arrive(
+    pub fn submit(
         &self,
         key: Key,
         request: &id::Request,
         sequence: Option<u64>,
         fingerprint: &str,
         answer: impl FnOnce() -> Answer,
-    ) -> Result<Arrival, Problem> {
+    ) -> Result<Submission, Problem> {
         let mut inner = lock(&self.inner);
-        if let Some(known) = inner.known(key, request) {
+        if let Some(known) = inner.find_answer(key, request) {
             if known.fingerprint != fingerprint {
                 let message =
                     "this request id stands for another call; use a new id for a new call";
                 return Err(Problem::new(Kind::Conflict, message));
             }
-            return Ok(Arrival::Known(known));
+            return Ok(Submission::Known(known));
         }
         let answered = inner.tree.get(key).map_or(0, |p| p.answers.len() as u64);
-        let line = inner
-            .lines
+        let queue = inner
+            .queues
             .entry(key)
-            .or_insert_with(|| Line::new(answered));
-        let ticket = line.join(request, sequence)?;
+            .or_insert_with(|| CallQueue::new(answered));
+        let ticket = queue.join(request, sequence)?;
         let answer = Arc::new(answer());
         inner.calls.insert((key, request.clone()), answer.clone());
-        Ok(Arrival::New(answer, ticket))
+        Ok(Submission::New(answer, ticket))
     }
 
     /// Waits until a queued call may run.
-    pub async fn turn(&self, key: Key, ticket: Ticket) {
+    pub async fn wait_turn(&self, key: Key, ticket: Ticket) {
         let turn = {
             let inner = lock(&self.inner);
-            inner.lines.get(&key).map(|line| line.turn.subscribe())
+            inner
+                .queues
+                .get(&key)
+                .map(|queue| queue.current.subscribe())
         };
         if let Some(mut turn) = turn {
             // Can't fail: the queue lives as long as the session.
@@ -217,7 +220,7 @@
     ///
     /// `conflict` when the messages do not continue the history, `bad_request`
     /// when there is no new message, `over_budget` when the budget is too small.
-    pub fn converse(
+    pub fn prepare_conversation(
         &self,
         key: Key,
         request: &chat::Request,
@@ -225,18 +228,22 @@
         max_tokens: u64,
     ) -> Result<Conversation, Problem> {
         let mut inner = lock(&self.inner);
-        let program = inner.tree.get(key).ok_or_else(super::holding::unknown)?;
-        let new = news(&program.history, &request.messages, history)?;
-        let mut whole = program.history.clone();
-        whole.extend(new.iter().cloned());
-        let prompt = program.history_tokens + new.iter().map(most_tokens).sum::<u64>();
+        let program = inner
+            .tree
+            .get(key)
+            .ok_or_else(super::holding::program_not_found)?;
+        let new_messages = messages_after_history(&program.history, &request.messages, history)?;
+        let mut messages = program.history.clone();
+        messages.extend(new_messages.iter().cloned());
+        let prompt =
+            program.history_tokens + new_messages.iter().map(max_message_tokens).sum::<u64>();
         let reserved = prompt + max_tokens;
         if !inner.budget.reserve(reserved) {
-            return Err(over_budget(reserved, inner.budget.left()));
+            return Err(over_budget(reserved, inner.budget.available()));
         }
         Ok(Conversation {
-            new,
-            whole,
+            new_messages,
+            messages,
             reserved,
             max_tokens,
         })
@@ -252,7 +259,7 @@
         if inner.budget.reserve(tokens) {
             return Ok(());
         }
-        Err(over_budget(tokens, inner.budget.left()))
+        Err(over_budget(tokens, inner.budget.available()))
     }
 
     /// Releases a reservation and charges the tokens that were spent.
@@ -265,8 +272,8 @@
     /// up, so the caller can send the call again with it.
     pub fn finish(&self, key: Key, request: &id::Request, ticket: Ticket, end: End, ran: bool) {
         let mut inner = lock(&self.inner);
-        if let Some(line) = inner.lines.get_mut(&key) {
-            line.leave(ticket, ran);
+        if let Some(queue) = inner.queues.get_mut(&key) {
+            queue.leave(ticket, ran);
         }
         if let Some(answer) = inner.calls.remove(&(key, request.clone())) {
             answer.finish(end);
@@ -274,9 +281,9 @@
     }
 
     /// Records that an engine has a cache prefix pinned for a program.
-    pub fn hold(&self, key: Key, engine: fleet::Key) {
+    pub fn add_pinned(&self, key: Key, engine: fleet::Key) {
         lock(&self.inner)
-            .held
+            .pinned
             .entry(key)
             .or_default()
             .insert(engine);
@@ -284,12 +291,12 @@
 
     /// Removes and returns the engines that have cache prefixes pinned for a
     /// program.
-    pub fn take_held(&self, key: Key) -> BTreeSet<fleet::Key> {
-        lock(&self.inner).held.remove(&key).unwrap_or_default()
+    pub fn take_pinned(&self, key: Key) -> BTreeSet<fleet::Key> {
+        lock(&self.inner).pinned.remove(&key).unwrap_or_default()
     }
 
     /// Returns the answers of a program's queued and running calls.
-    pub fn under_way(&self, key: Key) -> Vec<Arc<Answer>> {
+    pub fn active_answers(&self, key: Key) -> Vec<Arc<Answer>> {
         let inner = lock(&self.inner);
         let calls = inner.calls.iter().filter(|((k, _), _)| *k == key);
         calls.map(|(_, answer)| answer.clone()).collect()
@@ -297,30 +304,33 @@
 
     /// Cancels the queued and running calls of a program.
     pub fn cancel(&self, key: Key) {
-        for answer in self.under_way(key) {
+        for answer in self.active_answers(key) {
             answer.cancel.cancel();
         }
     }
 }
 
 impl Inner {
-    fn known(&self, key: Key, request: &id::Request) -> Option<Arc<Answer>> {
+    fn find_answer(&self, key: Key, request: &id::Request) -> Option<Arc<Answer>> {
         if let Some(answer) = self.calls.get(&(key, request.clone())) {
             return Some(answer.clone());
         }
         let answer = self.tree.get(key)?.answers.get(request)?;
         let outcome: Outcome = answer.outcome.clone();
-        Some(Arc::new(Answer::ended(answer.fingerprint.clone(), outcome)))
+        Some(Arc::new(Answer::finished(
+            answer.fingerprint.clone(),
+            outcome,
+        )))
     }
 }
 
-impl Line {
+impl CallQueue {
     fn new(answered: u64) -> Self {
         Self {
             next: answered,
-            turn: watch::Sender::new(answered),
-            given: BTreeMap::new(),
-            left: BTreeSet::new(),
+            current: watch::Sender::new(answered),
+            caller_numbered: BTreeMap::new(),
+            finished: BTreeSet::new(),
         }
     }
 
@@ -329,40 +339,44 @@
             self.next += 1;
             return Ok(Ticket {
                 number: self.next - 1,
-                given: false,
+                by_caller: false,
             });
         };
         let number = sequence.saturating_sub(1);
-        if number < *self.turn.borrow() || self.given.contains_key(&number) {
+        if number < *self.current.borrow() || self.caller_numbered.contains_key(&number) {
             let message =
                 format!("call {sequence} of this program was issued already under another id");
             let message = format!("{message}; number each call once, from 1");
             return Err(Problem::new(Kind::Conflict, message));
         }
-        self.given.insert(number, request.clone());
+        self.caller_numbered.insert(number, request.clone());
         self.next = self.next.max(number + 1);
         Ok(Ticket {
             number,
-            given: true,
+            by_caller: true,
         })
     }
 
     fn leave(&mut self, ticket: Ticket, ran: bool) {
-        self.given.remove(&ticket.number);
-        if !ran && ticket.given {
+        self.caller_numbered.remove(&ticket.number);
+        if !ran && ticket.by_caller {
             return;
         }
-        self.left.insert(ticket.number);
-        let mut turn = *self.turn.borrow();
-        while self.left.remove(&turn) {
+        self.finished.insert(ticket.number);
+        let mut turn = *self.current.borrow();
+        while self.finished.remove(&turn) {
             turn += 1;
         }
-        self.turn.send_replace(turn);
+        self.current.send_replace(turn);
     }
 }
 
 /// Returns the messages of a request that are not in the history yet.
-fn news(known: &[Message], sent: &[Message], history: History) -> Result<Vec<Message>, Problem> {
+fn messages_after_history(
+    known: &[Message],
+    sent: &[Message],
+    history: History,
+) -> Result<Vec<Message>, Problem> {
     if history == History::Append {
         return Ok(sent.to_vec());
     }
@@ -383,9 +397,9 @@
 
 /// Returns an upper bound on the tokens of a message: a token has at least one
 /// byte.
-fn most_tokens(message: &Message) -> u64 {
+fn max_message_tokens(message: &Message) -> u64 {
     let bytes: usize = message.values().map(|v| v.to_string().len()).sum();
-    bytes as u64 + TEMPLATE_TOKENS
+    bytes as u64 + MAX_TEMPLATE_TOKENS
 }
 
 fn over_budget(needed: u64, left: u64) -> Problem {
--- a/crates/gradedyke/src/owner/sweep.rs
+++ b/crates/gradedyke/src/owner/sweep.rs
@@ -7,20 +7,20 @@
 use tokio::time::Instant;
 
 use super::Owner;
-use super::holding::Holding;
+use super::holding::ServedSlot;
 use super::session::Session;
 use crate::program::record::{Record, Why};
 
 /// Interval between sweeps.
-const ROUND: Duration = Duration::from_secs(5);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(5);
 /// How long the answers of an ended program stay available.
-const RETENTION: Duration = Duration::from_secs(600);
+const ANSWER_RETENTION: Duration = Duration::from_secs(600);
 
 /// Sweeps until the process stops.
 pub(super) async fn run(owner: Arc<Owner>) {
     loop {
         tokio::select! {
-            () = tokio::time::sleep(ROUND) => {}
+            () = tokio::time::sleep(SWEEP_INTERVAL) => {}
             () = owner.stop.cancelled() => return,
         }
         owner.sweep(Instant::now()).await;
@@ -31,27 +31,27 @@
     /// Ends trees that have been idle for too long as of `now`, removes trees that
     /// ended long ago, and trims the logs of slots that have become empty.
     pub async fn sweep(self: &Arc<Self>, now: Instant) {
-        for holding in self.all() {
-            for session in holding.sessions() {
-                if !session.idle() {
+        for served_slot in self.all_slots() {
+            for session in served_slot.sessions() {
+                if !session.is_idle() {
                     continue;
                 }
-                let quiet = now.saturating_duration_since(session.touched());
-                if session.ended() {
-                    forget(&holding, &session, quiet).await;
-                } else if quiet >= self.idle_time(&session) {
-                    self.end_idle(&holding, &session).await;
+                let idle_time = now.saturating_duration_since(session.last_activity());
+                if session.has_ended() {
+                    remove_expired(&served_slot, &session, idle_time).await;
+                } else if idle_time >= self.idle_timeout(&session) {
+                    self.end_idle(&served_slot, &session).await;
                 }
             }
-            if let Some(before) = holding.trimmable() {
-                holding.log.trim(&self.journal, before).await;
+            if let Some(before) = served_slot.take_trim_index() {
+                served_slot.log.trim(&self.journal, before).await;
             }
         }
     }
 
     /// Returns the idle timeout of a tree, which is that of its root's agent
     /// program.
-    fn idle_time(&self, session: &Session) -> Duration {
+    fn idle_timeout(&self, session: &Session) -> Duration {
         let programs = session.programs();
         let root = programs.first().map(|(key, ..)| *key);
         let effective = root.and_then(|key| self.effective(session, key).ok());
@@ -59,19 +59,19 @@
         Duration::from_millis(ms)
     }
 
-    async fn end_idle(self: &Arc<Self>, holding: &Arc<Holding>, session: &Arc<Session>) {
+    async fn end_idle(self: &Arc<Self>, served_slot: &Arc<ServedSlot>, session: &Arc<Session>) {
         let programs = session.programs();
         let Some((_, root, _)) = programs.first() else {
             return;
         };
         tracing::info!(event = "program_idle", account = %session.account, program = %root);
         // If the slot moves meanwhile, the new owner ends the programs.
-        let _ = self.end(holding, session, root, Why::Idle).await;
+        let _ = self.end(served_slot, session, root, Why::Idle).await;
     }
 }
 
-async fn forget(holding: &Holding, session: &Session, quiet: Duration) {
-    if quiet < RETENTION {
+async fn remove_expired(served_slot: &ServedSlot, session: &Session, idle_time: Duration) {
+    if idle_time < ANSWER_RETENTION {
         return;
     }
     let programs = session.programs();
@@ -81,7 +81,7 @@
     let record = Record::Forgotten {
         program: root.clone(),
     };
-    if holding.keep(&record).await.is_ok() {
-        holding.remove(root);
+    if served_slot.append(&record).await.is_ok() {
+        served_slot.remove(root);
     }
 }
--- a/crates/gradedyke/src/owner/takeover.rs
+++ b/crates/gradedyke/src/owner/takeover.rs
@@ -13,17 +13,17 @@
 use tokio_util::sync::CancellationToken;
 
 use super::answer::Answer;
-use super::holding::Holding;
+use super::holding::ServedSlot;
 use super::run::{self, Context};
-use super::session::{Arrival, Session};
+use super::session::{Session, Submission};
 use super::{Owner, lock};
 use crate::ownership::assign;
-use crate::ownership::map::{SHARDS, Version, place, slot};
+use crate::ownership::map::{SHARDS, Version, locate, slot_at};
 use crate::program::record::{Intent, Record};
-use crate::program::state::{Key, Trees, fold};
+use crate::program::state::{Key, Trees, apply_record};
 
 /// Delay before a pass that could not recover or hand over every slot is retried.
-const TICK: Duration = Duration::from_millis(200);
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Follows the slot map and the members until the process stops. A pass goes
 /// through all slots, so it runs only after a change or an incomplete pass.
@@ -33,15 +33,15 @@
     loop {
         map.borrow_and_update();
         members.borrow_and_update();
-        let claimed = owner.take_up().await;
-        let handed = owner.hand_over().await;
-        owner.served.send_replace(owner.serves());
-        let left_over = !claimed || !handed;
+        let all_claimed = owner.claim_slots().await;
+        let all_handed_over = owner.hand_over().await;
+        owner.served_count.send_replace(owner.slot_count());
+        let incomplete = !all_claimed || !all_handed_over;
         tokio::select! {
             _ = map.changed() => {}
             _ = members.changed() => {}
-            () = owner.draining.cancelled(), if !owner.closing() => {}
-            () = tokio::time::sleep(TICK), if left_over => {}
+            () = owner.draining.cancelled(), if !owner.is_draining() => {}
+            () = tokio::time::sleep(RETRY_INTERVAL), if incomplete => {}
             () = owner.stop.cancelled() => return,
         }
     }
@@ -49,19 +49,19 @@
 
 impl Owner {
     /// Returns whether a planned stop is in progress.
-    fn closing(&self) -> bool {
+    fn is_draining(&self) -> bool {
         self.draining.is_cancelled()
     }
 
     /// Drops and recovers slots as the slot map says. Returns whether all slots
     /// that are assigned to this process are served.
-    async fn take_up(self: &Arc<Self>) -> bool {
+    async fn claim_slots(self: &Arc<Self>) -> bool {
         let view = self.map.view();
-        self.drop_lost(&view);
-        let mut whole = true;
+        self.drop_moved_slots(&view);
+        let mut complete = true;
         for (number, version) in view.iter().enumerate() {
             let number = u16::try_from(number).unwrap_or(SHARDS);
-            let seals = self.missing(number, version);
+            let seals = self.unserved_slots(number, version);
             if seals.is_empty() {
                 continue;
             }
@@ -69,37 +69,37 @@
                 seals,
                 keepers: version.shard.keepers.clone().into(),
             };
-            whole &= self.claim(&claim).await;
+            complete &= self.recover_slots(&claim).await;
         }
-        whole
+        complete
     }
 
     /// Cancels and drops slots that have a newer epoch in the slot map, and drops
     /// slots that are already cancelled.
-    fn drop_lost(&self, view: &[Version]) {
-        lock(&self.holdings).retain(|slot, holding| {
-            let (shard, place) = place(*slot);
-            let holder = view[usize::from(shard)].shard.holder(place);
-            let epoch = holding.log.epoch();
-            let newer = holder.is_some_and(|h| h.epoch > epoch);
-            if newer {
-                holding.stop.cancel();
+    fn drop_moved_slots(&self, view: &[Version]) {
+        lock(&self.served_slots).retain(|slot, served_slot| {
+            let (shard, index) = locate(*slot);
+            let holder = view[usize::from(shard)].shard.holder(index);
+            let epoch = served_slot.log.epoch();
+            let has_newer_owner = holder.is_some_and(|h| h.epoch > epoch);
+            if has_newer_owner {
+                served_slot.stop.cancel();
             }
-            !holding.stop.is_cancelled()
+            !served_slot.stop.is_cancelled()
         });
     }
 
     /// Returns the slots of a shard that are assigned to this process and not
     /// served yet.
-    fn missing(&self, number: u16, version: &Version) -> Vec<Seal> {
-        let holdings = lock(&self.holdings);
+    fn unserved_slots(&self, number: u16, version: &Version) -> Vec<Seal> {
+        let served_slots = lock(&self.served_slots);
         let shard = &version.shard;
-        let places = 0..u16::try_from(shard.slots.len()).unwrap_or(0);
-        let seals = places.filter_map(|place| {
-            let slot = slot(number, place);
-            let holder = shard.holder(place)?;
-            let ours = holder.owner == self.id && !holdings.contains_key(&slot);
-            ours.then_some(Seal {
+        let indices = 0..u16::try_from(shard.slots.len()).unwrap_or(0);
+        let seals = indices.filter_map(|index| {
+            let slot = slot_at(number, index);
+            let holder = shard.holder(index)?;
+            let is_unserved = holder.owner == self.id && !served_slots.contains_key(&slot);
+            is_unserved.then_some(Seal {
                 slot,
                 epoch: holder.epoch,
             })
@@ -108,7 +108,7 @@
     }
 
     /// Recovers slots and serves them. Returns false if any has to be retried.
-    async fn claim(self: &Arc<Self>, claim: &Claim) -> bool {
+    async fn recover_slots(self: &Arc<Self>, claim: &Claim) -> bool {
         let tokens: HashMap<Slot, CancellationToken> = claim
             .seals
             .iter()
@@ -116,23 +116,23 @@
             .collect();
         let token = |slot: Slot| tokens.get(&slot).cloned().unwrap_or_default();
         let recovered = recover::recover(&self.journal, claim, token).await;
-        let mut left = 0;
-        let mut cause = None;
+        let mut failed = 0;
+        let mut last_error = None;
         for (slot, result) in recovered {
             match result {
                 Ok(recovered) => self.serve(slot, recovered, token(slot)).await,
                 // Another owner has it; the slot map will show which.
                 Err(Error::Fenced(_)) => {}
                 Err(error) => {
-                    left += 1;
-                    cause = Some(error);
+                    failed += 1;
+                    last_error = Some(error);
                 }
             }
         }
-        if let Some(error) = cause {
-            tracing::warn!(event = "slots_not_recovered", slots = left, %error);
+        if let Some(error) = last_error {
+            tracing::warn!(event = "slots_not_recovered", slots = failed, %error);
         }
-        left == 0
+        failed == 0
     }
 
     /// Serves a recovered slot and resumes its open calls.
@@ -141,7 +141,7 @@
         let entries = recovered.entries.len();
         for entry in &recovered.entries {
             match serde_json::from_str::<Record>(entry.data.get()) {
-                Ok(record) => fold(&mut trees, record),
+                Ok(record) => apply_record(&mut trees, record),
                 Err(error) => {
                     let index = entry.index;
                     tracing::error!(event = "record_malformed", %slot, index, %error);
@@ -151,43 +151,43 @@
         }
         let now = Instant::now();
         let epoch = recovered.log.epoch();
-        let holding = Arc::new(Holding::new(slot, recovered.log, trees, stop, now));
+        let served_slot = Arc::new(ServedSlot::new(slot, recovered.log, trees, stop, now));
         if entries > 0 {
             // Commits the recovered entries under this owner's epoch.
-            if holding.keep(&Record::Taken).await.is_err() {
+            if served_slot.append(&Record::Taken).await.is_err() {
                 return;
             }
             tracing::info!(event = "slot_recovered", %slot, %epoch, entries);
         }
-        lock(&self.holdings).insert(slot, holding.clone());
-        for session in holding.sessions() {
+        lock(&self.served_slots).insert(slot, served_slot.clone());
+        for session in served_slot.sessions() {
             for (key, request, intent) in session.open_calls() {
-                self.go_on(&holding, &session, key, request, intent);
+                self.resume_call(&served_slot, &session, key, request, intent);
             }
         }
     }
 
-    fn go_on(
+    fn resume_call(
         self: &Arc<Self>,
-        holding: &Arc<Holding>,
+        served_slot: &Arc<ServedSlot>,
         session: &Arc<Session>,
         key: Key,
         request: id::Request,
         intent: Intent,
     ) {
-        let new = || {
+        let new_answer = || {
             let model = intent.work.model().to_owned();
             Answer::new(
                 intent.fingerprint.clone(),
                 model,
-                holding.stop.child_token(),
+                served_slot.stop.child_token(),
             )
         };
-        let arrival = session.arrive(key, &request, None, &intent.fingerprint, new);
+        let submission = session.submit(key, &request, None, &intent.fingerprint, new_answer);
         let program = session.read(key, |p| p.id.clone());
-        let (Ok(Arrival::New(answer, ticket)), Some(program)) = (arrival, program) else {
+        let (Ok(Submission::New(answer, ticket)), Some(program)) = (submission, program) else {
             // Not expected: the calls of a program run one at a time.
-            tracing::error!(event = "open_call_stranded", slot = %holding.slot, %request);
+            tracing::error!(event = "open_call_stranded", slot = %served_slot.slot, %request);
             return;
         };
         // The call was allowed when it was sent, even if the settings have changed
@@ -195,7 +195,7 @@
         let effective = self.effective(session, key).unwrap_or_default();
         let context = Context {
             owner: self.clone(),
-            holding: holding.clone(),
+            served_slot: served_slot.clone(),
             session: session.clone(),
             key,
             program,
@@ -203,9 +203,9 @@
             ticket,
             answer,
             effective,
-            came: Instant::now(),
+            accepted_at: Instant::now(),
         };
-        self.tasks.spawn(run::go_on(context, intent));
+        self.tasks.spawn(run::resume(context, intent));
     }
 
     /// Hands over idle slots that other owners should have: all slots during a
@@ -213,7 +213,7 @@
     /// Returns whether none is left to hand over.
     async fn hand_over(&self) -> bool {
         let members = self.members.view();
-        let mut owners = assign::owners(&members);
+        let mut owners = assign::eligible_owners(&members);
         let draining = self.draining.is_cancelled();
         if draining {
             owners.retain(|m| m.id != self.id);
@@ -222,81 +222,85 @@
         }
         let mut moves: HashMap<u16, Vec<(u16, id::Instance, Epoch)>> = HashMap::new();
         let mut busy = false;
-        for holding in self.all() {
-            let to = assign::wanted(holding.slot, &owners);
-            if to.is_some_and(|to| to.id == self.id) {
+        for served_slot in self.all_slots() {
+            let new_owner = assign::preferred_owner(served_slot.slot, &owners);
+            if new_owner.is_some_and(|owner| owner.id == self.id) {
                 continue;
             }
             // During a planned stop a busy slot refuses new work until it is idle;
             // otherwise it keeps working and is tried again later.
-            holding.close(true);
-            if !holding.idle() {
+            served_slot.set_closing(true);
+            if !served_slot.is_idle() {
                 busy = true;
-                holding.close(draining);
+                served_slot.set_closing(draining);
                 continue;
             }
-            match to {
-                Some(to) => {
-                    let (shard, place) = place(holding.slot);
-                    let epoch = holding.log.epoch();
+            match new_owner {
+                Some(new_owner) => {
+                    let (shard, index) = locate(served_slot.slot);
+                    let epoch = served_slot.log.epoch();
                     let shard = moves.entry(shard).or_default();
-                    shard.push((place, to.id.clone(), epoch));
+                    shard.push((index, new_owner.id.clone(), epoch));
                 }
                 // No other owner is there; the slot can be recovered from the journal.
-                None => self.let_go(&holding),
+                None => self.release_slot(&served_slot),
             }
         }
-        let mut whole = !busy;
+        let mut complete = !busy;
         for (number, moves) in moves {
-            whole &= self.give(number, &moves, draining).await;
+            complete &= self.transfer(number, &moves, draining).await;
         }
-        whole
+        complete
     }
 
-    fn let_go(&self, holding: &Holding) {
-        holding.stop.cancel();
-        lock(&self.holdings).remove(&holding.slot);
+    fn release_slot(&self, served_slot: &ServedSlot) {
+        served_slot.stop.cancel();
+        lock(&self.served_slots).remove(&served_slot.slot);
     }
 
     /// Writes new owners for slots of a shard into the slot map. Returns whether
     /// nothing is left to hand over in this shard.
-    async fn give(
+    async fn transfer(
         &self,
         number: u16,
         moves: &[(u16, id::Instance, Epoch)],
         draining: bool,
     ) -> bool {
         let version = self.map.view()[usize::from(number)].clone();
-        let still = |(place, _, epoch): &&(u16, id::Instance, Epoch)| {
+        let still_owned = |(index, _, epoch): &&(u16, id::Instance, Epoch)| {
             version
                 .shard
-                .holder(*place)
+                .holder(*index)
                 .is_some_and(|h| h.epoch == *epoch)
         };
-        let gone: Vec<_> = moves
+        let current: Vec<_> = moves
             .iter()
-            .filter(still)
-            .map(|(place, to, _)| (*place, to.clone()))
+            .filter(still_owned)
+            .map(|(index, new_owner, _)| (*index, new_owner.clone()))
             .collect();
-        if gone.is_empty() {
+        if current.is_empty() {
             return true;
         }
-        let shard = version.shard.moved(&gone);
-        match self.map.swap(&*self.kv, number, &version, shard).await {
+        let shard = version.shard.with_owners(&current);
+        match self
+            .map
+            .compare_and_swap(&*self.kv, number, &version, shard)
+            .await
+        {
             Ok(true) => {
                 tracing::info!(
                     event = "slots_handed_over",
                     shard = number,
-                    moves = gone.len()
+                    moves = current.len()
                 );
-                self.drop_lost(&self.map.view());
+                self.drop_moved_slots(&self.map.view());
                 true
             }
             result => {
                 if let Err(error) = result {
                     tracing::warn!(event = "hand_over_failed", shard = number, %error);
                 }
-                self.reopen(number, &gone, draining);
+                self.reopen(number, &current, draining);
                 false
             }
         }
@@ -307,10 +311,10 @@
         if draining {
             return;
         }
-        let holdings = lock(&self.holdings);
-        for (place, _) in moves {
-            if let Some(holding) = holdings.get(&slot(number, *place)) {
-                holding.close(false);
+        let served_slots = lock(&self.served_slots);
+        for (index, _) in moves {
+            if let Some(served_slot) = served_slots.get(&slot_at(number, *index)) {
+                served_slot.set_closing(false);
             }
         }
     }
--- a/crates/gradedyke/src/owner/tool.rs
+++ b/crates/gradedyke/src/owner/tool.rs
@@ -13,22 +13,22 @@
 use tokio::time::Instant;
 
 use super::accept::idempotency_key;
-use super::run::{Context, Finished, Stop};
+use super::run::{Abort, Context, Finished};
 use crate::program::record::Intent;
-use crate::routing::Question;
-use crate::routing::fleet::{Choice, Key, Link};
+use crate::routing::CallInfo;
+use crate::routing::fleet::{BackendClient, Choice, Key};
 use crate::wire::{Outcome, Work};
 
 /// First backoff before another attempt or outcome query.
-const RETRY_FIRST: Duration = Duration::from_millis(50);
+const MIN_RETRY_BACKOFF: Duration = Duration::from_millis(50);
 /// Maximum backoff between attempts or outcome queries.
-const RETRY_LAST: Duration = Duration::from_secs(1);
+const MAX_RETRY_BACKOFF: Duration = Duration::from_secs(1);
 /// Maximum number of attempts after the first.
-const RETRIES: u32 = 5;
+const MAX_RETRIES: u32 = 5;
 /// Maximum number of outcome queries after the first.
-const QUESTIONS: u32 = 5;
+const MAX_OUTCOME_QUERIES: u32 = 5;
 /// Retry delay suggested to callers when no backend server ran the call.
-const COME_BACK: Duration = Duration::from_secs(2);
+const RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// Runs a new call.
 pub(super) async fn call(
@@ -37,7 +37,7 @@
     name: &str,
     call: &service::Call,
     repeatable: bool,
-) -> Result<Finished, Stop> {
+) -> Result<Finished, Abort> {
     let first = choose(context, name, &[]);
     let intent = Intent {
         work: work.clone(),
@@ -46,57 +46,57 @@
         attempt: idempotency_key(&context.program, &context.request),
         reserved: 0,
     };
-    context.intend(intent).await?;
-    attempts(context, name, call, repeatable, first, false).await
+    context.append_intent(intent).await?;
+    run_attempts(context, name, call, repeatable, first, false).await
 }
 
 /// Resumes a call that an earlier owner had sent or was about to send.
-pub(super) async fn take_up(
+pub(super) async fn resume(
     context: &Context,
     name: &str,
     call: &service::Call,
     repeatable: bool,
     intent: &Intent,
-) -> Result<Finished, Stop> {
+) -> Result<Finished, Abort> {
     if repeatable {
         let first = choose(context, name, &[]);
-        return attempts(context, name, call, repeatable, first, true).await;
+        return run_attempts(context, name, call, repeatable, first, true).await;
     }
     let backend = intent.backend.as_ref();
     let choice = backend.and_then(|id| context.owner.fleet.find(id));
-    Ok(ask(context, choice.as_ref(), "its owner was replaced").await)
+    Ok(determine_outcome(context, choice.as_ref(), "its owner was replaced").await)
 }
 
 fn choose(context: &Context, name: &str, avoid: &[Key]) -> Option<Choice> {
     let owner = &context.owner;
     let now = Instant::now();
     let candidates = owner.fleet.services(name, avoid, now);
-    let question = Question {
+    let call_info = CallInfo {
         prompt_tokens: 0,
         answer_tokens: 0,
         now,
     };
-    let key = context.route(&question, &candidates)?;
+    let key = context.route(&call_info, &candidates)?;
     owner.fleet.book(key, &[], &[], 0)
 }
 
 /// Makes attempts until one is answered or no retry is left. `sent` tells
 /// whether the call may have run already.
-async fn attempts(
+async fn run_attempts(
     context: &Context,
     name: &str,
     call: &service::Call,
     repeatable: bool,
     first: Option<Choice>,
     mut sent: bool,
-) -> Result<Finished, Stop> {
-    let mut backoff = Backoff::new(RETRY_FIRST, RETRY_LAST, RETRIES);
+) -> Result<Finished, Abort> {
+    let mut backoff = Backoff::new(MIN_RETRY_BACKOFF, MAX_RETRY_BACKOFF, MAX_RETRIES);
     let mut choice = first;
     let mut avoid = Vec::new();
     loop {
         let failed = match &choice {
             Some(chosen) => {
-                let result = one(context, chosen, call).await;
+                let result = run_attempt(context, chosen, call).await;
                 avoid.push(chosen.key);
                 match result {
                     Ok(reply) => {
@@ -114,14 +114,14 @@
         if !failed.not_run() {
             sent = true;
             if !repeatable {
-                return Ok(ask(context, choice.as_ref(), &failed.to_string()).await);
+                return Ok(determine_outcome(context, choice.as_ref(), &failed.to_string()).await);
             }
         }
         tracing::warn!(event = "attempt_failed", program = %context.program,
             request = %context.request, error = %failed);
-        let stop = context.answer.cancel.is_cancelled() || Instant::now() >= context.deadline();
-        let Some(wait) = backoff.wait(rand::random()).filter(|_| !stop) else {
-            return exhausted(context, &failed, sent).await;
+        let give_up = context.answer.cancel.is_cancelled() || Instant::now() >= context.deadline();
+        let Some(wait) = backoff.wait(rand::random()).filter(|_| !give_up) else {
+            return fail_unavailable(context, &failed, sent).await;
         };
         tokio::select! {
             () = tokio::time::sleep(wait) => {}
@@ -134,28 +134,28 @@
     }
 }
 
-async fn one(
+async fn run_attempt(
     context: &Context,
     choice: &Choice,
     call: &service::Call,
 ) -> Result<service::Reply, Error> {
-    let Link::Service(service) = &choice.link else {
+    let BackendClient::Service(service) = &choice.client else {
         return Err(Error::NotSent("not a plain service".to_owned()));
     };
-    let left = context.deadline().saturating_duration_since(Instant::now());
+    let time_left = context.deadline().saturating_duration_since(Instant::now());
     let key = idempotency_key(&context.program, &context.request);
-    let exchange = service.call(&key, call, left);
+    let response = service.call(&key, call, time_left);
     tokio::select! {
-        result = exchange => result,
+        result = response => result,
         () = context.answer.cancel.cancelled() => Err(Error::Broken("cancelled".to_owned())),
     }
 }
 
 /// Determines the outcome of a call whose answer is lost.
-async fn ask(context: &Context, choice: Option<&Choice>, cause: &str) -> Finished {
+async fn determine_outcome(context: &Context, choice: Option<&Choice>, cause: &str) -> Finished {
     let key = idempotency_key(&context.program, &context.request);
-    let reply = match choice.map(|c| &c.link) {
-        Some(Link::Service(service)) => told(&**service, &key).await,
+    let reply = match choice.map(|c| &c.client) {
+        Some(BackendClient::Service(service)) => query_outcome(&**service, &key).await,
         _ => None,
     };
     if let Some(reply) = reply {
@@ -172,8 +172,8 @@
 
 /// Queries the service for the outcome of a call, with retries. If the service
 /// has not seen the call, it is queried again: the call may still be in transit.
-async fn told(service: &dyn Service, key: &str) -> Option<service::Reply> {
-    let mut backoff = Backoff::new(RETRY_FIRST, RETRY_LAST, QUESTIONS);
+async fn query_outcome(service: &dyn Service, key: &str) -> Option<service::Reply> {
+    let mut backoff = Backoff::new(MIN_RETRY_BACKOFF, MAX_RETRY_BACKOFF, MAX_OUTCOME_QUERIES);
     loop {
         match service.outcome(key).await {
             Ok(Some(reply)) => return Some(reply),
@@ -188,12 +188,12 @@
     Finished { outcome, spent: 0 }
 }
 
-async fn exhausted(context: &Context, error: &Error, sent: bool) -> Result<Finished, Stop> {
+async fn fail_unavailable(context: &Context, error: &Error, sent: bool) -> Result<Finished, Abort> {
     let message = format!("no backend server ran the call ({error}); send it again later");
     if sent {
-        let problem = Problem::new(Kind::BackendFailed, message).retry_after(COME_BACK);
+        let problem = Problem::new(Kind::BackendFailed, message).retry_after(RETRY_AFTER);
         return Ok(finished(Outcome::Failed(problem)));
     }
-    let problem = Problem::new(Kind::Unavailable, message).retry_after(COME_BACK);
+    let problem = Problem::new(Kind::Unavailable, message).retry_after(RETRY_AFTER);
     Err(context.withdraw(problem).await)
 }
--- a/crates/gradedyke/src/ownership/assign.rs
+++ b/crates/gradedyke/src/ownership/assign.rs
@@ -20,31 +20,31 @@
 use http::Method;
 use tokio_util::sync::CancellationToken;
 
-use super::map::{Map, PER_SHARD, SHARDS, Shard, Version, slot};
+use super::map::{Map, SHARDS, SLOTS_PER_SHARD, Shard, Version, slot_at};
 use crate::membership::{self, Member, Members};
 
 /// Interval between checks of the slot map when nothing has changed.
-const TICK: Duration = Duration::from_secs(1);
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// Delay after a change, so that several changes are handled together.
-const SETTLE: Duration = Duration::from_millis(50);
+const DEBOUNCE_DELAY: Duration = Duration::from_millis(50);
 /// Timeout of a liveness probe.
-const ASK: Duration = Duration::from_millis(500);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Returns the members that may own slots, ordered by id.
-pub fn owners(members: &BTreeMap<id::Instance, Member>) -> Vec<&Member> {
-    let fit = |m: &&Member| m.runs(Role::Owner) && !m.draining;
-    members.values().filter(fit).collect()
+pub fn eligible_owners(members: &BTreeMap<id::Instance, Member>) -> Vec<&Member> {
+    let is_eligible = |m: &&Member| m.runs(Role::Owner) && !m.draining;
+    members.values().filter(is_eligible).collect()
 }
 
 /// Returns the member with the highest rendezvous weight for `key`.
-pub fn first<'a>(key: &[u8], members: &[&'a Member]) -> Option<&'a Member> {
+pub fn highest_weight<'a>(key: &[u8], members: &[&'a Member]) -> Option<&'a Member> {
     let weight = |m: &&&Member| id::weight(key, m.id.as_str());
     members.iter().max_by_key(weight).copied()
 }
 
 /// Returns the preferred owner of a slot.
-pub fn wanted<'a>(slot: id::Slot, owners: &[&'a Member]) -> Option<&'a Member> {
-    first(&slot.0.to_le_bytes(), owners)
+pub fn preferred_owner<'a>(slot: id::Slot, owners: &[&'a Member]) -> Option<&'a Member> {
+    highest_weight(&slot.0.to_le_bytes(), owners)
 }
 
 /// Chooses the keepers of a shard. Keepers that store on disk come before those in
@@ -60,41 +60,41 @@
     members: &BTreeMap<id::Instance, Member>,
     copies: usize,
 ) -> Vec<id::Keeper> {
-    let fit = |m: &&Member| m.store.is_some() && !m.draining;
+    let is_eligible = |m: &&Member| m.store.is_some() && !m.draining;
     let key = shard.to_le_bytes();
-    let mut left: Vec<&Member> = members.values().filter(fit).collect();
-    left.sort_by_key(|m| std::cmp::Reverse(id::weight(&key, m.id.as_str())));
+    let mut remaining: Vec<&Member> = members.values().filter(is_eligible).collect();
+    remaining.sort_by_key(|m| std::cmp::Reverse(id::weight(&key, m.id.as_str())));
     let mut chosen: Vec<&Member> = Vec::new();
-    while chosen.len() < copies && !left.is_empty() {
-        let used = |m: &Member| chosen.iter().any(|c| c.data_centre == m.data_centre);
-        let rank = |i: &usize| (!left[*i].disk, used(left[*i]), *i);
-        let best = (0..left.len()).min_by_key(rank).unwrap_or(0);
-        chosen.push(left.remove(best));
+    while chosen.len() < copies && !remaining.is_empty() {
+        let has_data_centre = |m: &Member| chosen.iter().any(|c| c.data_centre == m.data_centre);
+        let rank = |i: &usize| (!remaining[*i].disk, has_data_centre(remaining[*i]), *i);
+        let best = (0..remaining.len()).min_by_key(rank).unwrap_or(0);
+        chosen.push(remaining.remove(best));
     }
     chosen.iter().filter_map(|m| m.keeper()).collect()
 }
 
 /// Returns the slots of a shard that need a new owner, each with that owner.
 ///
-/// `gone` returns whether an owner that is not a member is down.
-pub fn moves(
+/// `is_down` returns whether an owner that is not a member is down.
+pub fn reassignments(
     number: u16,
     shard: &Shard,
     members: &BTreeMap<id::Instance, Member>,
-    gone: impl Fn(&id::Instance) -> bool,
+    is_down: impl Fn(&id::Instance) -> bool,
 ) -> Vec<(u16, id::Instance)> {
-    let owners = owners(members);
+    let owners = eligible_owners(members);
     let mut moves = Vec::new();
-    for place in 0..PER_SHARD {
-        let lacks = match shard.holder(place) {
-            Some(holder) => !members.contains_key(&holder.owner) && gone(&holder.owner),
+    for index in 0..SLOTS_PER_SHARD {
+        let needs_owner = match shard.holder(index) {
+            Some(holder) => !members.contains_key(&holder.owner) && is_down(&holder.owner),
             None => true,
         };
-        if !lacks {
+        if !needs_owner {
             continue;
         }
-        if let Some(owner) = wanted(slot(number, place), &owners) {
-            moves.push((place, owner.id.clone()));
+        if let Some(owner) = preferred_owner(slot_at(number, index), &owners) {
+            moves.push((index, owner.id.clone()));
         }
     }
     moves
@@ -109,7 +109,7 @@
     /// The slot map.
     pub map: Arc<Map>,
     /// Last known data of all members seen so far, to probe those that are gone.
-    seen: HashMap<id::Instance, Member>,
+    last_seen: HashMap<id::Instance, Member>,
     client: Client,
     /// Number of keepers for each shard.
     copies: usize,
@@ -119,14 +119,14 @@
     /// Creates an assigner that gives each shard `copies` keepers.
     pub fn new(kv: Arc<dyn KeyValue>, members: Arc<Members>, map: Arc<Map>, copies: usize) -> Self {
         let config = client::Config {
-            connect: ASK,
+            connect: PROBE_TIMEOUT,
             ..client::Config::default()
         };
         Self {
             kv,
             members,
             map,
-            seen: HashMap::new(),
+            last_seen: HashMap::new(),
             client: Client::new(&config),
             copies,
         }
@@ -140,94 +140,104 @@
             tokio::select! {
                 _ = members.changed() => {}
                 _ = map.changed() => {}
-                () = tokio::time::sleep(TICK) => {}
+                () = tokio::time::sleep(CHECK_INTERVAL) => {}
                 () = stop.cancelled() => return,
             }
-            tokio::time::sleep(SETTLE).await;
+            tokio::time::sleep(DEBOUNCE_DELAY).await;
             members.borrow_and_update();
             map.borrow_and_update();
-            self.pass().await;
+            self.run_once().await;
         }
     }
 
-    async fn pass(&mut self) {
+    async fn run_once(&mut self) {
         let members = self.members.view();
         for (id, member) in members.iter() {
-            self.seen.insert(id.clone(), member.clone());
+            self.last_seen.insert(id.clone(), member.clone());
         }
         let own = self.members.own().id;
         if !self.map.loaded() || !members.contains_key(&own) {
             return;
         }
-        let owners = owners(&members);
+        let owners = eligible_owners(&members);
         let view = self.map.view();
-        let fresh = view.iter().any(|version| version.shard.keepers.is_empty());
-        if fresh && keepers(0, &members, self.copies).len() < self.copies {
+        let has_unassigned = view.iter().any(|version| version.shard.keepers.is_empty());
+        if has_unassigned && keepers(0, &members, self.copies).len() < self.copies {
             tracing::warn!(event = "keepers_awaited", copies = self.copies);
             return;
         }
-        let mut answers = HashMap::new();
+        let mut liveness = HashMap::new();
         for number in 0..SHARDS {
-            let acts = first(&number.to_be_bytes(), &owners);
-            if acts.is_none_or(|m| m.id != own) {
+            let assigner = highest_weight(&number.to_be_bytes(), &owners);
+            if assigner.is_none_or(|m| m.id != own) {
                 continue;
             }
             let version = &view[usize::from(number)];
-            self.ask(&version.shard, &members, &mut answers).await;
-            let gone = |owner: &id::Instance| !answers.get(owner).copied().unwrap_or(false);
-            let moves = moves(number, &version.shard, &members, gone);
+            self.probe_owners(&version.shard, &members, &mut liveness)
+                .await;
+            let is_down = |owner: &id::Instance| !liveness.get(owner).copied().unwrap_or(false);
+            let moves = reassignments(number, &version.shard, &members, is_down);
             if !moves.is_empty() {
-                self.write(number, version, &moves).await;
+                self.write_assignments(number, version, &moves).await;
             }
         }
     }
 
     /// Checks whether the owners of a shard that are not members are alive, and
-    /// caches the results in `answers`.
-    async fn ask(
+    /// caches the results in `liveness`.
+    async fn probe_owners(
         &self,
         shard: &Shard,
         members: &BTreeMap<id::Instance, Member>,
-        answers: &mut HashMap<id::Instance, bool>,
+        liveness: &mut HashMap<id::Instance, bool>,
     ) {
         for owner in &shard.owners {
-            if members.contains_key(owner) || answers.contains_key(owner) {
+            if members.contains_key(owner) || liveness.contains_key(owner) {
                 continue;
             }
-            let lives = self.registered(owner).await
-                || match self.seen.get(owner) {
-                    Some(member) => self.lives(member).await,
+            let alive = self.is_registered(owner).await
+                || match self.last_seen.get(owner) {
+                    Some(member) => self.is_alive(member).await,
                     None => false,
                 };
-            answers.insert(owner.clone(), lives);
+            liveness.insert(owner.clone(), alive);
         }
     }
 
     /// Returns whether an instance is registered in the key-value service. Also
     /// true if the service can't be read: writing would most likely fail as well.
-    async fn registered(&self, owner: &id::Instance) -> bool {
+    async fn is_registered(&self, owner: &id::Instance) -> bool {
         let key = format!("{}{owner}", membership::PREFIX);
         let found = self.kv.get(&key).await;
         found.map_or(true, |entry| entry.is_some())
     }
 
-    async fn lives(&self, member: &Member) -> bool {
+    async fn is_alive(&self, member: &Member) -> bool {
         let none = None::<&()>;
         let path = format!("/lives/{}", member.id);
         let answer: Result<bool, _> = self
             .client
-            .json(Method::GET, member.peer, &path, none, ASK)
+            .json(Method::GET, member.peer, &path, none, PROBE_TIMEOUT)
             .await;
         answer.unwrap_or(false)
     }
 
-    async fn write(&self, number: u16, version: &Version, moves: &[(u16, id::Instance)]) {
-        let mut shard = version.shard.moved(moves);
+    async fn write_assignments(
+        &self,
+        number: u16,
+        version: &Version,
+        moves: &[(u16, id::Instance)],
+    ) {
+        let mut shard = version.shard.with_owners(moves);
         if shard.keepers.is_empty() {
             shard.keepers = keepers(number, &self.members.view(), self.copies);
         }
         let epoch = shard.epoch;
-        match self.map.swap(&*self.kv, number, version, shard).await {
+        match self
+            .map
+            .compare_and_swap(&*self.kv, number, version, shard)
+            .await
+        {
             Ok(true) => {
                 tracing::info!(event = "slots_assigned", shard = number, moves = moves.len(), %epoch);
             }
--- a/crates/gradedyke/src/ownership/map.rs
+++ b/crates/gradedyke/src/ownership/map.rs
@@ -11,13 +11,13 @@
 use crate::watching;
 
 /// Key prefix of the slot map's values.
-pub const PREFIX: &str = "gradedyke/slots/";
+pub const KEY_PREFIX: &str = "gradedyke/slots/";
 /// Number of values in which the slot map is stored.
 ///
 /// Fewer make a full read cheaper; more make conflicting writes rarer.
 pub const SHARDS: u16 = 64;
 /// Number of slots in one value.
-pub const PER_SHARD: u16 = SLOTS / SHARDS;
+pub const SLOTS_PER_SHARD: u16 = SLOTS / SHARDS;
 
 /// A part of the slot map, as stored in the key-value service.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -44,9 +44,9 @@
 }
 
 impl Shard {
-    /// Returns the owner of the slot at index `place` in this shard.
-    pub fn holder(&self, place: u16) -> Option<Holder> {
-        let (owner, epoch) = *self.slots.get(usize::from(place))?;
+    /// Returns the owner of the slot at an index of this shard.
+    pub fn holder(&self, index: u16) -> Option<Holder> {
+        let (owner, epoch) = *self.slots.get(usize::from(index))?;
         let owner = self.owners.get(usize::from(owner))?.clone();
         Some(Holder { owner, epoch })
     }
@@ -59,24 +59,24 @@
     /// use gradedyke_base::id::Instance;
     ///
     /// let one = Instance::parse("one").unwrap();
-    /// let shard = Shard::default().moved(&[(3, one.clone())]);
+    /// let shard = Shard::default().with_owners(&[(3, one.clone())]);
     /// assert_eq!(shard.holder(3).unwrap().owner, one);
     /// assert_eq!(shard.holder(4), None);
     /// ```
-    pub fn moved(&self, moves: &[(u16, id::Instance)]) -> Self {
+    pub fn with_owners(&self, moves: &[(u16, id::Instance)]) -> Self {
         let epoch = Epoch(self.epoch.0 + 1);
-        let mut owners = Owners::default();
-        let mut slots = Vec::with_capacity(usize::from(PER_SHARD));
-        for place in 0..PER_SHARD {
-            let holder = match moves.iter().find(|(p, _)| *p == place) {
+        let mut owners = OwnerList::default();
+        let mut slots = Vec::with_capacity(usize::from(SLOTS_PER_SHARD));
+        for index in 0..SLOTS_PER_SHARD {
+            let holder = match moves.iter().find(|(moved, _)| *moved == index) {
                 Some((_, owner)) => Some(Holder {
                     owner: owner.clone(),
                     epoch,
                 }),
-                None => self.holder(place),
+                None => self.holder(index),
             };
             slots.push(match holder {
-                Some(holder) => (owners.place(holder.owner), holder.epoch),
+                Some(holder) => (owners.index_of(holder.owner), holder.epoch),
                 None => (u16::MAX, Epoch(0)),
             });
         }
@@ -91,27 +91,27 @@
 }
 
 #[derive(Default)]
-struct Owners(Vec<id::Instance>);
+struct OwnerList(Vec<id::Instance>);
 
-impl Owners {
-    fn place(&mut self, owner: id::Instance) -> u16 {
-        let place = self.0.iter().position(|o| *o == owner);
-        let place = place.unwrap_or_else(|| {
+impl OwnerList {
+    fn index_of(&mut self, owner: id::Instance) -> u16 {
+        let index = self.0.iter().position(|o| *o == owner);
+        let index = index.unwrap_or_else(|| {
             self.0.push(owner);
             self.0.len() - 1
         });
-        u16::try_from(place).unwrap_or(u16::MAX)
+        u16::try_from(index).unwrap_or(u16::MAX)
     }
 }
 
 /// Returns the shard of a slot and the index of the slot in it.
-pub fn place(slot: Slot) -> (u16, u16) {
-    (slot.0 / PER_SHARD, slot.0 % PER_SHARD)
+pub fn locate(slot: Slot) -> (u16, u16) {
+    (slot.0 / SLOTS_PER_SHARD, slot.0 % SLOTS_PER_SHARD)
 }
 
 /// Returns the slot at an index of a shard.
-pub fn slot(shard: u16, place: u16) -> Slot {
-    Slot(shard * PER_SHARD + place)
+pub fn slot_at(shard: u16, index: u16) -> Slot {
+    Slot(shard * SLOTS_PER_SHARD + index)
 }
 
 /// A shard with the revision of its key.
@@ -167,8 +167,8 @@
 
     /// Returns the owner of a slot in the local view.
     pub fn holder(&self, slot: Slot) -> Option<Holder> {
-        let (shard, place) = place(slot);
-        self.view.borrow()[usize::from(shard)].shard.holder(place)
+        let (shard, index) = locate(slot);
+        self.view.borrow()[usize::from(shard)].shard.holder(index)
     }
 
     /// Writes a shard if its stored revision is still that of `known`, and updates
@@ -179,7 +179,7 @@
     ///
     /// The key-value service failed. The shard may have been written; the watch
     /// then updates the view.
-    pub async fn swap(
+    pub async fn compare_and_swap(
         &self,
         kv: &dyn KeyValue,
         number: u16,
@@ -188,19 +188,19 @@
     ) -> Result<bool, kv::Error> {
         let value = serde_json::to_vec(&shard).map_err(|e| kv::Error::Refused(e.to_string()))?;
         let swap = Swap {
-            key: key(number),
+            key: shard_key(number),
             expected: known.revision,
             value: Some(value),
             lease: None,
         };
         match kv::settle(kv, swap).await? {
             Swapped::Done(revision) => {
-                self.take(number, revision, shard);
+                self.update(number, revision, shard);
                 Ok(true)
             }
             Swapped::Conflict(found) => {
                 if let Some(entry) = found {
-                    self.read(&entry.key, entry.revision, &entry.value);
+                    self.apply_entry(&entry.key, entry.revision, &entry.value);
                 }
                 Ok(false)
             }
@@ -209,30 +209,30 @@
 
     /// Follows the slot map until `stop` is cancelled.
     pub async fn follow(self: Arc<Self>, kv: Arc<dyn KeyValue>, stop: CancellationToken) {
-        watching::keep("slots", stop, || self.once(&*kv)).await;
+        watching::keep("slots", stop, || self.follow_once(&*kv)).await;
     }
 
-    async fn once(&self, kv: &dyn KeyValue) -> Result<(), kv::Error> {
-        let listing = kv.list(PREFIX).await?;
+    async fn follow_once(&self, kv: &dyn KeyValue) -> Result<(), kv::Error> {
+        let listing = kv.list(KEY_PREFIX).await?;
         for entry in &listing.entries {
-            self.read(&entry.key, entry.revision, &entry.value);
+            self.apply_entry(&entry.key, entry.revision, &entry.value);
         }
         self.loaded.send_replace(true);
-        let mut watch = kv.watch(PREFIX, listing.revision + 1).await?;
+        let mut watch = kv.watch(KEY_PREFIX, listing.revision + 1).await?;
         loop {
             for event in watch.next().await? {
                 if let Event::Put(entry) = event {
-                    self.read(&entry.key, entry.revision, &entry.value);
+                    self.apply_entry(&entry.key, entry.revision, &entry.value);
                 }
             }
         }
     }
 
-    fn read(&self, key: &str, revision: Revision, value: &[u8]) {
-        let number = key.strip_prefix(PREFIX).and_then(|n| n.parse().ok());
+    fn apply_entry(&self, key: &str, revision: Revision, value: &[u8]) {
+        let number = key.strip_prefix(KEY_PREFIX).and_then(|n| n.parse().ok());
         let shard = serde_json::from_slice(value);
         match (number, shard) {
-            (Some(number), Ok(shard)) if number < SHARDS => self.take(number, revision, shard),
+            (Some(number), Ok(shard)) if number < SHARDS => self.update(number, revision, shard),
             (_, result) => {
                 let error = result.err().map(|e| e.to_string());
                 tracing::error!(event = "shard_malformed", key, error);
@@ -241,7 +241,7 @@
     }
 
     /// Puts a shard into the view unless the view has the same or a newer revision.
-    fn take(&self, number: u16, revision: Revision, shard: Shard) {
+    fn update(&self, number: u16, revision: Revision, shard: Shard) {
         self.view.send_if_modified(|view| {
             let known = &view[usize::from(number)];
             if known.revision >= revision {
@@ -259,6 +259,6 @@
 }
 
 /// Returns the key under which a shard is stored.
-pub fn key(shard: u16) -> String {
-    format!("{PREFIX}{shard}")
+pub fn shard_key(shard: u16) -> String {
+    format!("{KEY_PREFIX}{shard}")
 }
--- a/crates/gradedyke/src/program/budget.rs
+++ b/crates/gradedyke/src/program/budget.rs
@@ -5,7 +5,7 @@
 //! exceed the budget.
 
 /// Maximum number of tokens that a chat template adds to a message.
-pub const TEMPLATE_TOKENS: u64 = 16;
+pub const MAX_TEMPLATE_TOKENS: u64 = 16;
 
 /// A token budget.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -26,7 +26,7 @@
     }
 
     /// Returns the tokens that are neither spent nor reserved.
-    pub fn left(&self) -> u64 {
+    pub fn available(&self) -> u64 {
         self.limit.saturating_sub(self.spent + self.reserved)
     }
 
@@ -52,11 +52,11 @@
     /// assert!(budget.reserve(80));
     /// ```
     pub fn reserve(&mut self, tokens: u64) -> bool {
-        let enough = tokens <= self.left();
-        if enough {
+        let fits = tokens <= self.available();
+        if fits {
             self.reserved += tokens;
         }
-        enough
+        fits
     }
 
     /// Releases `reserved` tokens and adds `spent` to the tokens spent.
--- a/crates/gradedyke/src/program/state.rs
+++ b/crates/gradedyke/src/program/state.rs
@@ -56,7 +56,7 @@
     /// Tokens spent by the tree.
     pub spent: u64,
     programs: SlotMap<Key, Program>,
-    names: HashMap<id::Program, Key>,
+    keys: HashMap<id::Program, Key>,
 }
 
 /// The whole state of a tree, as written to the journal.
@@ -85,7 +85,7 @@
         }
     }
 
-    fn answered(&mut self, request: &id::Request, outcome: &Outcome) {
+    fn record_outcome(&mut self, request: &id::Request, outcome: &Outcome) {
         let Some(intent) = self.open.remove(request) else {
             return;
         };
@@ -110,12 +110,12 @@
             budget_tokens,
             spent: 0,
             programs: SlotMap::with_key(),
-            names: HashMap::new(),
+            keys: HashMap::new(),
         }
     }
 
     /// Creates a tree from a snapshot.
-    pub fn restore(snapshot: Snapshot) -> Self {
+    pub fn from_snapshot(snapshot: Snapshot) -> Self {
         let mut tree = Self::new(snapshot.account, snapshot.budget_tokens);
         tree.spent = snapshot.spent;
         snapshot.programs.into_iter().for_each(|p| tree.insert(p));
@@ -135,12 +135,12 @@
     fn insert(&mut self, program: Program) {
         let id = program.id.clone();
         let key = self.programs.insert(program);
-        self.names.insert(id, key);
+        self.keys.insert(id, key);
     }
 
     /// Returns the key of a program of this tree.
     pub fn find(&self, id: &id::Program) -> Option<Key> {
-        self.names.get(id).copied()
+        self.keys.get(id).copied()
     }
 
     /// Returns a program by its key.
@@ -154,7 +154,7 @@
     }
 
     /// Returns whether every program of the tree has ended.
-    pub fn ended(&self) -> bool {
+    pub fn has_ended(&self) -> bool {
         self.programs.values().all(|p| p.ended.is_some())
     }
 
@@ -162,7 +162,7 @@
     pub fn apply(&mut self, record: &Record) {
         match record {
             Record::Opened { program, agent, .. } => {
-                if !self.names.contains_key(program) {
+                if !self.keys.contains_key(program) {
                     self.insert(Program::new(program.clone(), agent.clone()));
                 }
             }
@@ -171,12 +171,12 @@
                 request,
                 intent,
             } => {
-                if let Some(program) = self.by_name(program) {
+                if let Some(program) = self.find_mut(program) {
                     program.open.insert(request.clone(), intent.clone());
                 }
             }
             Record::Withdrawn { program, request } => {
-                if let Some(program) = self.by_name(program) {
+                if let Some(program) = self.find_mut(program) {
                     program.open.remove(request);
                 }
             }
@@ -187,12 +187,12 @@
                 spent,
             } => {
                 self.spent += spent;
-                if let Some(program) = self.by_name(program) {
-                    program.answered(request, outcome);
+                if let Some(program) = self.find_mut(program) {
+                    program.record_outcome(request, outcome);
                 }
             }
             Record::Ended { program, why } => {
-                if let Some(program) = self.by_name(program) {
+                if let Some(program) = self.find_mut(program) {
                     program.ended.get_or_insert(*why);
                 }
             }
@@ -200,8 +200,8 @@
         }
     }
 
-    fn by_name(&mut self, id: &id::Program) -> Option<&mut Program> {
-        let key = *self.names.get(id)?;
+    fn find_mut(&mut self, id: &id::Program) -> Option<&mut Program> {
+        let key = *self.keys.get(id)?;
         self.programs.get_mut(key)
     }
 }
@@ -210,7 +210,7 @@
 pub type Trees = HashMap<String, Tree>;
 
 /// Applies a record of a slot to its trees.
-pub fn fold(trees: &mut Trees, record: Record) {
+pub fn apply_record(trees: &mut Trees, record: Record) {
     match record {
         Record::Taken => {}
         Record::Restated(snapshot) => {
@@ -218,7 +218,7 @@
                 return;
             };
             let root = first.id.root().to_owned();
-            trees.insert(root, Tree::restore(*snapshot));
+            trees.insert(root, Tree::from_snapshot(*snapshot));
         }
         Record::Forgotten { program } => {
             trees.remove(program.root());
@@ -229,8 +229,10 @@
             budget_tokens,
             ..
         } => {
-            let new = || Tree::new(account.clone(), budget_tokens);
-            let tree = trees.entry(program.root().to_owned()).or_insert_with(new);
+            let new_tree = || Tree::new(account.clone(), budget_tokens);
+            let tree = trees
+                .entry(program.root().to_owned())
+                .or_insert_with(new_tree);
             tree.apply(&record);
         }
         Record::Intended { ref program, .. }
--- a/crates/gradedyke/src/routing/fleet.rs
+++ b/crates/gradedyke/src/routing/fleet.rs
@@ -27,17 +27,17 @@
 }
 
 /// Timeout of a control call to a backend server.
-const CONTROL: Duration = Duration::from_secs(2);
+const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
 /// First backoff of a failed backend server, during which it gets no calls.
-const REST_FIRST: Duration = Duration::from_millis(500);
+const MIN_FAILURE_BACKOFF: Duration = Duration::from_millis(500);
 /// Maximum backoff of a failed backend server.
-const REST_LAST: Duration = Duration::from_secs(30);
+const MAX_FAILURE_BACKOFF: Duration = Duration::from_secs(30);
 /// Maximum number of cached prefixes remembered for each engine.
-const PREFIXES: usize = 65_536;
+const MAX_CACHED_PREFIXES: usize = 65_536;
 
 /// The client of a backend server.
 #[derive(Clone)]
-pub enum Link {
+pub enum BackendClient {
     /// A model engine.
     Engine(Arc<dyn Engine>),
     /// A plain service.
@@ -47,15 +47,15 @@
 struct Server {
     id: id::Backend,
     settings: Backend,
-    link: Link,
-    near: bool,
+    client: BackendClient,
+    is_local: bool,
     load: Load,
-    sent_tokens: u64,
+    in_flight_tokens: u64,
     in_flight: u32,
     cached: HashMap<prefix::Key, u64>,
     last_event: u64,
     failures: u32,
-    rests_until: Option<Instant>,
+    backoff_until: Option<Instant>,
     /// Whether the instance list reports that it is shutting down.
     listed_leaving: bool,
     /// Whether its data centre is evacuated.
@@ -70,25 +70,25 @@
     /// Its name.
     pub id: id::Backend,
     /// Its client.
-    pub link: Link,
+    pub client: BackendClient,
     /// Counts the call as in flight until the last clone is dropped; `None` if the
     /// call is not counted.
-    _booking: Option<Arc<Booking>>,
+    _in_flight: Option<Arc<InFlightGuard>>,
 }
 
 /// Guard that counts a call as in flight on a backend server until it is dropped,
 /// however the call ends.
-struct Booking {
+struct InFlightGuard {
     fleet: Arc<Fleet>,
     key: Key,
     work: u64,
 }
 
-impl Drop for Booking {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         if let Some(server) = self.fleet.lock().get_mut(self.key) {
             server.in_flight = server.in_flight.saturating_sub(1);
-            server.sent_tokens = server.sent_tokens.saturating_sub(self.work);
+            server.in_flight_tokens = server.in_flight_tokens.saturating_sub(self.work);
         }
     }
 }
@@ -126,7 +126,7 @@
                 continue;
             };
             if !known.contains(name) {
-                servers.insert(self.server(id, settings));
+                servers.insert(self.new_server(id, settings));
             }
         }
         for server in servers.values_mut() {
@@ -135,30 +135,30 @@
         }
     }
 
-    fn server(&self, id: id::Backend, settings: &Backend) -> Server {
+    fn new_server(&self, id: id::Backend, settings: &Backend) -> Server {
         let address = settings.address();
-        let link = match settings {
+        let client = match settings {
             Backend::Engine { .. } => {
-                let engine = engine_http::Http::new(address, self.client.clone(), CONTROL);
-                Link::Engine(Arc::new(engine))
+                let engine = engine_http::Http::new(address, self.client.clone(), CONTROL_TIMEOUT);
+                BackendClient::Engine(Arc::new(engine))
             }
             Backend::Service { outcome_path, .. } => {
-                let service = service::Http::new(address, outcome_path.clone(), CONTROL);
-                Link::Service(Arc::new(service))
+                let service = service::Http::new(address, outcome_path.clone(), CONTROL_TIMEOUT);
+                BackendClient::Service(Arc::new(service))
             }
         };
         Server {
             id,
-            near: settings.data_centre() == self.data_centre,
+            is_local: settings.data_centre() == self.data_centre,
             settings: settings.clone(),
-            link,
+            client,
             load: Load::default(),
-            sent_tokens: 0,
+            in_flight_tokens: 0,
             in_flight: 0,
             cached: HashMap::new(),
             last_event: 0,
             failures: 0,
-            rests_until: None,
+            backoff_until: None,
             listed_leaving: false,
             evacuated: false,
         }
@@ -200,22 +200,24 @@
         cached: impl Fn(&Server) -> u64,
     ) -> Vec<Candidate> {
         let servers = self.lock();
-        let stays = |(key, s): &(Key, &Server)| fits(s) && !s.leaves() && !avoid.contains(key);
-        let mut able: Vec<_> = servers.iter().filter(stays).collect();
+        let is_available =
+            |(key, s): &(Key, &Server)| fits(s) && !s.is_leaving() && !avoid.contains(key);
+        let mut available: Vec<_> = servers.iter().filter(is_available).collect();
         // Backend servers in backoff are skipped while others are available. If
         // all are in backoff, any of them may be tried.
-        if able.iter().any(|(_, s)| !s.rests(now)) {
-            able.retain(|(_, s)| !s.rests(now));
+        if available.iter().any(|(_, s)| !s.is_in_backoff(now)) {
+            available.retain(|(_, s)| !s.is_in_backoff(now));
         }
-        let able = able.into_iter();
-        able.map(|(key, s)| Candidate {
-            key,
-            pending_tokens: s.load.pending_tokens + s.sent_tokens,
-            in_flight: s.in_flight,
-            cached_tokens: cached(s),
-            near: s.near,
-        })
-        .collect()
+        let available = available.into_iter();
+        available
+            .map(|(key, s)| Candidate {
+                key,
+                pending_tokens: s.load.pending_tokens + s.in_flight_tokens,
+                in_flight: s.in_flight,
+                cached_tokens: cached(s),
+                near: s.is_local,
+            })
+            .collect()
     }
 
     /// Counts a call with `work` tokens to generate as in flight on a backend
@@ -231,13 +233,13 @@
         let mut servers = self.lock();
         let server = servers.get_mut(key)?;
         server.in_flight += 1;
-        server.sent_tokens += work;
-        if server.cached.len() + chain.len() > PREFIXES {
+        server.in_flight_tokens += work;
+        if server.cached.len() + chain.len() > MAX_CACHED_PREFIXES {
             server.cached.clear();
         }
         let known = chain.iter().copied().zip(tokens.iter().copied());
         server.cached.extend(known);
-        let booking = Booking {
+        let guard = InFlightGuard {
             fleet: self.clone(),
             key,
             work,
@@ -245,8 +247,8 @@
         Some(Choice {
             key,
             id: server.id.clone(),
-            link: server.link.clone(),
-            _booking: Some(Arc::new(booking)),
+            client: server.client.clone(),
+            _in_flight: Some(Arc::new(guard)),
         })
     }
 
@@ -254,7 +256,7 @@
     pub fn succeeded(&self, key: Key) {
         if let Some(server) = self.lock().get_mut(key) {
             server.failures = 0;
-            server.rests_until = None;
+            server.backoff_until = None;
         }
     }
 
@@ -262,9 +264,9 @@
     /// extends its backoff.
     pub fn failed(&self, key: Key, now: Instant) {
         if let Some(server) = self.lock().get_mut(key) {
-            let rest = REST_FIRST * 2_u32.saturating_pow(server.failures.min(10));
+            let backoff = MIN_FAILURE_BACKOFF * 2_u32.saturating_pow(server.failures.min(10));
             server.failures += 1;
-            server.rests_until = Some(now + rest.min(REST_LAST));
+            server.backoff_until = Some(now + backoff.min(MAX_FAILURE_BACKOFF));
         }
     }
 
@@ -290,8 +292,8 @@
             return;
         };
         for event in events {
-            let gap = server.last_event != 0 && event.number > server.last_event + 1;
-            if gap {
+            let has_gap = server.last_event != 0 && event.number > server.last_event + 1;
+            if has_gap {
                 server.cached.clear();
             }
             server.last_event = server.last_event.max(event.number);
@@ -310,9 +312,9 @@
     /// Returns all engines.
     pub fn all_engines(&self) -> Vec<(Key, id::Backend, Arc<dyn Engine>)> {
         let servers = self.lock();
-        let engine = |(key, s): (Key, &Server)| match &s.link {
-            Link::Engine(engine) => Some((key, s.id.clone(), engine.clone())),
-            Link::Service(_) => None,
+        let engine = |(key, s): (Key, &Server)| match &s.client {
+            BackendClient::Engine(engine) => Some((key, s.id.clone(), engine.clone())),
+            BackendClient::Service(_) => None,
         };
         servers.iter().filter_map(engine).collect()
     }
@@ -324,19 +326,19 @@
         Some(Choice {
             key,
             id: server.id.clone(),
-            link: server.link.clone(),
-            _booking: None,
+            client: server.client.clone(),
+            _in_flight: None,
         })
     }
 }
 
 impl Server {
-    fn leaves(&self) -> bool {
+    fn is_leaving(&self) -> bool {
         self.load.leaving || self.listed_leaving || self.evacuated
     }
 
-    fn rests(&self, now: Instant) -> bool {
-        self.rests_until.is_some_and(|until| until > now)
+    fn is_in_backoff(&self, now: Instant) -> bool {
+        self.backoff_until.is_some_and(|until| until > now)
     }
 
     /// Returns the tokens of the longest prefix of `chain` that is assumed cached.
--- a/crates/gradedyke/src/routing/mod.rs
+++ b/crates/gradedyke/src/routing/mod.rs
@@ -22,7 +22,7 @@
 
 /// What a policy knows about the call.
 #[derive(Clone, Copy, Debug)]
-pub struct Question {
+pub struct CallInfo {
     /// Estimated tokens of the prompt.
     pub prompt_tokens: u64,
     /// Maximum number of tokens to generate.
@@ -51,7 +51,7 @@
 pub trait Policy: Send + Sync {
     /// Returns the index in `candidates` of the backend server that runs the call,
     /// or `None` if there are no candidates.
-    fn choose(&self, question: &Question, candidates: &[Candidate]) -> Option<usize>;
+    fn choose(&self, call_info: &CallInfo, candidates: &[Candidate]) -> Option<usize>;
 }
 
 /// The registration of a policy.
@@ -74,20 +74,20 @@
 /// assert_eq!(gradedyke::routing::faults(&tree)[0].path, "defaults.routing");
 /// ```
 pub fn faults(tree: &Tree) -> Vec<Fault> {
-    let mut named = vec![("defaults".to_owned(), &tree.defaults)];
+    let mut policy_settings = vec![("defaults".to_owned(), &tree.defaults)];
     for (name, account) in &tree.accounts {
-        named.push((format!("accounts.{name}.policy"), &account.policy));
+        policy_settings.push((format!("accounts.{name}.policy"), &account.policy));
         for (agent, settings) in &account.agents {
             let path = format!("accounts.{name}.agents.{agent}.policy");
-            named.push((path, &settings.policy));
+            policy_settings.push((path, &settings.policy));
         }
     }
     let policies = policies();
     let names: Vec<&str> = policies.keys().copied().collect();
-    let unknown = named.into_iter().filter_map(|(path, policy)| {
+    let unknown = policy_settings.into_iter().filter_map(|(path, policy)| {
         let routing = policy.routing.as_deref()?;
-        let known = policies.contains_key(routing);
-        (!known).then(|| Fault {
+        let is_registered = policies.contains_key(routing);
+        (!is_registered).then(|| Fault {
             path: format!("{path}.routing"),
             message: format!(
                 "no routing policy {routing}; use one of {}",
--- a/crates/gradedyke/src/routing/round_robin.rs
+++ b/crates/gradedyke/src/routing/round_robin.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use super::{Candidate, Plugin, Policy, Question};
+use super::{CallInfo, Candidate, Plugin, Policy};
 
 /// The policy `round_robin`: takes each candidate in turn, whatever its load.
 #[derive(Debug, Default)]
@@ -12,7 +12,7 @@
 }
 
 impl Policy for RoundRobin {
-    fn choose(&self, _: &Question, candidates: &[Candidate]) -> Option<usize> {
+    fn choose(&self, _: &CallInfo, candidates: &[Candidate]) -> Option<usize> {
         if candidates.is_empty() {
             return None;
         }
