--- a/crates/gradedyke/src/owner/accept.rs
+++ b/crates/gradedyke/src/owner/accept.rs
@@ -19,7 +19,7 @@
 use super::run::{self, Context};
 use super::session::{Session, Submission};
 use super::{Owner, slot_moving};
-use crate::program::state::Key;
+use crate::program::state::ProgramKey;
 use crate::wire::{Call, Frame, MAX_FRAME, MODEL, Outcome, Work};
 
 /// Timeout for receiving the body of a call from an entry.
@@ -85,7 +85,7 @@
         let fingerprint = fingerprint(work)?;
         // Nothing may fail between enqueueing a call and spawning its task, so
         // the settings of a new call are looked up first.
-        let effective = match session.find_answer(key, &call.request) {
+        let settings = match session.find_answer(key, &call.request) {
             Some(_) => Effective::default(),
             None => self.check_new_call(&served_slot, &session, key, work)?,
         };
@@ -99,8 +99,9 @@
             Submission::Known(answer) => Ok(answer),
             Submission::New(answer, ticket) => {
                 if served_slot.is_closing() {
-                    // The slot was marked as closing after the check above.
-                    // Either it is seen here, or the handover sees the call.
+                    // The slot began to close after `check_new_call`. This second
+                    // check is needed because a handover that starts before the
+                    // call is queued does not see the call.
                     session.finish(key, &call.request, ticket, End::Moved, false);
                     return Err(slot_moving());
                 }
@@ -113,7 +114,7 @@
                     request: call.request.clone(),
                     ticket,
                     answer: answer.clone(),
-                    effective,
+                    settings,
                     accepted_at: now,
                 };
                 self.tasks.spawn(run::run(context, work.clone()));
@@ -123,7 +124,11 @@
     }
 
     /// Returns the effective settings of a program's agent program.
-    pub(super) fn effective(&self, session: &Session, key: Key) -> Result<Effective, Problem> {
+    pub(super) fn effective_settings(
+        &self,
+        session: &Session,
+        key: ProgramKey,
+    ) -> Result<Effective, Problem> {
         let agent = session.read(key, |p| p.agent.clone()).unwrap_or_default();
         let tree = self.current.get();
         tree.tree.agent(&session.account, &agent).ok_or_else(|| {
@@ -138,7 +143,7 @@
         &self,
         served_slot: &ServedSlot,
         session: &Session,
-        key: Key,
+        key: ProgramKey,
         work: &Work,
     ) -> Result<Effective, Problem> {
         if served_slot.is_closing() {
@@ -148,9 +153,9 @@
         if ended {
             return Err(run::program_ended());
         }
-        let effective = self.effective(session, key)?;
+        let settings = self.effective_settings(session, key)?;
         let turns = session.read(key, |p| p.answers.len()).unwrap_or(0);
-        if turns >= effective.max_turns as usize {
+        if turns >= settings.max_turns as usize {
             let message = format!(
                 "the program has issued {turns} calls, its limit; end it and open a new one"
             );
@@ -159,13 +164,11 @@
         match work {
             Work::Chat { request, .. } => {
                 request.check()?;
-                check_allowed("model", &request.model, &effective.models)?;
-            }
-            Work::Service { service, .. } => {
-                check_allowed("service", service, &effective.services)?
+                check_allowed("model", &request.model, &settings.models)?;
             }
+            Work::Service { service, .. } => check_allowed("service", service, &settings.services)?,
         }
-        Ok(effective)
+        Ok(settings)
     }
 }
 
--- a/crates/gradedyke/src/owner/attempt.rs
+++ b/crates/gradedyke/src/owner/attempt.rs
@@ -49,12 +49,12 @@
         };
         context.answer.restart();
         match read_stream(context, chunks, 0).await {
-            Ok(attempt) => attempt,
+            Ok(result) => result,
             Err(_) => resume(context, choice, &call.attempt, MAX_RESUMES).await,
         }
     };
-    let attempt = tokio::select! {
-        attempt = response => attempt,
+    let result = tokio::select! {
+        result = response => result,
         () = context.answer.cancel.cancelled() => {
             AttemptResult::Lost(Error::Broken("cancelled".to_owned()))
         }
@@ -62,14 +62,14 @@
             AttemptResult::Lost(Error::Broken("the deadline passed".to_owned()))
         }
     };
-    match &attempt {
+    match &result {
         AttemptResult::Complete(..) => fleet.succeeded(choice.key),
         AttemptResult::NotRun(_) | AttemptResult::Lost(_) => {
             fleet.failed(choice.key, Instant::now())
         }
         AttemptResult::Invalid(_) | AttemptResult::Diverged => {}
     }
-    attempt
+    result
 }
 
 fn classify(error: Error) -> AttemptResult {
@@ -85,7 +85,7 @@
 pub(super) async fn resume(
     context: &Context,
     choice: &Choice,
-    attempt: &str,
+    attempt_id: &str,
     tries: u32,
 ) -> AttemptResult {
     let BackendClient::Engine(engine) = &choice.client else {
@@ -94,12 +94,12 @@
     let mut error = Error::Broken("the stream was cut".to_owned());
     for _ in 0..tries {
         let offset = context.answer.len();
-        let resumed = match engine.resume(attempt, offset as u64).await {
+        let resumed = match engine.resume(attempt_id, offset as u64).await {
             Ok(chunks) => read_stream(context, chunks, offset).await,
             Err(e) => Err(e),
         };
         match resumed {
-            Ok(attempt) => return attempt,
+            Ok(result) => return result,
             Err(e) => error = e,
         }
     }
@@ -147,21 +147,21 @@
 
 fn record_first_token(context: &Context) {
     let account = context.session.account.to_string();
-    let class = context.effective.class.name();
+    let class = context.settings.class.name();
     metrics::histogram!("gradedyke_first_token_seconds", "account" => account, "class" => class)
         .record(context.accepted_at.elapsed().as_secs_f64());
 }
 
 /// Cancels a lost attempt in the background, so that it stops using tokens.
-pub(super) fn cancel(context: &Context, choice: &Choice, attempt: &str) {
+pub(super) fn cancel(context: &Context, choice: &Choice, attempt_id: &str) {
     let BackendClient::Engine(engine) = choice.client.clone() else {
         return;
     };
-    let attempt = attempt.to_owned();
+    let attempt_id = attempt_id.to_owned();
     let stop = context.owner.stop.clone();
     tokio::spawn(async move {
         let mut backoff = Backoff::new(MIN_CANCEL_BACKOFF, MAX_CANCEL_BACKOFF, MAX_CANCEL_RETRIES);
-        while engine.cancel(&attempt).await.is_err() {
+        while engine.cancel(&attempt_id).await.is_err() {
             let Some(wait) = backoff.wait(rand::random()) else {
                 return;
             };
--- a/crates/gradedyke/src/owner/chat.rs
+++ b/crates/gradedyke/src/owner/chat.rs
@@ -21,7 +21,7 @@
 use super::session::Conversation;
 use crate::program::record::Intent;
 use crate::routing::CallInfo;
-use crate::routing::fleet::{BackendClient, Choice, Key};
+use crate::routing::fleet::{BackendClient, Choice, ServerKey};
 use crate::wire::{History, Outcome, Work};
 
 /// First backoff before another attempt.
@@ -40,7 +40,9 @@
 /// A call that is ready to be sent.
 struct PreparedCall {
     call: Call,
+    /// Estimated tokens of each message.
     tokens: Vec<u64>,
+    /// Tokens reserved for one attempt.
     reserved: u64,
     max_tokens: u64,
 }
@@ -51,7 +53,7 @@
     request: &chat::Request,
     history: History,
 ) -> Result<Finished, Abort> {
-    let max_tokens = request.limit().unwrap_or(context.effective.max_tokens);
+    let max_tokens = request.limit().unwrap_or(context.settings.max_tokens);
     let conversation =
         context
             .session
@@ -85,7 +87,7 @@
     request: &chat::Request,
     intent: &Intent,
 ) -> Result<Finished, Abort> {
-    let max_tokens = request.limit().unwrap_or(context.effective.max_tokens);
+    let max_tokens = request.limit().unwrap_or(context.settings.max_tokens);
     let history = context.session.read(context.key, |p| p.history.clone());
     let mut messages: Vec<Message> = history.unwrap_or_default();
     messages.extend(request.messages.iter().cloned());
@@ -127,7 +129,7 @@
     sent.max_completion_tokens = None;
     sent.max_tokens = Some(conversation.max_tokens);
     sent.rest.remove("stream_options");
-    let priority = match context.effective.class {
+    let priority = match context.settings.class {
         Class::Staff => 0,
         Class::Batch => BATCH_PRIORITY,
     };
@@ -165,7 +167,7 @@
 fn choose(
     context: &Context,
     prepared: &PreparedCall,
-    avoid: &[Key],
+    avoid: &[ServerKey],
     now: Instant,
 ) -> Option<Choice> {
     let owner = &context.owner;
@@ -186,8 +188,8 @@
 }
 
 /// Makes attempts until one completes, the deadline passes or no retry is left.
-/// At the start of each iteration the tokens of the next attempt are reserved;
-/// `lost_tokens` tokens were spent on lost attempts.
+/// The tokens of the first attempt must be reserved already; `lost_tokens` tokens
+/// have been charged for lost attempts.
 async fn run_attempts(
     context: &Context,
     mut prepared: PreparedCall,
--- a/crates/gradedyke/src/owner/mod.rs
+++ b/crates/gradedyke/src/owner/mod.rs
@@ -111,7 +111,7 @@
             .ok_or_else(slot_moving)
     }
 
-    fn all_slots(&self) -> Vec<Arc<ServedSlot>> {
+    fn all_served_slots(&self) -> Vec<Arc<ServedSlot>> {
         lock(&self.served_slots).values().cloned().collect()
     }
 
--- a/crates/gradedyke/src/owner/poll.rs
+++ b/crates/gradedyke/src/owner/poll.rs
@@ -11,7 +11,7 @@
 use tokio_util::sync::CancellationToken;
 
 use super::Owner;
-use crate::routing::fleet::Key;
+use crate::routing::fleet::ServerKey;
 
 /// Interval between reads of an engine's load and cache events.
 const LOAD_POLL_INTERVAL: Duration = Duration::from_millis(250);
@@ -31,7 +31,7 @@
         tokio::spawn(watch_instance_list(owner.clone(), instances));
     }
     let mut revision = owner.current.subscribe();
-    let mut polling_tasks: HashMap<Key, CancellationToken> = HashMap::new();
+    let mut polling_tasks: HashMap<ServerKey, CancellationToken> = HashMap::new();
     loop {
         revision.borrow_and_update();
         owner.fleet.update(&owner.current.get().tree);
@@ -59,7 +59,7 @@
 
 async fn poll(
     owner: Arc<Owner>,
-    key: Key,
+    key: ServerKey,
     id: id::Backend,
     engine: Arc<dyn Engine>,
     stop: CancellationToken,
--- a/crates/gradedyke/src/owner/rpc.rs
+++ b/crates/gradedyke/src/owner/rpc.rs
@@ -171,7 +171,7 @@
     /// been opened, and the caller has to retry.
     pub async fn open(&self, opening: &Opening) -> Result<Info, Problem> {
         let served_slot = self.served_slot(opening.program.slot())?;
-        let _one_at_a_time = served_slot.open_lock.lock().await;
+        let _guard = served_slot.open_lock.lock().await;
         if let Ok(session) = served_slot.find(&opening.account, &opening.program) {
             let info = info(&session, &opening.program)?;
             if info.agent != opening.agent {
@@ -283,7 +283,7 @@
     async fn release_pins(
         self: &Arc<Self>,
         session: &Session,
-        key: crate::program::state::Key,
+        key: crate::program::state::ProgramKey,
         program: &id::Program,
     ) {
         for answer in session.active_answers(key) {
--- a/crates/gradedyke/src/owner/run.rs
+++ b/crates/gradedyke/src/owner/run.rs
@@ -14,7 +14,7 @@
 use super::{Owner, accept, chat, slot_moving, tool};
 use crate::program::record::{Intent, Record};
 use crate::program::state;
-use crate::routing::fleet::Key;
+use crate::routing::fleet::ServerKey;
 use crate::routing::{CallInfo, Candidate};
 use crate::wire::{Outcome, Work};
 
@@ -23,12 +23,13 @@
     pub owner: Arc<Owner>,
     pub served_slot: Arc<ServedSlot>,
     pub session: Arc<Session>,
-    pub key: state::Key,
+    pub key: state::ProgramKey,
     pub program: id::Program,
     pub request: id::Request,
     pub ticket: Ticket,
     pub answer: Arc<Answer>,
-    pub effective: Effective,
+    pub settings: Effective,
+    /// When this owner accepted or resumed the call; its deadline counts from here.
     pub accepted_at: Instant,
 }
 
@@ -112,7 +113,7 @@
 impl Context {
     /// Returns the deadline of the call.
     pub(super) fn deadline(&self) -> Instant {
-        self.accepted_at + Duration::from_millis(self.effective.call_ms)
+        self.accepted_at + Duration::from_millis(self.settings.call_ms)
     }
 
     async fn wait_turn(&self) -> Result<(), Abort> {
@@ -135,9 +136,13 @@
     }
 
     /// Chooses a backend server by the program's routing policy.
-    pub(super) fn route(&self, call_info: &CallInfo, candidates: &[Candidate]) -> Option<Key> {
+    pub(super) fn route(
+        &self,
+        call_info: &CallInfo,
+        candidates: &[Candidate],
+    ) -> Option<ServerKey> {
         let policies = &self.owner.policies;
-        let configured = policies.get(self.effective.routing.as_str());
+        let configured = policies.get(self.settings.routing.as_str());
         let policy = configured.or_else(|| policies.get(ROUTING))?;
         let index = policy.choose(call_info, candidates)?;
         candidates.get(index).map(|candidate| candidate.key)
@@ -211,7 +216,7 @@
             End::Moved => "moved",
         };
         let account = self.session.account.to_string();
-        let class = self.effective.class.name();
+        let class = self.settings.class.name();
         let seconds = self.accepted_at.elapsed().as_secs_f64();
         metrics::histogram!("gradedyke_call_seconds",
             "account" => account.clone(), "class" => class, "kind" => kind)
--- a/crates/gradedyke/src/owner/session.rs
+++ b/crates/gradedyke/src/owner/session.rs
@@ -14,7 +14,7 @@
 use super::lock;
 use crate::program::budget::{Budget, MAX_TEMPLATE_TOKENS};
 use crate::program::record::{Intent, Record, Why};
-use crate::program::state::{Key, Program, Tree};
+use crate::program::state::{Program, ProgramKey, Tree};
 use crate::routing::fleet;
 use crate::wire::{History, Outcome};
 
@@ -43,10 +43,10 @@
 struct Inner {
     tree: Tree,
     budget: Budget,
-    queues: HashMap<Key, CallQueue>,
-    calls: HashMap<(Key, id::Request), Arc<Answer>>,
+    queues: HashMap<ProgramKey, CallQueue>,
+    calls: HashMap<(ProgramKey, id::Request), Arc<Answer>>,
     /// Engines that have cache prefixes pinned for a program.
-    pinned: HashMap<Key, BTreeSet<fleet::Key>>,
+    pinned: HashMap<ProgramKey, BTreeSet<fleet::ServerKey>>,
     last_activity: Instant,
 }
 
@@ -99,12 +99,12 @@
     }
 
     /// Returns the key of a program.
-    pub fn find(&self, program: &id::Program) -> Option<Key> {
+    pub fn find(&self, program: &id::Program) -> Option<ProgramKey> {
         lock(&self.inner).tree.find(program)
     }
 
     /// Calls `read` with a program, or returns `None` if there is no such program.
-    pub fn read<T>(&self, key: Key, read: impl FnOnce(&Program) -> T) -> Option<T> {
+    pub fn read<T>(&self, key: ProgramKey, read: impl FnOnce(&Program) -> T) -> Option<T> {
         lock(&self.inner).tree.get(key).map(read)
     }
 
@@ -139,9 +139,9 @@
     }
 
     /// Returns the programs of the tree with the reason why they ended, root first.
-    pub fn programs(&self) -> Vec<(Key, id::Program, Option<Why>)> {
+    pub fn programs(&self) -> Vec<(ProgramKey, id::Program, Option<Why>)> {
         let inner = lock(&self.inner);
-        let program = |(key, p): (Key, &Program)| (key, p.id.clone(), p.ended);
+        let program = |(key, p): (ProgramKey, &Program)| (key, p.id.clone(), p.ended);
         let mut programs: Vec<_> = inner.tree.programs().map(program).collect();
         programs.sort_by(|a, b| a.1.cmp(&b.1));
         programs
@@ -149,7 +149,7 @@
 
     /// Returns the calls that an earlier owner had sent or was about to send and
     /// that have no outcome yet.
-    pub fn open_calls(&self) -> Vec<(Key, id::Request, Intent)> {
+    pub fn open_calls(&self) -> Vec<(ProgramKey, id::Request, Intent)> {
         let inner = lock(&self.inner);
         let programs = inner.tree.programs();
         let open = programs.flat_map(|(key, program)| {
@@ -160,7 +160,7 @@
     }
 
     /// Returns the answer of a request that is in progress or has ended.
-    pub fn find_answer(&self, key: Key, request: &id::Request) -> Option<Arc<Answer>> {
+    pub fn find_answer(&self, key: ProgramKey, request: &id::Request) -> Option<Arc<Answer>> {
         lock(&self.inner).find_answer(key, request)
     }
 
@@ -172,7 +172,7 @@
     /// `conflict` when another call has the same request id or sequence number.
     pub fn submit(
         &self,
-        key: Key,
+        key: ProgramKey,
         request: &id::Request,
         sequence: Option<u64>,
         fingerprint: &str,
@@ -199,17 +199,17 @@
     }
 
     /// Waits until a queued call may run.
-    pub async fn wait_turn(&self, key: Key, ticket: Ticket) {
-        let turn = {
+    pub async fn wait_turn(&self, key: ProgramKey, ticket: Ticket) {
+        let current = {
             let inner = lock(&self.inner);
             inner
                 .queues
                 .get(&key)
                 .map(|queue| queue.current.subscribe())
         };
-        if let Some(mut turn) = turn {
+        if let Some(mut current) = current {
             // Can't fail: the queue lives as long as the session.
-            let _ = turn.wait_for(|number| *number >= ticket.number).await;
+            let _ = current.wait_for(|number| *number >= ticket.number).await;
         }
     }
 
@@ -222,7 +222,7 @@
     /// when there is no new message, `over_budget` when the budget is too small.
     pub fn prepare_conversation(
         &self,
-        key: Key,
+        key: ProgramKey,
         request: &chat::Request,
         history: History,
         max_tokens: u64,
@@ -270,7 +270,14 @@
     /// Ends a call: publishes how it ended and lets the next one run. If the
     /// caller assigned the number and the call did not run, the number is not used
     /// up, so the caller can send the call again with it.
-    pub fn finish(&self, key: Key, request: &id::Request, ticket: Ticket, end: End, ran: bool) {
+    pub fn finish(
+        &self,
+        key: ProgramKey,
+        request: &id::Request,
+        ticket: Ticket,
+        end: End,
+        ran: bool,
+    ) {
         let mut inner = lock(&self.inner);
         if let Some(queue) = inner.queues.get_mut(&key) {
             queue.leave(ticket, ran);
@@ -281,7 +288,7 @@
     }
 
     /// Records that an engine has a cache prefix pinned for a program.
-    pub fn add_pinned(&self, key: Key, engine: fleet::Key) {
+    pub fn add_pinned(&self, key: ProgramKey, engine: fleet::ServerKey) {
         lock(&self.inner)
             .pinned
             .entry(key)
@@ -291,19 +298,19 @@
 
     /// Removes and returns the engines that have cache prefixes pinned for a
     /// program.
-    pub fn take_pinned(&self, key: Key) -> BTreeSet<fleet::Key> {
+    pub fn take_pinned(&self, key: ProgramKey) -> BTreeSet<fleet::ServerKey> {
         lock(&self.inner).pinned.remove(&key).unwrap_or_default()
     }
 
     /// Returns the answers of a program's queued and running calls.
-    pub fn active_answers(&self, key: Key) -> Vec<Arc<Answer>> {
+    pub fn active_answers(&self, key: ProgramKey) -> Vec<Arc<Answer>> {
         let inner = lock(&self.inner);
         let calls = inner.calls.iter().filter(|((k, _), _)| *k == key);
         calls.map(|(_, answer)| answer.clone()).collect()
     }
 
     /// Cancels the queued and running calls of a program.
-    pub fn cancel(&self, key: Key) {
+    pub fn cancel(&self, key: ProgramKey) {
         for answer in self.active_answers(key) {
             answer.cancel.cancel();
         }
@@ -311,7 +318,7 @@
 }
 
 impl Inner {
-    fn find_answer(&self, key: Key, request: &id::Request) -> Option<Arc<Answer>> {
+    fn find_answer(&self, key: ProgramKey, request: &id::Request) -> Option<Arc<Answer>> {
         if let Some(answer) = self.calls.get(&(key, request.clone())) {
             return Some(answer.clone());
         }
@@ -363,11 +370,11 @@
             return;
         }
         self.finished.insert(ticket.number);
-        let mut turn = *self.current.borrow();
-        while self.finished.remove(&turn) {
-            turn += 1;
+        let mut current = *self.current.borrow();
+        while self.finished.remove(&current) {
+            current += 1;
         }
-        self.current.send_replace(turn);
+        self.current.send_replace(current);
     }
 }
 
--- a/crates/gradedyke/src/owner/sweep.rs
+++ b/crates/gradedyke/src/owner/sweep.rs
@@ -31,7 +31,7 @@
     /// Ends trees that have been idle for too long as of `now`, removes trees that
     /// ended long ago, and trims the logs of slots that have become empty.
     pub async fn sweep(self: &Arc<Self>, now: Instant) {
-        for served_slot in self.all_slots() {
+        for served_slot in self.all_served_slots() {
             for session in served_slot.sessions() {
                 if !session.is_idle() {
                     continue;
@@ -54,7 +54,7 @@
     fn idle_timeout(&self, session: &Session) -> Duration {
         let programs = session.programs();
         let root = programs.first().map(|(key, ..)| *key);
-        let effective = root.and_then(|key| self.effective(session, key).ok());
+        let effective = root.and_then(|key| self.effective_settings(session, key).ok());
         let ms = effective.map_or(gradedyke_base::settings::tree::IDLE_MS, |e| e.idle_ms);
         Duration::from_millis(ms)
     }
--- a/crates/gradedyke/src/owner/takeover.rs
+++ b/crates/gradedyke/src/owner/takeover.rs
@@ -18,9 +18,9 @@
 use super::session::{Session, Submission};
 use super::{Owner, lock};
 use crate::ownership::assign;
-use crate::ownership::map::{SHARDS, Version, locate, slot_at};
+use crate::ownership::map::{SHARDS, VersionedShard, locate, slot_at};
 use crate::program::record::{Intent, Record};
-use crate::program::state::{Key, Trees, apply_record};
+use crate::program::state::{ProgramKey, Trees, apply_record};
 
 /// Delay before a pass that could not recover or hand over every slot is retried.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
@@ -76,7 +76,7 @@
 
     /// Cancels and drops slots that have a newer epoch in the slot map, and drops
     /// slots that are already cancelled.
-    fn drop_moved_slots(&self, view: &[Version]) {
+    fn drop_moved_slots(&self, view: &[VersionedShard]) {
         lock(&self.served_slots).retain(|slot, served_slot| {
             let (shard, index) = locate(*slot);
             let holder = view[usize::from(shard)].shard.holder(index);
@@ -91,7 +91,7 @@
 
     /// Returns the slots of a shard that are assigned to this process and not
     /// served yet.
-    fn unserved_slots(&self, number: u16, version: &Version) -> Vec<Seal> {
+    fn unserved_slots(&self, number: u16, version: &VersionedShard) -> Vec<Seal> {
         let served_slots = lock(&self.served_slots);
         let shard = &version.shard;
         let indices = 0..u16::try_from(shard.slots.len()).unwrap_or(0);
@@ -171,7 +171,7 @@
         self: &Arc<Self>,
         served_slot: &Arc<ServedSlot>,
         session: &Arc<Session>,
-        key: Key,
+        key: ProgramKey,
         request: id::Request,
         intent: Intent,
     ) {
@@ -192,7 +192,7 @@
         };
         // The call was allowed when it was sent, even if the settings have changed
         // since.
-        let effective = self.effective(session, key).unwrap_or_default();
+        let settings = self.effective_settings(session, key).unwrap_or_default();
         let context = Context {
             owner: self.clone(),
             served_slot: served_slot.clone(),
@@ -202,7 +202,7 @@
             request,
             ticket,
             answer,
-            effective,
+            settings,
             accepted_at: Instant::now(),
         };
         self.tasks.spawn(run::resume(context, intent));
@@ -222,7 +222,7 @@
         }
         let mut moves: HashMap<u16, Vec<(u16, id::Instance, Epoch)>> = HashMap::new();
         let mut busy = false;
-        for served_slot in self.all_slots() {
+        for served_slot in self.all_served_slots() {
             let new_owner = assign::preferred_owner(served_slot.slot, &owners);
             if new_owner.is_some_and(|owner| owner.id == self.id) {
                 continue;
--- a/crates/gradedyke/src/owner/tool.rs
+++ b/crates/gradedyke/src/owner/tool.rs
@@ -16,7 +16,7 @@
 use super::run::{Abort, Context, Finished};
 use crate::program::record::Intent;
 use crate::routing::CallInfo;
-use crate::routing::fleet::{BackendClient, Choice, Key};
+use crate::routing::fleet::{BackendClient, Choice, ServerKey};
 use crate::wire::{Outcome, Work};
 
 /// First backoff before another attempt or outcome query.
@@ -25,8 +25,8 @@
 const MAX_RETRY_BACKOFF: Duration = Duration::from_secs(1);
 /// Maximum number of attempts after the first.
 const MAX_RETRIES: u32 = 5;
-/// Maximum number of outcome queries after the first.
-const MAX_OUTCOME_QUERIES: u32 = 5;
+/// Maximum number of retries of an outcome query.
+const MAX_OUTCOME_RETRIES: u32 = 5;
 /// Retry delay suggested to callers when no backend server ran the call.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
 
@@ -67,7 +67,7 @@
     Ok(determine_outcome(context, choice.as_ref(), "its owner was replaced").await)
 }
 
-fn choose(context: &Context, name: &str, avoid: &[Key]) -> Option<Choice> {
+fn choose(context: &Context, name: &str, avoid: &[ServerKey]) -> Option<Choice> {
     let owner = &context.owner;
     let now = Instant::now();
     let candidates = owner.fleet.services(name, avoid, now);
@@ -80,15 +80,15 @@
     owner.fleet.book(key, &[], &[], 0)
 }
 
-/// Makes attempts until one is answered or no retry is left. `sent` tells
-/// whether the call may have run already.
+/// Makes attempts until one is answered or no retry is left. `may_have_run`
+/// tells whether an earlier attempt may have run.
 async fn run_attempts(
     context: &Context,
     name: &str,
     call: &service::Call,
     repeatable: bool,
     first: Option<Choice>,
-    mut sent: bool,
+    mut may_have_run: bool,
 ) -> Result<Finished, Abort> {
     let mut backoff = Backoff::new(MIN_RETRY_BACKOFF, MAX_RETRY_BACKOFF, MAX_RETRIES);
     let mut choice = first;
@@ -112,7 +112,7 @@
             None => Error::NotSent(format!("no backend server offers {name} now")),
         };
         if !failed.not_run() {
-            sent = true;
+            may_have_run = true;
             if !repeatable {
                 return Ok(determine_outcome(context, choice.as_ref(), &failed.to_string()).await);
             }
@@ -121,7 +121,7 @@
             request = %context.request, error = %failed);
         let give_up = context.answer.cancel.is_cancelled() || Instant::now() >= context.deadline();
         let Some(wait) = backoff.wait(rand::random()).filter(|_| !give_up) else {
-            return fail_unavailable(context, &failed, sent).await;
+            return fail_unavailable(context, &failed, may_have_run).await;
         };
         tokio::select! {
             () = tokio::time::sleep(wait) => {}
@@ -173,7 +173,7 @@
 /// Queries the service for the outcome of a call, with retries. If the service
 /// has not seen the call, it is queried again: the call may still be in transit.
 async fn query_outcome(service: &dyn Service, key: &str) -> Option<service::Reply> {
-    let mut backoff = Backoff::new(MIN_RETRY_BACKOFF, MAX_RETRY_BACKOFF, MAX_OUTCOME_QUERIES);
+    let mut backoff = Backoff::new(MIN_RETRY_BACKOFF, MAX_RETRY_BACKOFF, MAX_OUTCOME_RETRIES);
     loop {
         match service.outcome(key).await {
             Ok(Some(reply)) => return Some(reply),
@@ -188,9 +188,13 @@
     Finished { outcome, spent: 0 }
 }
 
-async fn fail_unavailable(context: &Context, error: &Error, sent: bool) -> Result<Finished, Abort> {
+async fn fail_unavailable(
+    context: &Context,
+    error: &Error,
+    may_have_run: bool,
+) -> Result<Finished, Abort> {
     let message = format!("no backend server ran the call ({error}); send it again later");
-    if sent {
+    if may_have_run {
         let problem = Problem::new(Kind::BackendFailed, message).retry_after(RETRY_AFTER);
         return Ok(finished(Outcome::Failed(problem)));
     }
--- a/crates/gradedyke/src/ownership/assign.rs
+++ b/crates/gradedyke/src/ownership/assign.rs
@@ -20,7 +20,7 @@
 use http::Method;
 use tokio_util::sync::CancellationToken;
 
-use super::map::{Map, SHARDS, SLOTS_PER_SHARD, Shard, Version, slot_at};
+use super::map::{Map, SHARDS, SLOTS_PER_SHARD, Shard, VersionedShard, slot_at};
 use crate::membership::{self, Member, Members};
 
 /// Interval between checks of the slot map when nothing has changed.
@@ -225,7 +225,7 @@
     async fn write_assignments(
         &self,
         number: u16,
-        version: &Version,
+        version: &VersionedShard,
         moves: &[(u16, id::Instance)],
     ) {
         let mut shard = version.shard.with_owners(moves);
--- a/crates/gradedyke/src/ownership/map.rs
+++ b/crates/gradedyke/src/ownership/map.rs
@@ -116,7 +116,7 @@
 
 /// A shard with the revision of its key.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Version {
+pub struct VersionedShard {
     /// Revision of the key, or 0 if the key does not exist yet.
     pub revision: Revision,
     /// The shard.
@@ -124,7 +124,7 @@
 }
 
 /// The whole slot map as seen by this process, one item for each shard.
-pub type View = Arc<Vec<Version>>;
+pub type View = Arc<Vec<VersionedShard>>;
 
 /// The slot map, kept up to date by a watch.
 #[derive(Debug)]
@@ -135,7 +135,7 @@
 
 impl Default for Map {
     fn default() -> Self {
-        let empty = vec![Version::default(); usize::from(SHARDS)];
+        let empty = vec![VersionedShard::default(); usize::from(SHARDS)];
         Self {
             view: watch::Sender::new(Arc::new(empty)),
             loaded: watch::Sender::new(false),
@@ -183,7 +183,7 @@
         &self,
         kv: &dyn KeyValue,
         number: u16,
-        known: &Version,
+        known: &VersionedShard,
         shard: Shard,
     ) -> Result<bool, kv::Error> {
         let value = serde_json::to_vec(&shard).map_err(|e| kv::Error::Refused(e.to_string()))?;
@@ -248,7 +248,7 @@
                 return false;
             }
             let mut shards = Vec::clone(view);
-            shards[usize::from(number)] = Version {
+            shards[usize::from(number)] = VersionedShard {
                 revision,
                 shard: Arc::new(shard),
             };
--- a/crates/gradedyke/src/program/state.rs
+++ b/crates/gradedyke/src/program/state.rs
@@ -15,7 +15,7 @@
 
 new_key_type! {
     /// Key of a program in its tree.
-    pub struct Key;
+    pub struct ProgramKey;
 }
 
 /// The stored answer of a call that has ended.
@@ -55,8 +55,8 @@
     pub budget_tokens: u64,
     /// Tokens spent by the tree.
     pub spent: u64,
-    programs: SlotMap<Key, Program>,
-    keys: HashMap<id::Program, Key>,
+    programs: SlotMap<ProgramKey, Program>,
+    keys: HashMap<id::Program, ProgramKey>,
 }
 
 /// The whole state of a tree, as written to the journal.
@@ -139,17 +139,17 @@
     }
 
     /// Returns the key of a program of this tree.
-    pub fn find(&self, id: &id::Program) -> Option<Key> {
+    pub fn find(&self, id: &id::Program) -> Option<ProgramKey> {
         self.keys.get(id).copied()
     }
 
     /// Returns a program by its key.
-    pub fn get(&self, key: Key) -> Option<&Program> {
+    pub fn get(&self, key: ProgramKey) -> Option<&Program> {
         self.programs.get(key)
     }
 
     /// Iterates over the programs of the tree, in no particular order.
-    pub fn programs(&self) -> impl Iterator<Item = (Key, &Program)> {
+    pub fn programs(&self) -> impl Iterator<Item = (ProgramKey, &Program)> {
         self.programs.iter()
     }
 
--- a/crates/gradedyke/src/routing/fleet.rs
+++ b/crates/gradedyke/src/routing/fleet.rs
@@ -23,7 +23,7 @@
 
 new_key_type! {
     /// Key of a backend server in the fleet.
-    pub struct Key;
+    pub struct ServerKey;
 }
 
 /// Timeout of a control call to a backend server.
@@ -49,11 +49,17 @@
     settings: Backend,
     client: BackendClient,
     is_local: bool,
+    /// The last load report.
     load: Load,
+    /// Maximum number of tokens to generate for this owner's calls in flight.
     in_flight_tokens: u64,
+    /// Number of this owner's calls in flight.
     in_flight: u32,
+    /// Prefixes that are assumed cached, with the tokens of the last message of each.
     cached: HashMap<prefix::Key, u64>,
+    /// Number of the last cache event received, or 0.
     last_event: u64,
+    /// Number of consecutive failed calls.
     failures: u32,
     backoff_until: Option<Instant>,
     /// Whether the instance list reports that it is shutting down.
@@ -66,7 +72,7 @@
 #[derive(Clone)]
 pub struct Choice {
     /// Its key.
-    pub key: Key,
+    pub key: ServerKey,
     /// Its name.
     pub id: id::Backend,
     /// Its client.
@@ -80,15 +86,15 @@
 /// however the call ends.
 struct InFlightGuard {
     fleet: Arc<Fleet>,
-    key: Key,
-    work: u64,
+    key: ServerKey,
+    answer_tokens: u64,
 }
 
 impl Drop for InFlightGuard {
     fn drop(&mut self) {
         if let Some(server) = self.fleet.lock().get_mut(self.key) {
             server.in_flight = server.in_flight.saturating_sub(1);
-            server.in_flight_tokens = server.in_flight_tokens.saturating_sub(self.work);
+            server.in_flight_tokens = server.in_flight_tokens.saturating_sub(self.answer_tokens);
         }
     }
 }
@@ -97,7 +103,7 @@
 pub struct Fleet {
     data_centre: String,
     client: Client,
-    servers: Mutex<SlotMap<Key, Server>>,
+    servers: Mutex<SlotMap<ServerKey, Server>>,
 }
 
 impl Fleet {
@@ -111,7 +117,7 @@
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, SlotMap<Key, Server>> {
+    fn lock(&self) -> MutexGuard<'_, SlotMap<ServerKey, Server>> {
         self.servers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -172,7 +178,7 @@
         model: &str,
         chain: &[prefix::Key],
         tokens: &[u64],
-        avoid: &[Key],
+        avoid: &[ServerKey],
         now: Instant,
     ) -> Vec<Candidate> {
         let serves = |s: &Server| match &s.settings {
@@ -184,7 +190,7 @@
 
     /// Returns the backend servers that offer `service` now, without those in
     /// `avoid`.
-    pub fn services(&self, service: &str, avoid: &[Key], now: Instant) -> Vec<Candidate> {
+    pub fn services(&self, service: &str, avoid: &[ServerKey], now: Instant) -> Vec<Candidate> {
         let offers = |s: &Server| match &s.settings {
             Backend::Service { service: name, .. } => name == service,
             Backend::Engine { .. } => false,
@@ -195,13 +201,13 @@
     fn candidates(
         &self,
         fits: impl Fn(&Server) -> bool,
-        avoid: &[Key],
+        avoid: &[ServerKey],
         now: Instant,
         cached: impl Fn(&Server) -> u64,
     ) -> Vec<Candidate> {
         let servers = self.lock();
         let is_available =
-            |(key, s): &(Key, &Server)| fits(s) && !s.is_leaving() && !avoid.contains(key);
+            |(key, s): &(ServerKey, &Server)| fits(s) && !s.is_leaving() && !avoid.contains(key);
         let mut available: Vec<_> = servers.iter().filter(is_available).collect();
         // Backend servers in backoff are skipped while others are available. If
         // all are in backoff, any of them may be tried.
@@ -215,25 +221,25 @@
                 pending_tokens: s.load.pending_tokens + s.in_flight_tokens,
                 in_flight: s.in_flight,
                 cached_tokens: cached(s),
-                near: s.is_local,
+                is_local: s.is_local,
             })
             .collect()
     }
 
-    /// Counts a call with `work` tokens to generate as in flight on a backend
+    /// Counts a call with up to `answer_tokens` tokens to generate as in flight on a backend
     /// server until the returned choice is dropped, and assumes that the prompt's
     /// prefixes are cached there from now on.
     pub fn book(
         self: &Arc<Self>,
-        key: Key,
+        key: ServerKey,
         chain: &[prefix::Key],
         tokens: &[u64],
-        work: u64,
+        answer_tokens: u64,
     ) -> Option<Choice> {
         let mut servers = self.lock();
         let server = servers.get_mut(key)?;
         server.in_flight += 1;
-        server.in_flight_tokens += work;
+        server.in_flight_tokens += answer_tokens;
         if server.cached.len() + chain.len() > MAX_CACHED_PREFIXES {
             server.cached.clear();
         }
@@ -242,7 +248,7 @@
         let guard = InFlightGuard {
             fleet: self.clone(),
             key,
-            work,
+            answer_tokens,
         };
         Some(Choice {
             key,
@@ -253,7 +259,7 @@
     }
 
     /// Records that a call succeeded, which ends the backoff.
-    pub fn succeeded(&self, key: Key) {
+    pub fn succeeded(&self, key: ServerKey) {
         if let Some(server) = self.lock().get_mut(key) {
             server.failures = 0;
             server.backoff_until = None;
@@ -262,7 +268,7 @@
 
     /// Records that a call failed because of the backend server, and starts or
     /// extends its backoff.
-    pub fn failed(&self, key: Key, now: Instant) {
+    pub fn failed(&self, key: ServerKey, now: Instant) {
         if let Some(server) = self.lock().get_mut(key) {
             let backoff = MIN_FAILURE_BACKOFF * 2_u32.saturating_pow(server.failures.min(10));
             server.failures += 1;
@@ -271,7 +277,7 @@
     }
 
     /// Stores a load report.
-    pub fn report(&self, key: Key, load: Load) {
+    pub fn report(&self, key: ServerKey, load: Load) {
         if let Some(server) = self.lock().get_mut(key) {
             server.load = load;
         }
@@ -286,7 +292,7 @@
     }
 
     /// Applies cache events of an engine.
-    pub fn cache_events(&self, key: Key, events: &[CacheEvent]) {
+    pub fn cache_events(&self, key: ServerKey, events: &[CacheEvent]) {
         let mut servers = self.lock();
         let Some(server) = servers.get_mut(key) else {
             return;
@@ -305,14 +311,14 @@
 
     /// Returns the number of the last cache event received from a backend server,
     /// or 0.
-    pub fn last_event(&self, key: Key) -> u64 {
+    pub fn last_event(&self, key: ServerKey) -> u64 {
         self.lock().get(key).map_or(0, |s| s.last_event)
     }
 
     /// Returns all engines.
-    pub fn all_engines(&self) -> Vec<(Key, id::Backend, Arc<dyn Engine>)> {
+    pub fn all_engines(&self) -> Vec<(ServerKey, id::Backend, Arc<dyn Engine>)> {
         let servers = self.lock();
-        let engine = |(key, s): (Key, &Server)| match &s.client {
+        let engine = |(key, s): (ServerKey, &Server)| match &s.client {
             BackendClient::Engine(engine) => Some((key, s.id.clone(), engine.clone())),
             BackendClient::Service(_) => None,
         };
--- a/crates/gradedyke/src/routing/mod.rs
+++ b/crates/gradedyke/src/routing/mod.rs
@@ -35,7 +35,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
     /// The backend server.
-    pub key: fleet::Key,
+    pub key: fleet::ServerKey,
     /// Tokens pending there: as last reported, plus those of calls from this owner
     /// that are in flight.
     pub pending_tokens: u64,
@@ -44,7 +44,7 @@
     /// Estimated tokens of the prompt that are cached there.
     pub cached_tokens: u64,
     /// Whether it is in this owner's data centre.
-    pub near: bool,
+    pub is_local: bool,
 }
 
 /// A routing policy: chooses the backend server that runs a call.
--- a/crates/gradedyke/src/routing/prefix.rs
+++ b/crates/gradedyke/src/routing/prefix.rs
@@ -27,7 +27,7 @@
         .prompt_tokens
         .saturating_sub(candidate.cached_tokens);
     let pending = candidate.pending_tokens as f64 / BATCH_TOKENS + f64::from(candidate.in_flight);
-    let distance = if candidate.near {
+    let distance = if candidate.is_local {
         0.0
     } else {
         REMOTE_COST_TOKENS
