--- a/crates/gradedyke/src/owner/rpc.rs
+++ b/crates/gradedyke/src/owner/rpc.rs
@@ -218,7 +218,7 @@
         let limit = effective.budget_tokens;
         Ok(opening
             .budget_tokens
-            .map_or(limit, |asked| asked.min(limit)))
+            .map_or(limit, |requested| requested.min(limit)))
     }
 
     /// Returns the session in which to open a sub-agent, or `None` for a root.
--- a/crates/gradedyke/src/owner/takeover.rs
+++ b/crates/gradedyke/src/owner/takeover.rs
@@ -59,15 +59,15 @@
         let view = self.map.view();
         self.drop_moved_slots(&view);
         let mut complete = true;
-        for (number, version) in view.iter().enumerate() {
+        for (number, stored) in view.iter().enumerate() {
             let number = u16::try_from(number).unwrap_or(SHARDS);
-            let seals = self.unserved_slots(number, version);
+            let seals = self.unserved_slots(number, stored);
             if seals.is_empty() {
                 continue;
             }
             let claim = Claim {
                 seals,
-                keepers: version.shard.keepers.clone().into(),
+                keepers: stored.shard.keepers.clone().into(),
             };
             complete &= self.recover_slots(&claim).await;
         }
@@ -91,9 +91,9 @@
 
     /// Returns the slots of a shard that are assigned to this process and not
     /// served yet.
-    fn unserved_slots(&self, number: u16, version: &VersionedShard) -> Vec<Seal> {
+    fn unserved_slots(&self, number: u16, stored: &VersionedShard) -> Vec<Seal> {
         let served_slots = lock(&self.served_slots);
-        let shard = &version.shard;
+        let shard = &stored.shard;
         let indices = 0..u16::try_from(shard.slots.len()).unwrap_or(0);
         let seals = indices.filter_map(|index| {
             let slot = slot_at(number, index);
@@ -266,9 +266,9 @@
         moves: &[(u16, id::Instance, Epoch)],
         draining: bool,
     ) -> bool {
-        let version = self.map.view()[usize::from(number)].clone();
+        let stored = self.map.view()[usize::from(number)].clone();
         let still_owned = |(index, _, epoch): &&(u16, id::Instance, Epoch)| {
-            version
+            stored
                 .shard
                 .holder(*index)
                 .is_some_and(|h| h.epoch == *epoch)
@@ -281,10 +281,10 @@
         if current.is_empty() {
             return true;
         }
-        let shard = version.shard.with_owners(&current);
+        let shard = stored.shard.with_owners(&current);
         match self
             .map
-            .compare_and_swap(&*self.kv, number, &version, shard)
+            .compare_and_swap(&*self.kv, number, &stored, shard)
             .await
         {
             Ok(true) => {
--- a/crates/gradedyke/src/ownership/assign.rs
+++ b/crates/gradedyke/src/ownership/assign.rs
@@ -1,6 +1,6 @@
 //! Assigns slots without a live owner to a live one.
 //!
-//! Every owner watches the members and the slot map. For each shard, the member
+//! Every owner watches the members and the slot map. For each shard, the owner
 //! with the highest rendezvous weight does the assigning, so that usually one
 //! process writes a shard; if views differ and two write, compare-and-swap lets
 //! one win. Before the slots of an owner that is not in the members are moved, the
@@ -161,7 +161,7 @@
         }
         let owners = eligible_owners(&members);
         let view = self.map.view();
-        let has_unassigned = view.iter().any(|version| version.shard.keepers.is_empty());
+        let has_unassigned = view.iter().any(|stored| stored.shard.keepers.is_empty());
         if has_unassigned && keepers(0, &members, self.copies).len() < self.copies {
             tracing::warn!(event = "keepers_awaited", copies = self.copies);
             return;
@@ -172,13 +172,13 @@
             if assigner.is_none_or(|m| m.id != own) {
                 continue;
             }
-            let version = &view[usize::from(number)];
-            self.probe_owners(&version.shard, &members, &mut liveness)
+            let stored = &view[usize::from(number)];
+            self.probe_owners(&stored.shard, &members, &mut liveness)
                 .await;
             let is_down = |owner: &id::Instance| !liveness.get(owner).copied().unwrap_or(false);
-            let moves = reassignments(number, &version.shard, &members, is_down);
+            let moves = reassignments(number, &stored.shard, &members, is_down);
             if !moves.is_empty() {
-                self.write_assignments(number, version, &moves).await;
+                self.write_assignments(number, stored, &moves).await;
             }
         }
     }
@@ -213,11 +213,11 @@
     }
 
     async fn is_alive(&self, member: &Member) -> bool {
-        let none = None::<&()>;
+        let no_body = None::<&()>;
         let path = format!("/lives/{}", member.id);
         let answer: Result<bool, _> = self
             .client
-            .json(Method::GET, member.peer, &path, none, PROBE_TIMEOUT)
+            .json(Method::GET, member.peer, &path, no_body, PROBE_TIMEOUT)
             .await;
         answer.unwrap_or(false)
     }
@@ -225,17 +225,17 @@
     async fn write_assignments(
         &self,
         number: u16,
-        version: &VersionedShard,
+        stored: &VersionedShard,
         moves: &[(u16, id::Instance)],
     ) {
-        let mut shard = version.shard.with_owners(moves);
+        let mut shard = stored.shard.with_owners(moves);
         if shard.keepers.is_empty() {
             shard.keepers = keepers(number, &self.members.view(), self.copies);
         }
         let epoch = shard.epoch;
         match self
             .map
-            .compare_and_swap(&*self.kv, number, version, shard)
+            .compare_and_swap(&*self.kv, number, stored, shard)
             .await
         {
             Ok(true) => {
--- a/crates/gradedyke/src/ownership/map.rs
+++ b/crates/gradedyke/src/ownership/map.rs
@@ -162,7 +162,7 @@
     /// Returns whether every shard has been written, so that every slot has an owner.
     pub fn assigned(&self) -> bool {
         let view = self.view.borrow();
-        view.iter().all(|version| version.revision > 0)
+        view.iter().all(|stored| stored.revision > 0)
     }
 
     /// Returns the owner of a slot in the local view.
--- a/crates/gradedyke/src/program/record.rs
+++ b/crates/gradedyke/src/program/record.rs
@@ -1,8 +1,8 @@
 //! Journal records of programs.
 //!
-//! Each call appends two records: an intent before it is sent to a backend server,
-//! and an outcome before the caller gets it. After a crash, an intent without an
-//! outcome is a call that may have run.
+//! A call that is sent to a backend server has two records: an intent, appended
+//! before it is sent, and its outcome, appended before the caller gets it. After a
+//! crash, an intent without an outcome is a call that may have run.
 
 use gradedyke_base::id;
 use serde::{Deserialize, Serialize};
@@ -35,7 +35,7 @@
     pub backend: Option<id::Backend>,
     /// Id of the first attempt, or the idempotency key for a plain service.
     pub attempt: String,
-    /// Tokens reserved for it.
+    /// Tokens reserved for one attempt.
     pub reserved: u64,
 }
 
--- a/crates/gradedyke/src/program/state.rs
+++ b/crates/gradedyke/src/program/state.rs
@@ -20,7 +20,7 @@
 
 /// The stored answer of a call that has ended.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Answer {
+pub struct StoredAnswer {
     /// Hash of the call as the caller sent it, to detect a reused request id.
     pub fingerprint: String,
     /// How the call ended.
@@ -39,7 +39,7 @@
     /// Tokens of the conversation, as last reported by an engine.
     pub history_tokens: u64,
     /// Answers of calls that have ended, by request.
-    pub answers: BTreeMap<id::Request, Answer>,
+    pub answers: BTreeMap<id::Request, StoredAnswer>,
     /// Calls with an intent and no outcome yet, by request.
     pub open: BTreeMap<id::Request, Intent>,
     /// Why it ended, if it has.
@@ -94,7 +94,7 @@
             self.history.push(completion.message());
             self.history_tokens = completion.usage.total_tokens;
         }
-        let answer = Answer {
+        let answer = StoredAnswer {
             fingerprint: intent.fingerprint,
             outcome: outcome.clone(),
         };
