--- a/crates/gradedyke/src/owner/accept.rs
+++ b/crates/gradedyke/src/owner/accept.rs
@@ -1,4 +1,4 @@
-//! Takes calls in from entries and streams their answers back.
+//! Accepts calls from entries and streams the answers back.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,35 +15,35 @@
 use tokio::time::Instant;
 
 use super::answer::{Answer, End};
-use super::holding::Holding;
+use super::holding::ServedSlot;
 use super::run::{self, Context};
-use super::session::{Arrival, Session};
-use super::{Owner, moving};
-use crate::program::state::Key;
+use super::session::{Session, Submission};
+use super::{Owner, slot_moving};
+use crate::program::state::ProgramKey;
 use crate::wire::{Call, Frame, MAX_FRAME, MODEL, Outcome, Work};
 
-/// Longest time for a call to arrive from an entry.
-const ARRIVAL: Duration = Duration::from_secs(30);
-/// Chunks that may wait for a slow entry; the text itself waits in the answer.
-const CHUNKS: usize = 2;
+/// Timeout for receiving the body of a call from an entry.
+const BODY_TIMEOUT: Duration = Duration::from_secs(30);
+/// Chunks buffered for a slow entry; the text itself is kept in the answer.
+const CHANNEL_CAPACITY: usize = 2;
 
-/// The listener for calls from entries.
-pub struct Calls {
+/// HTTP handler of calls from entries.
+pub struct CallHandler {
     owner: Arc<Owner>,
 }
 
-impl Calls {
-    /// Calls to `owner`.
+impl CallHandler {
+    /// Creates a handler that passes calls to `owner`.
     pub fn new(owner: Arc<Owner>) -> Self {
         Self { owner }
     }
 
-    async fn take(&self, request: Request<Incoming>) -> Result<Response<Body>, Problem> {
-        let bytes = body::collect(request.into_body(), MAX_FRAME, ARRIVAL).await?;
+    async fn handle_call(&self, request: Request<Incoming>) -> Result<Response<Body>, Problem> {
+        let bytes = body::collect(request.into_body(), MAX_FRAME, BODY_TIMEOUT).await?;
         let call: Call = reply::parse(&bytes)?;
         let answer = self.owner.accept(&call, Instant::now())?;
         let offset = check_offset(&answer, &call)?;
-        let (sender, body) = body::channel(CHUNKS);
+        let (sender, body) = body::channel(CHANNEL_CAPACITY);
         let mut reply = Response::new(body);
         if let Ok(model) = HeaderValue::from_str(&answer.model) {
             reply.headers_mut().insert(MODEL, model);
@@ -54,9 +54,9 @@
 }
 
 #[async_trait]
-impl Handler for Calls {
+impl Handler for CallHandler {
     async fn handle(&self, request: Request<Incoming>) -> Response<Body> {
-        match self.take(request).await {
+        match self.handle_call(request).await {
             Ok(reply) => reply,
             Err(problem) => reply::problem(&problem),
         }
@@ -64,53 +64,58 @@
 }
 
 impl Owner {
-    /// Takes a call in: returns its answer, which may be under way already.
+    /// Accepts a call and returns its answer. A repeat of a known request returns
+    /// the existing answer, which may be in progress or complete.
     ///
     /// # Errors
     ///
-    /// The problem for the caller; the call did not run.
+    /// The error for the caller; the call did not run.
     pub fn accept(self: &Arc<Self>, call: &Call, now: Instant) -> Result<Arc<Answer>, Problem> {
-        let holding = self.holding(call.program.slot())?;
-        let session = holding.find(&call.account, &call.program)?;
+        let served_slot = self.served_slot(call.program.slot())?;
+        let session = served_slot.find(&call.account, &call.program)?;
         let key = session
             .find(&call.program)
-            .ok_or_else(super::holding::unknown)?;
-        session.touch(now);
+            .ok_or_else(super::holding::program_not_found)?;
+        session.record_activity(now);
         let Some(work) = &call.work else {
-            return session.known(key, &call.request).ok_or_else(not_issued);
+            return session
+                .find_answer(key, &call.request)
+                .ok_or_else(request_not_found);
         };
         let fingerprint = fingerprint(work)?;
-        // Nothing may fail between a call's arrival and its run, so what a new
-        // call needs is looked up before it. A known one needs nothing.
-        let effective = match session.known(key, &call.request) {
+        // Nothing may fail between enqueueing a call and spawning its task, so
+        // the settings of a new call are looked up first.
+        let settings = match session.find_answer(key, &call.request) {
             Some(_) => Effective::default(),
-            None => self.check(&holding, &session, key, work)?,
+            None => self.check_new_call(&served_slot, &session, key, work)?,
         };
-        let new = || {
+        let new_answer = || {
             let model = work.model().to_owned();
-            Answer::new(fingerprint.clone(), model, holding.stop.child_token())
+            Answer::new(fingerprint.clone(), model, served_slot.stop.child_token())
         };
-        let arrival = session.arrive(key, &call.request, call.sequence, &fingerprint, new)?;
-        match arrival {
-            Arrival::Known(answer) => Ok(answer),
-            Arrival::New(answer, ticket) => {
-                if holding.closing() {
-                    // The slot began to close after it was looked at; either
-                    // this is seen here, or the call is seen there.
+        let submission =
+            session.submit(key, &call.request, call.sequence, &fingerprint, new_answer)?;
+        match submission {
+            Submission::Known(answer) => Ok(answer),
+            Submission::New(answer, ticket) => {
+                if served_slot.is_closing() {
+                    // The slot began to close after `check_new_call`. This second
+                    // check is needed because a handover that starts before the
+                    // call is queued does not see the call.
                     session.finish(key, &call.request, ticket, End::Moved, false);
-                    return Err(moving());
+                    return Err(slot_moving());
                 }
                 let context = Context {
                     owner: self.clone(),
-                    holding,
+                    served_slot,
                     session,
                     key,
                     program: call.program.clone(),
                     request: call.request.clone(),
                     ticket,
                     answer: answer.clone(),
-                    effective,
-                    came: now,
+                    settings,
+                    accepted_at: now,
                 };
                 self.tasks.spawn(run::run(context, work.clone()));
                 Ok(answer)
@@ -118,8 +123,12 @@
         }
     }
 
-    /// The settings of a program's agent program.
-    pub(super) fn effective(&self, session: &Session, key: Key) -> Result<Effective, Problem> {
+    /// Returns the effective settings of a program's agent program.
+    pub(super) fn effective_settings(
+        &self,
+        session: &Session,
+        key: ProgramKey,
+    ) -> Result<Effective, Problem> {
         let agent = session.read(key, |p| p.agent.clone()).unwrap_or_default();
         let tree = self.current.get();
         tree.tree.agent(&session.account, &agent).ok_or_else(|| {
@@ -129,25 +138,24 @@
         })
     }
 
-    /// Checks that a new call may be issued, and returns the settings it runs
-    /// under.
-    fn check(
+    /// Checks that a new call is allowed, and returns its effective settings.
+    fn check_new_call(
         &self,
-        holding: &Holding,
+        served_slot: &ServedSlot,
         session: &Session,
-        key: Key,
+        key: ProgramKey,
         work: &Work,
     ) -> Result<Effective, Problem> {
-        if holding.closing() {
-            return Err(moving());
+        if served_slot.is_closing() {
+            return Err(slot_moving());
         }
         let ended = session.read(key, |p| p.ended.is_some()).unwrap_or(true);
         if ended {
-            return Err(run::cancelled());
+            return Err(run::program_ended());
         }
-        let effective = self.effective(session, key)?;
+        let settings = self.effective_settings(session, key)?;
         let turns = session.read(key, |p| p.answers.len()).unwrap_or(0);
-        if turns >= effective.max_turns as usize {
+        if turns >= settings.max_turns as usize {
             let message = format!(
                 "the program has issued {turns} calls, its limit; end it and open a new one"
             );
@@ -156,16 +164,16 @@
         match work {
             Work::Chat { request, .. } => {
                 request.check()?;
-                allowed("model", &request.model, &effective.models)?;
+                check_allowed("model", &request.model, &settings.models)?;
             }
-            Work::Service { service, .. } => allowed("service", service, &effective.services)?,
+            Work::Service { service, .. } => check_allowed("service", service, &settings.services)?,
         }
-        Ok(effective)
+        Ok(settings)
     }
 }
 
-fn allowed(what: &str, name: &str, names: &[String]) -> Result<(), Problem> {
-    if names.iter().any(|n| n == name) {
+fn check_allowed(what: &str, name: &str, names: &[String]) -> Result<(), Problem> {
+    if names.iter().any(|allowed| allowed == name) {
         return Ok(());
     }
     let message = format!(
@@ -175,13 +183,13 @@
     Err(Problem::new(Kind::NotFound, message))
 }
 
-fn not_issued() -> Problem {
+fn request_not_found() -> Problem {
     let message = "no such request in this program; issue the call first";
     Problem::new(Kind::NotFound, message)
 }
 
-/// What tells one call from another under the same request id. Whether the
-/// answer is streamed is no difference.
+/// Hash of a call, to detect a request id that is reused for another call. It
+/// doesn't depend on whether the answer is streamed.
 fn fingerprint(work: &Work) -> Result<String, Problem> {
     let mut work = work.clone();
     if let Work::Chat { request, .. } = &mut work {
@@ -195,25 +203,27 @@
     Ok(blake3::hash(&bytes).to_hex()[..32].to_owned())
 }
 
-/// Checks that the text the caller has is the text that is here.
+/// Checks that the text the caller already has is a prefix of this answer, and
+/// returns the offset to continue from.
 fn check_offset(answer: &Answer, call: &Call) -> Result<usize, Problem> {
     let offset = usize::try_from(call.offset).unwrap_or(usize::MAX);
     let (true, Some(seen)) = (offset > 0, &call.seen) else {
         return Ok(offset);
     };
-    match answer.hash(offset) {
+    match answer.prefix_hash(offset) {
         Some(hash) if hash != *seen => {
             let message = "the answer had to be started anew and differs from what you have; \
                            fetch it whole with the same request id";
             Err(Problem::new(Kind::BackendFailed, message))
         }
-        // The new owner has not come as far yet; the text is checked again
-        // when the stream gets there.
+        // A new owner may not have generated that much text yet; `stream` waits
+        // until the answer reaches the offset.
         _ => Ok(offset),
     }
 }
 
-/// Streams an answer from `offset` on.
+/// Streams an answer to an entry, starting at byte `offset` of the text. With
+/// `whole`, only the end is sent.
 async fn stream(answer: Arc<Answer>, offset: usize, whole: bool, sender: Sender) {
     let mut changes = answer.subscribe();
     let mut offset = offset;
@@ -222,14 +232,14 @@
         let end = if whole {
             answer.end()
         } else {
-            match next(&answer, &mut offset, &sender).await {
+            match send_update(&answer, &mut offset, &sender).await {
                 Ok(end) => end,
-                Err(Gone) => return,
+                Err(ReaderClosed) => return,
             }
         };
         match end {
             Some(End::Outcome(outcome)) => {
-                let _ = send(&sender, &Frame::end(&outcome)).await;
+                let _ = send_frame(&sender, &Frame::end(&outcome)).await;
                 return;
             }
             Some(End::Moved) => {
@@ -245,38 +255,44 @@
     }
 }
 
-/// The reader has gone.
-struct Gone;
+/// The reader closed the connection.
+struct ReaderClosed;
 
-/// Sends the text that has come since `offset`.
-async fn next(answer: &Answer, offset: &mut usize, sender: &Sender) -> Result<Option<End>, Gone> {
-    let Some(news) = answer.since(*offset) else {
-        // The reader is ahead: the answer is being resumed here. Unless it has
-        // ended shorter, wait until it gets there.
+/// Sends the text after `offset` and advances it. Returns the end of the answer
+/// if there is one.
+async fn send_update(
+    answer: &Answer,
+    offset: &mut usize,
+    sender: &Sender,
+) -> Result<Option<End>, ReaderClosed> {
+    let Some(update) = answer.read_from(*offset) else {
+        // The reader has more text than this answer, which is being resumed
+        // here. Wait for more text, unless the answer has ended.
         return Ok(answer.end());
     };
-    if !news.text.is_empty() {
-        let at = *offset as u64;
-        *offset += news.text.len();
-        send(sender, &Frame::Text(at, news.text)).await?;
+    if !update.text.is_empty() {
+        let start = *offset as u64;
+        *offset += update.text.len();
+        send_frame(sender, &Frame::Text(start, update.text)).await?;
     }
-    Ok(news.end)
+    Ok(update.end)
 }
 
-async fn send(sender: &Sender, frame: &Frame) -> Result<(), Gone> {
+async fn send_frame(sender: &Sender, frame: &Frame) -> Result<(), ReaderClosed> {
     let bytes = frame.encode().unwrap_or_else(|error| {
         tracing::error!(event = "frame_not_sent", %error);
         Bytes::new()
     });
-    sender.send(Ok(bytes)).await.map_err(|_| Gone)
+    sender.send(Ok(bytes)).await.map_err(|_| ReaderClosed)
 }
 
-/// The problem that ends a call, as its outcome.
-pub(super) fn failed(problem: Problem) -> End {
+/// Returns the end of a call that failed with `problem`.
+pub(super) fn failed_end(problem: Problem) -> End {
     End::Outcome(Outcome::Failed(problem))
 }
 
-/// A request's name towards backend servers, the same for every attempt.
+/// Returns the idempotency key that is sent to backend servers, the same for
+/// every attempt at a request.
 pub(super) fn idempotency_key(program: &id::Program, request: &id::Request) -> String {
     format!("{program}:{request}")
 }
--- a/crates/gradedyke/src/owner/answer.rs
+++ b/crates/gradedyke/src/owner/answer.rs
@@ -1,8 +1,8 @@
-//! An answer while it comes in.
+//! The answer of a call, readable while it is generated.
 //!
-//! The text is kept once, whatever the number of readers; each reader takes
-//! what has come since its own offset. A slow reader thus gets larger pieces,
-//! never a longer queue, and a reader that comes back goes on at its offset.
+//! All readers share one copy of the text, and each reads from its own offset. A
+//! slow reader thus gets larger pieces instead of a growing queue, and a reader
+//! that reconnects continues at its offset.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
@@ -11,21 +11,21 @@
 
 use crate::wire::Outcome;
 
-/// How an answer under way ends.
+/// How an answer ends.
 #[derive(Clone, Debug, PartialEq)]
 pub enum End {
-    /// With an outcome.
+    /// The call ended with this outcome.
     Outcome(Outcome),
-    /// Here without one: ask the program's owner again.
+    /// The slot moved to another owner, which continues the call: ask that owner.
     Moved,
 }
 
-/// What has come since a reader's offset.
+/// The part of an answer after a reader's offset.
 #[derive(Clone, Debug, PartialEq)]
-pub struct News {
-    /// New text.
+pub struct Update {
+    /// Text after the offset.
     pub text: String,
-    /// The end, if there.
+    /// How the answer ended, if it has.
     pub end: Option<End>,
 }
 
@@ -33,24 +33,24 @@
 struct State {
     text: String,
     end: Option<End>,
-    read: bool,
+    was_read: bool,
 }
 
-/// An answer under way.
+/// The answer of a call in progress or of a call that has ended.
 #[derive(Debug)]
 pub struct Answer {
-    /// Hash of the work as the caller sent it.
+    /// Hash of the call as the caller sent it, to detect a reused request id.
     pub fingerprint: String,
-    /// The model that answers; empty for a plain service.
+    /// The model that generates it; empty for a plain service.
     pub model: String,
-    /// Cancels the call.
+    /// Token that cancels the call.
     pub cancel: CancellationToken,
     state: Mutex<State>,
     changed: watch::Sender<()>,
 }
 
 impl Answer {
-    /// An answer of which nothing has come yet.
+    /// Creates an empty answer of a call in progress.
     pub fn new(fingerprint: String, model: String, cancel: CancellationToken) -> Self {
         Self {
             fingerprint,
@@ -61,8 +61,8 @@
         }
     }
 
-    /// An answer that is whole already.
-    pub fn ended(fingerprint: String, outcome: Outcome) -> Self {
+    /// Creates the answer of a call that has ended.
+    pub fn finished(fingerprint: String, outcome: Outcome) -> Self {
         let model = match &outcome {
             Outcome::Chat(completion) => completion.model.clone(),
             Outcome::Service(_) | Outcome::Failed(_) => String::new(),
@@ -76,19 +76,19 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Writes text at a byte offset. Text that is there already must be the
-    /// same; tells whether it is.
+    /// Writes text at a byte offset. Returns whether it agrees with the text that
+    /// is already there; if not, nothing is written.
     ///
     /// ```
     /// use gradedyke::owner::answer::Answer;
     ///
     /// let answer = Answer::new(String::new(), String::new(), Default::default());
-    /// assert!(answer.write(0, "two "));
-    /// assert!(answer.write(0, "two words"));
-    /// assert!(!answer.write(0, "three"));
+    /// assert!(answer.write_at(0, "two "));
+    /// assert!(answer.write_at(0, "two words"));
+    /// assert!(!answer.write_at(0, "three"));
     /// assert_eq!(answer.text(), "two words");
     /// ```
-    pub fn write(&self, offset: usize, text: &str) -> bool {
+    pub fn write_at(&self, offset: usize, text: &str) -> bool {
         let mut state = self.lock();
         let Some(known) = state.text.get(offset..) else {
             return false;
@@ -105,31 +105,31 @@
         true
     }
 
-    /// Bytes of text so far.
+    /// Returns the length of the text so far, in bytes.
     pub fn len(&self) -> usize {
         self.lock().text.len()
     }
 
-    /// Whether no text has come.
+    /// Returns whether there is no text yet.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// The text so far.
+    /// Returns the text so far.
     pub fn text(&self) -> String {
         self.lock().text.clone()
     }
 
-    /// Begins the text anew, unless a reader has had some of it already: then
-    /// what comes must repeat it.
+    /// Clears the text before another attempt. If a reader has already received
+    /// text, it stays and the new attempt must produce the same text.
     pub fn restart(&self) {
         let mut state = self.lock();
-        if !state.read {
+        if !state.was_read {
             state.text.clear();
         }
     }
 
-    /// Ends the answer. A second end is ignored.
+    /// Ends the answer. Any later call is ignored.
     pub fn finish(&self, end: End) {
         let mut state = self.lock();
         if let (End::Outcome(Outcome::Chat(completion)), true) = (&end, state.text.is_empty()) {
@@ -140,40 +140,41 @@
         self.changed.send_replace(());
     }
 
-    /// Follows changes.
+    /// Returns a receiver that is notified of every change.
     pub fn subscribe(&self) -> watch::Receiver<()> {
         self.changed.subscribe()
     }
 
-    /// What has come since `offset`, or `None` when the text cannot be cut
-    /// there.
+    /// Reads from byte `offset` on. Returns `None` if the offset is beyond the text
+    /// or inside a character.
     ///
     /// ```
     /// use gradedyke::owner::answer::Answer;
     ///
     /// let answer = Answer::new(String::new(), String::new(), Default::default());
-    /// answer.write(0, "two words");
-    /// assert_eq!(answer.since(4).unwrap().text, "words");
-    /// assert!(answer.since(40).is_none());
+    /// answer.write_at(0, "two words");
+    /// assert_eq!(answer.read_from(4).unwrap().text, "words");
+    /// assert!(answer.read_from(40).is_none());
     /// ```
-    pub fn since(&self, offset: usize) -> Option<News> {
+    pub fn read_from(&self, offset: usize) -> Option<Update> {
         let mut state = self.lock();
         let text = state.text.get(offset..)?.to_owned();
-        state.read |= !text.is_empty();
-        Some(News {
+        state.was_read |= !text.is_empty();
+        Some(Update {
             text,
             end: state.end.clone(),
         })
     }
 
-    /// BLAKE3 of the first `length` bytes of the text, if there are so many.
-    pub fn hash(&self, length: usize) -> Option<String> {
+    /// Returns the BLAKE3 hash of the first `length` bytes of the text in hex, or
+    /// `None` if the text is shorter.
+    pub fn prefix_hash(&self, length: usize) -> Option<String> {
         let state = self.lock();
         let head = state.text.as_bytes().get(..length)?;
         Some(blake3::hash(head).to_hex().to_string())
     }
 
-    /// The end, if it has come.
+    /// Returns how the answer ended, if it has.
     pub fn end(&self) -> Option<End> {
         self.lock().end.clone()
     }
--- a/crates/gradedyke/src/owner/attempt.rs
+++ b/crates/gradedyke/src/owner/attempt.rs
@@ -1,5 +1,5 @@
-//! One attempt at a model call: send it, read its stream, resume it where it
-//! broke off.
+//! One attempt at a model call: sends it, reads the response stream and resumes
+//! an interrupted stream.
 
 use std::time::Duration;
 
@@ -10,120 +10,124 @@
 use tokio::time::Instant;
 
 use super::run::Context;
-use crate::routing::fleet::{Choice, Link};
+use crate::routing::fleet::{BackendClient, Choice};
 
-/// Times that a cut stream is resumed at the same engine.
-const RESUMES: u32 = 2;
-/// First wait before a lost attempt is cancelled again.
-const CANCEL_FIRST: Duration = Duration::from_millis(50);
-/// Longest such wait.
-const CANCEL_LAST: Duration = Duration::from_secs(2);
-/// Times that a lost attempt is cancelled before it is left to its end.
-const CANCELS: u32 = 8;
+/// Maximum number of times an interrupted stream is resumed on the same engine.
+const MAX_RESUMES: u32 = 2;
+/// First backoff before a failed cancellation is retried.
+const MIN_CANCEL_BACKOFF: Duration = Duration::from_millis(50);
+/// Maximum backoff between cancellation retries.
+const MAX_CANCEL_BACKOFF: Duration = Duration::from_secs(2);
+/// Maximum number of retries of a cancellation.
+const MAX_CANCEL_RETRIES: u32 = 8;
 
 /// How an attempt ended.
-pub(super) enum Attempt {
-    /// The answer is whole.
-    Whole(Completion, Option<Usage>),
+pub(super) enum AttemptResult {
+    /// The answer is complete.
+    Complete(Completion, Option<Usage>),
     /// It certainly did not run.
     NotRun(Error),
-    /// The call itself is at fault.
+    /// The engine rejected the call as invalid.
     Invalid(Error),
-    /// It may have run, and its answer is lost.
+    /// It may have run, but its answer is lost.
     Lost(Error),
-    /// It gives another answer than the one that readers have begun to read.
-    Differs,
+    /// Its text differs from text that readers have already received.
+    Diverged,
 }
 
-/// Makes one attempt, cancelled by the caller, by the end of the program or by
-/// the deadline.
-pub(super) async fn make(context: &Context, call: &Call, choice: &Choice) -> Attempt {
-    let Link::Engine(engine) = &choice.link else {
-        return Attempt::NotRun(Error::NotSent("not an engine".to_owned()));
+/// Runs one attempt. The caller, the end of the program or the deadline can
+/// cancel it.
+pub(super) async fn run(context: &Context, call: &Call, choice: &Choice) -> AttemptResult {
+    let BackendClient::Engine(engine) = &choice.client else {
+        return AttemptResult::NotRun(Error::NotSent("not an engine".to_owned()));
     };
     let fleet = &context.owner.fleet;
-    let exchange = async {
+    let response = async {
         let chunks = match engine.chat(call).await {
             Ok(chunks) => chunks,
             Err(error) => return classify(error),
         };
         context.answer.restart();
-        match read(context, chunks, 0).await {
-            Ok(attempt) => attempt,
-            Err(_) => resume(context, choice, &call.attempt, RESUMES).await,
+        match read_stream(context, chunks, 0).await {
+            Ok(result) => result,
+            Err(_) => resume(context, choice, &call.attempt, MAX_RESUMES).await,
         }
     };
-    let attempt = tokio::select! {
-        attempt = exchange => attempt,
+    let result = tokio::select! {
+        result = response => result,
         () = context.answer.cancel.cancelled() => {
-            Attempt::Lost(Error::Broken("cancelled".to_owned()))
+            AttemptResult::Lost(Error::Broken("cancelled".to_owned()))
         }
         () = tokio::time::sleep_until(context.deadline()) => {
-            Attempt::Lost(Error::Broken("the deadline passed".to_owned()))
+            AttemptResult::Lost(Error::Broken("the deadline passed".to_owned()))
         }
     };
-    match &attempt {
-        Attempt::Whole(..) => fleet.succeeded(choice.key),
-        Attempt::NotRun(_) | Attempt::Lost(_) => fleet.failed(choice.key, Instant::now()),
-        Attempt::Invalid(_) | Attempt::Differs => {}
+    match &result {
+        AttemptResult::Complete(..) => fleet.succeeded(choice.key),
+        AttemptResult::NotRun(_) | AttemptResult::Lost(_) => {
+            fleet.failed(choice.key, Instant::now())
+        }
+        AttemptResult::Invalid(_) | AttemptResult::Diverged => {}
     }
-    attempt
+    result
 }
 
-fn classify(error: Error) -> Attempt {
+fn classify(error: Error) -> AttemptResult {
     match error {
-        Error::Invalid { .. } => Attempt::Invalid(error),
-        Error::Broken(_) => Attempt::Lost(error),
-        _ => Attempt::NotRun(error),
+        Error::Invalid { .. } => AttemptResult::Invalid(error),
+        Error::Broken(_) => AttemptResult::Lost(error),
+        _ => AttemptResult::NotRun(error),
     }
 }
 
-/// Resumes a cut stream at the engine that has it.
+/// Resumes an interrupted stream on the engine that runs the attempt, with up to
+/// `tries` tries.
 pub(super) async fn resume(
     context: &Context,
     choice: &Choice,
-    attempt: &str,
+    attempt_id: &str,
     tries: u32,
-) -> Attempt {
-    let Link::Engine(engine) = &choice.link else {
-        return Attempt::NotRun(Error::NotSent("not an engine".to_owned()));
+) -> AttemptResult {
+    let BackendClient::Engine(engine) = &choice.client else {
+        return AttemptResult::NotRun(Error::NotSent("not an engine".to_owned()));
     };
     let mut error = Error::Broken("the stream was cut".to_owned());
     for _ in 0..tries {
         let offset = context.answer.len();
-        let resumed = match engine.resume(attempt, offset as u64).await {
-            Ok(chunks) => read(context, chunks, offset).await,
+        let resumed = match engine.resume(attempt_id, offset as u64).await {
+            Ok(chunks) => read_stream(context, chunks, offset).await,
             Err(e) => Err(e),
         };
         match resumed {
-            Ok(attempt) => return attempt,
+            Ok(result) => return result,
             Err(e) => error = e,
         }
     }
-    Attempt::Lost(error)
+    AttemptResult::Lost(error)
 }
 
-/// Reads a stream, whose text begins at `position`, to its end into the answer.
-async fn read(
+/// Reads a stream to its end and writes the text into the answer, starting at
+/// byte offset `position`.
+async fn read_stream(
     context: &Context,
     mut chunks: Box<dyn Chunks>,
     mut position: usize,
-) -> Result<Attempt, Error> {
+) -> Result<AttemptResult, Error> {
     let mut completion = Completion::default();
     let mut usage = None;
     while let Some(chunk) = chunks.next().await? {
         let Chunk {
             choices,
-            usage: counted,
+            usage: reported,
         } = chunk;
-        usage = counted.or(usage);
+        usage = reported.or(usage);
         for choice in choices {
             let text = choice.delta.content.unwrap_or_default();
             if !text.is_empty() && context.answer.is_empty() {
-                first_token(context);
+                record_first_token(context);
             }
-            if !context.answer.write(position, &text) {
-                return Ok(Attempt::Differs);
+            if !context.answer.write_at(position, &text) {
+                return Ok(AttemptResult::Diverged);
             }
             position += text.len();
             for part in choice.delta.tool_calls.unwrap_or_default() {
@@ -136,28 +140,28 @@
     }
     completion.content = context.answer.text();
     if position < completion.content.len() {
-        return Ok(Attempt::Differs);
+        return Ok(AttemptResult::Diverged);
     }
-    Ok(Attempt::Whole(completion, usage))
+    Ok(AttemptResult::Complete(completion, usage))
 }
 
-fn first_token(context: &Context) {
+fn record_first_token(context: &Context) {
     let account = context.session.account.to_string();
-    let class = context.effective.class.name();
+    let class = context.settings.class.name();
     metrics::histogram!("gradedyke_first_token_seconds", "account" => account, "class" => class)
-        .record(context.came.elapsed().as_secs_f64());
+        .record(context.accepted_at.elapsed().as_secs_f64());
 }
 
-/// Cancels a lost attempt in the background, so that it stops spending.
-pub(super) fn cancel(context: &Context, choice: &Choice, attempt: &str) {
-    let Link::Engine(engine) = choice.link.clone() else {
+/// Cancels a lost attempt in the background, so that it stops using tokens.
+pub(super) fn cancel(context: &Context, choice: &Choice, attempt_id: &str) {
+    let BackendClient::Engine(engine) = choice.client.clone() else {
         return;
     };
-    let attempt = attempt.to_owned();
+    let attempt_id = attempt_id.to_owned();
     let stop = context.owner.stop.clone();
     tokio::spawn(async move {
-        let mut backoff = Backoff::new(CANCEL_FIRST, CANCEL_LAST, CANCELS);
-        while engine.cancel(&attempt).await.is_err() {
+        let mut backoff = Backoff::new(MIN_CANCEL_BACKOFF, MAX_CANCEL_BACKOFF, MAX_CANCEL_RETRIES);
+        while engine.cancel(&attempt_id).await.is_err() {
             let Some(wait) = backoff.wait(rand::random()) else {
                 return;
             };
--- a/crates/gradedyke/src/owner/holding.rs
+++ b/crates/gradedyke/src/owner/holding.rs
@@ -1,4 +1,4 @@
-//! A slot that this process serves at one epoch.
+//! A slot that this process serves at one epoch, with its log and sessions.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -13,29 +13,30 @@
 use tokio_util::sync::CancellationToken;
 
 use super::session::Session;
-use super::{lock, moving};
+use super::{lock, slot_moving};
 use crate::program::record::Record;
 use crate::program::state::{Tree, Trees};
 
-/// A slot served at one epoch.
-pub struct Holding {
+/// A slot that this process owns at one epoch.
+pub struct ServedSlot {
     /// The slot.
     pub slot: Slot,
-    /// Its log.
+    /// Its journal log.
     pub log: Arc<Log>,
-    /// Ends everything in this holding when the slot is lost.
+    /// Cancelled when the slot moves to another owner or the process stops; ends
+    /// all calls in the slot.
     pub stop: CancellationToken,
-    /// Set while the slot is about to be handed over: nothing new begins.
+    /// Set before the slot is handed over: no new program or call is accepted.
     closing: AtomicBool,
-    /// The entry before which the log was trimmed.
-    trimmed: AtomicU64,
+    /// Index of the entry before which the log was last trimmed.
+    trimmed_before: AtomicU64,
     sessions: Mutex<HashMap<String, Arc<Session>>>,
-    /// Held while a program is opened, so that it is opened once.
-    pub opening: tokio::sync::Mutex<()>,
+    /// Held while a program is opened, so that concurrent requests open it once.
+    pub open_lock: tokio::sync::Mutex<()>,
 }
 
-impl Holding {
-    /// A holding with the trees recovered from its log.
+impl ServedSlot {
+    /// Creates a served slot with the trees recovered from its log.
     pub fn new(
         slot: Slot,
         log: Arc<Log>,
@@ -49,18 +50,18 @@
             log,
             stop,
             closing: AtomicBool::new(false),
-            trimmed: AtomicU64::new(0),
+            trimmed_before: AtomicU64::new(0),
             sessions: Mutex::new(trees.into_iter().map(session).collect()),
-            opening: tokio::sync::Mutex::default(),
+            open_lock: tokio::sync::Mutex::default(),
         }
     }
 
-    /// Keeps a record in the journal.
+    /// Appends a record to the journal.
     ///
     /// # Errors
     ///
-    /// `moving` when the slot has gone to another owner.
-    pub async fn keep(&self, record: &Record) -> Result<(), Problem> {
+    /// `moving` when the slot has moved to another owner or its log was closed.
+    pub async fn append(&self, record: &Record) -> Result<(), Problem> {
         let data = to_raw_value(record).map_err(|e| {
             let message = format!("a record cannot be written ({e}); report this");
             Problem::new(Kind::Internal, message)
@@ -70,34 +71,34 @@
             Err(Error::Fenced(newer)) => {
                 tracing::info!(event = "slot_fenced", slot = %self.slot, epoch = %self.log.epoch(), %newer);
                 self.stop.cancel();
-                Err(moving())
+                Err(slot_moving())
             }
-            Err(_) => Err(moving()),
+            Err(_) => Err(slot_moving()),
         }
     }
 
-    /// The session of a program's tree.
+    /// Returns the session of a program's tree.
     pub fn session(&self, program: &id::Program) -> Option<Arc<Session>> {
         lock(&self.sessions).get(program.root()).cloned()
     }
 
-    /// The session of a program's tree if it is `account`'s.
+    /// Returns the session of a program's tree if the program belongs to `account`.
     ///
     /// # Errors
     ///
-    /// `not_found`, the same for a program that is not there and for one of
-    /// another client account.
+    /// `not_found`, with the same text for a program that does not exist and for a
+    /// program of another client account.
     pub fn find(
         &self,
         account: &id::Account,
         program: &id::Program,
     ) -> Result<Arc<Session>, Problem> {
         let session = self.session(program);
-        let own = session.filter(|s| s.account == *account && s.find(program).is_some());
-        own.ok_or_else(unknown)
+        let owned = session.filter(|s| s.account == *account && s.find(program).is_some());
+        owned.ok_or_else(program_not_found)
     }
 
-    /// Adds the session of a new tree.
+    /// Adds a new tree and returns its session.
     pub fn insert(&self, program: &id::Program, tree: Tree, now: Instant) -> Arc<Session> {
         let session = Arc::new(Session::new(tree, now));
         let root = program.root().to_owned();
@@ -105,46 +106,48 @@
         session
     }
 
-    /// Forgets a tree.
+    /// Removes the session of a tree.
     pub fn remove(&self, program: &id::Program) {
         lock(&self.sessions).remove(program.root());
     }
 
-    /// All sessions.
+    /// Returns all sessions.
     pub fn sessions(&self) -> Vec<Arc<Session>> {
         lock(&self.sessions).values().cloned().collect()
     }
 
-    /// Whether nothing new may begin.
-    pub fn closing(&self) -> bool {
+    /// Returns whether no new program or call is accepted.
+    pub fn is_closing(&self) -> bool {
         self.closing.load(Ordering::SeqCst)
     }
 
-    /// Lets nothing new begin, or lets it again.
-    pub fn close(&self, closing: bool) {
+    /// Sets whether new programs and calls are refused.
+    pub fn set_closing(&self, closing: bool) {
         self.closing.store(closing, Ordering::SeqCst);
     }
 
-    /// Whether no call is in progress.
-    pub fn idle(&self) -> bool {
-        self.sessions().iter().all(|s| s.idle())
+    /// Returns whether no call is queued or running.
+    pub fn is_idle(&self) -> bool {
+        self.sessions().iter().all(|s| s.is_idle())
     }
 
-    /// The index to trim the log before, when nothing in it is needed any more.
-    /// The last entry stays, so that a keeper that lags finds where to go on.
-    pub fn trimmable(&self) -> Option<u64> {
+    /// Returns the index before which the log can be trimmed, and remembers it.
+    /// `None` while there are sessions or nothing new to trim. The last entry
+    /// stays, so that a lagging keeper finds where to continue.
+    pub fn take_trim_index(&self) -> Option<u64> {
         let last = self.log.last();
         let empty = lock(&self.sessions).is_empty();
-        let before = self.trimmed.load(Ordering::Relaxed);
+        let before = self.trimmed_before.load(Ordering::Relaxed);
         (empty && last > before + 1).then(|| {
-            self.trimmed.store(last, Ordering::Relaxed);
+            self.trimmed_before.store(last, Ordering::Relaxed);
             last
         })
     }
 }
 
-/// The problem of a program that is not there for this client account.
-pub fn unknown() -> Problem {
+/// Returns the error for a program that does not exist or that belongs to another
+/// client account.
+pub fn program_not_found() -> Problem {
     let message = "no such program of yours; open one with POST /v1/programs, or correct the id";
     Problem::new(Kind::NotFound, message)
 }
--- a/crates/gradedyke/src/owner/mod.rs
+++ b/crates/gradedyke/src/owner/mod.rs
@@ -1,11 +1,11 @@
-//! The owner: orders the calls of the programs it owns, keeps their history and
-//! budget, routes and dispatches to backend servers.
+//! The owner role: orders the calls of the programs it owns, keeps their history
+//! and budget, and routes and dispatches calls to backend servers.
 //!
-//! Each slot that the map gives to this process becomes a [`holding::Holding`],
-//! recovered from the journal; each tree of programs in it is a
-//! [`session::Session`]. A call runs in a task of its own, written straight
-//! down in `run`, and outlives the connection that brought it, so a caller
-//! may come back for the rest from any entry.
+//! Each slot that the slot map assigns to this process becomes a
+//! [`holding::ServedSlot`], recovered from the journal; each tree of programs in
+//! it is a [`session::Session`]. A call runs in its own task (see `run`) and
+//! outlives the connection it arrived on, so a caller can fetch the rest of the
+//! answer through any entry.
 
 pub mod accept;
 pub mod answer;
@@ -38,10 +38,10 @@
 use crate::ownership::map::Map;
 use crate::routing::fleet::Fleet;
 use crate::routing::{self, Policy};
-use holding::Holding;
+use holding::ServedSlot;
 
-/// When to come back to a slot that changes its owner.
-const MOVING_RETRY: std::time::Duration = std::time::Duration::from_millis(200);
+/// Retry delay suggested to callers while a slot changes its owner.
+const MOVING_RETRY_AFTER: std::time::Duration = std::time::Duration::from_millis(200);
 
 /// The owner role of one process.
 pub struct Owner {
@@ -53,9 +53,9 @@
     fleet: Arc<Fleet>,
     policies: BTreeMap<&'static str, Arc<dyn Policy>>,
     journal: Arc<Journal>,
-    holdings: Mutex<HashMap<Slot, Arc<Holding>>>,
-    /// Number of slots served, for whoever waits for it.
-    served: watch::Sender<usize>,
+    served_slots: Mutex<HashMap<Slot, Arc<ServedSlot>>>,
+    /// Number of slots served; a planned stop waits until it is 0.
+    served_count: watch::Sender<usize>,
     draining: CancellationToken,
     stop: CancellationToken,
     tasks: TaskTracker,
@@ -66,7 +66,7 @@
 }
 
 impl Owner {
-    /// The owner role over what `kernel` holds.
+    /// Creates the owner role on the services of `kernel`.
     pub fn new(kernel: &Kernel) -> Arc<Self> {
         Arc::new(Self {
             id: kernel.settings.id.clone(),
@@ -77,15 +77,15 @@
             fleet: Arc::new(Fleet::new(&kernel.settings.data_centre)),
             policies: routing::policies(),
             journal: kernel.journal.clone(),
-            holdings: Mutex::default(),
-            served: watch::Sender::new(0),
+            served_slots: Mutex::default(),
+            served_count: watch::Sender::new(0),
             draining: kernel.drain.clone(),
             stop: kernel.stop.clone(),
             tasks: TaskTracker::new(),
         })
     }
 
-    /// Starts the tasks of the role.
+    /// Starts the background tasks of the role.
     pub fn start(self: &Arc<Self>, kernel: &Kernel) {
         let assigner = crate::ownership::assign::Assigner::new(
             self.kv.clone(),
@@ -99,32 +99,32 @@
         tokio::spawn(poll::run(self.clone(), kernel.instances.clone()));
     }
 
-    /// The holding of a slot that is served here.
+    /// Returns a slot that is served here.
     ///
     /// # Errors
     ///
-    /// `moving` when it is not, or not any more.
-    pub fn holding(&self, slot: Slot) -> Result<Arc<Holding>, Problem> {
-        let holding = lock(&self.holdings).get(&slot).cloned();
-        holding
-            .filter(|h| !h.stop.is_cancelled())
-            .ok_or_else(moving)
+    /// `moving` when the slot is not served here, or no longer.
+    pub fn served_slot(&self, slot: Slot) -> Result<Arc<ServedSlot>, Problem> {
+        let served_slot = lock(&self.served_slots).get(&slot).cloned();
+        served_slot
+            .filter(|slot| !slot.stop.is_cancelled())
+            .ok_or_else(slot_moving)
     }
 
-    fn all(&self) -> Vec<Arc<Holding>> {
-        lock(&self.holdings).values().cloned().collect()
+    fn all_served_slots(&self) -> Vec<Arc<ServedSlot>> {
+        lock(&self.served_slots).values().cloned().collect()
     }
 
-    /// Number of slots served here.
-    pub fn serves(&self) -> usize {
-        lock(&self.holdings).len()
+    /// Returns the number of slots served here.
+    pub fn slot_count(&self) -> usize {
+        lock(&self.served_slots).len()
     }
 
     /// Waits until every slot has been handed over and every call has ended.
-    pub async fn drained(&self) {
-        let mut served = self.served.subscribe();
-        let none = served.wait_for(|slots| *slots == 0);
-        if none.await.is_ok() {
+    pub async fn wait_until_drained(&self) {
+        let mut counts = self.served_count.subscribe();
+        let all_gone = counts.wait_for(|slots| *slots == 0);
+        if all_gone.await.is_ok() {
             tracing::info!(event = "slots_gone", instance = %self.id);
             self.tasks.close();
             self.tasks.wait().await;
@@ -132,10 +132,10 @@
     }
 }
 
-/// The problem of a slot that changes its owner.
-pub fn moving() -> Problem {
+/// Returns the error for a slot whose owner is changing.
+pub fn slot_moving() -> Problem {
     let message = "the program's owner is changing; send the request again with the same id";
-    Problem::new(Kind::Moving, message).retry_after(MOVING_RETRY)
+    Problem::new(Kind::Moving, message).retry_after(MOVING_RETRY_AFTER)
 }
 
 inventory::submit! {
@@ -145,10 +145,10 @@
             let owner = Owner::new(kernel);
             owner.start(kernel);
             mounts.methods(rpc::methods(owner.clone()))?;
-            mounts.calls(Arc::new(accept::Calls::new(owner.clone())));
+            mounts.calls(Arc::new(accept::CallHandler::new(owner.clone())));
             mounts.on_drain(move || {
                 let owner = owner.clone();
-                Box::pin(async move { owner.drained().await })
+                Box::pin(async move { owner.wait_until_drained().await })
             });
             Ok(())
         },
--- a/crates/gradedyke/src/program/state.rs
+++ b/crates/gradedyke/src/program/state.rs
@@ -1,8 +1,7 @@
-//! The state of a tree of programs, as a fold over its journal records.
+//! The state of a tree of programs, built by applying its journal records in order.
 //!
-//! The owner applies each record when the journal keeps it, and a new owner
-//! applies the same records again, so both come to the same state by the same
-//! code.
+//! An owner applies each record once it is appended to the journal. A new owner
+//! replays the same records with the same code and gets the same state.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -15,33 +14,33 @@
 use crate::wire::{Outcome, Work};
 
 new_key_type! {
-    /// A program within its tree.
-    pub struct Key;
+    /// Key of a program in its tree.
+    pub struct ProgramKey;
 }
 
-/// An answer that can be fetched again.
+/// The stored answer of a call that has ended.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Answer {
-    /// Hash of the work as the caller sent it.
+pub struct StoredAnswer {
+    /// Hash of the call as the caller sent it, to detect a reused request id.
     pub fingerprint: String,
     /// How the call ended.
     pub outcome: Outcome,
 }
 
-/// One program.
+/// The state of a program.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Program {
-    /// Its identifier.
+    /// Its id.
     pub id: id::Program,
     /// Its agent program.
     pub agent: String,
     /// The conversation so far.
     pub history: Vec<Message>,
-    /// Tokens of the conversation, as the engine counted them last.
+    /// Tokens of the conversation, as last reported by an engine.
     pub history_tokens: u64,
-    /// Calls that ended, by request.
-    pub answers: BTreeMap<id::Request, Answer>,
-    /// Calls that were sent and have not ended.
+    /// Answers of calls that have ended, by request.
+    pub answers: BTreeMap<id::Request, StoredAnswer>,
+    /// Calls with an intent and no outcome yet, by request.
     pub open: BTreeMap<id::Request, Intent>,
     /// Why it ended, if it has.
     pub ended: Option<Why>,
@@ -52,22 +51,22 @@
 pub struct Tree {
     /// The client account.
     pub account: id::Account,
-    /// What the tree may spend, in tokens.
+    /// Token budget of the tree.
     pub budget_tokens: u64,
-    /// What it has spent, in tokens.
+    /// Tokens spent by the tree.
     pub spent: u64,
-    programs: SlotMap<Key, Program>,
-    names: HashMap<id::Program, Key>,
+    programs: SlotMap<ProgramKey, Program>,
+    keys: HashMap<id::Program, ProgramKey>,
 }
 
-/// The whole state of a tree, for the journal.
+/// The whole state of a tree, as written to the journal.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
     /// The client account.
     pub account: id::Account,
-    /// What the tree may spend, in tokens.
+    /// Token budget of the tree.
     pub budget_tokens: u64,
-    /// What it has spent, in tokens.
+    /// Tokens spent by the tree.
     pub spent: u64,
     /// Its programs.
     pub programs: Vec<Program>,
@@ -86,7 +85,7 @@
         }
     }
 
-    fn answered(&mut self, request: &id::Request, outcome: &Outcome) {
+    fn record_outcome(&mut self, request: &id::Request, outcome: &Outcome) {
         let Some(intent) = self.open.remove(request) else {
             return;
         };
@@ -95,7 +94,7 @@
             self.history.push(completion.message());
             self.history_tokens = completion.usage.total_tokens;
         }
-        let answer = Answer {
+        let answer = StoredAnswer {
             fingerprint: intent.fingerprint,
             outcome: outcome.clone(),
         };
@@ -104,26 +103,26 @@
 }
 
 impl Tree {
-    /// A tree with no program yet.
+    /// Creates a tree without programs.
     pub fn new(account: id::Account, budget_tokens: u64) -> Self {
         Self {
             account,
             budget_tokens,
             spent: 0,
             programs: SlotMap::with_key(),
-            names: HashMap::new(),
+            keys: HashMap::new(),
         }
     }
 
-    /// The tree in a snapshot.
-    pub fn restore(snapshot: Snapshot) -> Self {
+    /// Creates a tree from a snapshot.
+    pub fn from_snapshot(snapshot: Snapshot) -> Self {
         let mut tree = Self::new(snapshot.account, snapshot.budget_tokens);
         tree.spent = snapshot.spent;
         snapshot.programs.into_iter().for_each(|p| tree.insert(p));
         tree
     }
 
-    /// The tree's whole state.
+    /// Returns a snapshot of the tree.
     pub fn snapshot(&self) -> Snapshot {
         Snapshot {
             account: self.account.clone(),
@@ -136,34 +135,34 @@
     fn insert(&mut self, program: Program) {
         let id = program.id.clone();
         let key = self.programs.insert(program);
-        self.names.insert(id, key);
+        self.keys.insert(id, key);
     }
 
-    /// The key of a program of this tree.
-    pub fn find(&self, id: &id::Program) -> Option<Key> {
-        self.names.get(id).copied()
+    /// Returns the key of a program of this tree.
+    pub fn find(&self, id: &id::Program) -> Option<ProgramKey> {
+        self.keys.get(id).copied()
     }
 
-    /// A program by its key.
-    pub fn get(&self, key: Key) -> Option<&Program> {
+    /// Returns a program by its key.
+    pub fn get(&self, key: ProgramKey) -> Option<&Program> {
         self.programs.get(key)
     }
 
-    /// All programs of the tree.
-    pub fn programs(&self) -> impl Iterator<Item = (Key, &Program)> {
+    /// Iterates over the programs of the tree, in no particular order.
+    pub fn programs(&self) -> impl Iterator<Item = (ProgramKey, &Program)> {
         self.programs.iter()
     }
 
-    /// Whether the tree's root has ended.
-    pub fn ended(&self) -> bool {
+    /// Returns whether every program of the tree has ended.
+    pub fn has_ended(&self) -> bool {
         self.programs.values().all(|p| p.ended.is_some())
     }
 
-    /// Takes in what a record says.
+    /// Applies a record to the tree. Records about whole trees or slots are ignored.
     pub fn apply(&mut self, record: &Record) {
         match record {
             Record::Opened { program, agent, .. } => {
-                if !self.names.contains_key(program) {
+                if !self.keys.contains_key(program) {
                     self.insert(Program::new(program.clone(), agent.clone()));
                 }
             }
@@ -172,12 +171,12 @@
                 request,
                 intent,
             } => {
-                if let Some(program) = self.by_name(program) {
+                if let Some(program) = self.find_mut(program) {
                     program.open.insert(request.clone(), intent.clone());
                 }
             }
             Record::Withdrawn { program, request } => {
-                if let Some(program) = self.by_name(program) {
+                if let Some(program) = self.find_mut(program) {
                     program.open.remove(request);
                 }
             }
@@ -188,12 +187,12 @@
                 spent,
             } => {
                 self.spent += spent;
-                if let Some(program) = self.by_name(program) {
-                    program.answered(request, outcome);
+                if let Some(program) = self.find_mut(program) {
+                    program.record_outcome(request, outcome);
                 }
             }
             Record::Ended { program, why } => {
-                if let Some(program) = self.by_name(program) {
+                if let Some(program) = self.find_mut(program) {
                     program.ended.get_or_insert(*why);
                 }
             }
@@ -201,17 +200,17 @@
         }
     }
 
-    fn by_name(&mut self, id: &id::Program) -> Option<&mut Program> {
-        let key = *self.names.get(id)?;
+    fn find_mut(&mut self, id: &id::Program) -> Option<&mut Program> {
+        let key = *self.keys.get(id)?;
         self.programs.get_mut(key)
     }
 }
 
-/// All trees of a slot, by their root's name.
+/// All trees of a slot, by the id of their root program.
 pub type Trees = HashMap<String, Tree>;
 
-/// Takes a record of a slot into its trees.
-pub fn fold(trees: &mut Trees, record: Record) {
+/// Applies a record of a slot to its trees.
+pub fn apply_record(trees: &mut Trees, record: Record) {
     match record {
         Record::Taken => {}
         Record::Restated(snapshot) => {
@@ -219,7 +218,7 @@
                 return;
             };
             let root = first.id.root().to_owned();
-            trees.insert(root, Tree::restore(*snapshot));
+            trees.insert(root, Tree::from_snapshot(*snapshot));
         }
         Record::Forgotten { program } => {
             trees.remove(program.root());
@@ -230,8 +229,10 @@
             budget_tokens,
             ..
         } => {
-            let new = || Tree::new(account.clone(), budget_tokens);
-            let tree = trees.entry(program.root().to_owned()).or_insert_with(new);
+            let new_tree = || Tree::new(account.clone(), budget_tokens);
+            let tree = trees
+                .entry(program.root().to_owned())
+                .or_insert_with(new_tree);
             tree.apply(&record);
         }
         Record::Intended { ref program, .. }
--- a/crates/gradedyke/src/routing/fleet.rs
+++ b/crates/gradedyke/src/routing/fleet.rs
@@ -1,9 +1,9 @@
-//! The backend servers, with what is known and guessed of them.
+//! The backend servers and their estimated load and cache contents.
 //!
-//! Reports lag, so each is corrected by what this owner has sent since. Cache
-//! events come late and with gaps: a prefix counts as cached from the moment a
-//! call with it was sent, until an event says otherwise; a gap in the events
-//! makes everything known of that cache doubtful, and it is forgotten.
+//! Load reports lag, so the work of this owner's calls in flight is added to them.
+//! Cache events are late and can be lost: a prefix counts as cached once a call
+//! with it is sent, until an event reports its eviction. A gap in the event
+//! numbers clears the estimate of that cache.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -22,22 +22,22 @@
 use super::Candidate;
 
 new_key_type! {
-    /// A backend server in the fleet.
-    pub struct Key;
+    /// Key of a backend server in the fleet.
+    pub struct ServerKey;
 }
 
-/// Longest time for a control call to an engine.
-const CONTROL: Duration = Duration::from_secs(2);
-/// How long a backend server that failed gets no work, the first time.
-const REST_FIRST: Duration = Duration::from_millis(500);
-/// The longest such rest.
-const REST_LAST: Duration = Duration::from_secs(30);
-/// Prefixes remembered for each engine.
-const PREFIXES: usize = 65_536;
+/// Timeout of a control call to a backend server.
+const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
+/// First backoff of a failed backend server, during which it gets no calls.
+const MIN_FAILURE_BACKOFF: Duration = Duration::from_millis(500);
+/// Maximum backoff of a failed backend server.
+const MAX_FAILURE_BACKOFF: Duration = Duration::from_secs(30);
+/// Maximum number of cached prefixes remembered for each engine.
+const MAX_CACHED_PREFIXES: usize = 65_536;
 
-/// How a backend server is spoken to.
+/// The client of a backend server.
 #[derive(Clone)]
-pub enum Link {
+pub enum BackendClient {
     /// A model engine.
     Engine(Arc<dyn Engine>),
     /// A plain service.
@@ -47,18 +47,24 @@
 struct Server {
     id: id::Backend,
     settings: Backend,
-    link: Link,
-    near: bool,
+    client: BackendClient,
+    is_local: bool,
+    /// The last load report.
     load: Load,
-    sent_tokens: u64,
+    /// Maximum number of tokens to generate for this owner's calls in flight.
+    in_flight_tokens: u64,
+    /// Number of this owner's calls in flight.
     in_flight: u32,
+    /// Prefixes that are assumed cached, with the tokens of the last message of each.
     cached: HashMap<prefix::Key, u64>,
+    /// Number of the last cache event received, or 0.
     last_event: u64,
+    /// Number of consecutive failed calls.
     failures: u32,
-    rests_until: Option<Instant>,
-    /// The instance list says that it is leaving.
+    backoff_until: Option<Instant>,
+    /// Whether the instance list reports that it is shutting down.
     listed_leaving: bool,
-    /// Its data centre is evacuated.
+    /// Whether its data centre is evacuated.
     evacuated: bool,
 }
 
@@ -66,42 +72,43 @@
 #[derive(Clone)]
 pub struct Choice {
     /// Its key.
-    pub key: Key,
+    pub key: ServerKey,
     /// Its name.
     pub id: id::Backend,
-    /// How it is spoken to.
-    pub link: Link,
-    /// Ends the booking with the last clone of the choice, if there is one.
-    _booking: Option<Arc<Booking>>,
+    /// Its client.
+    pub client: BackendClient,
+    /// Counts the call as in flight until the last clone is dropped; `None` if the
+    /// call is not counted.
+    _in_flight: Option<Arc<InFlightGuard>>,
 }
 
-/// A call on its way to a backend server. It is over when this is dropped, so
-/// that a call which is given up in any way leaves no work behind in the books.
-struct Booking {
+/// Guard that counts a call as in flight on a backend server until it is dropped,
+/// however the call ends.
+struct InFlightGuard {
     fleet: Arc<Fleet>,
-    key: Key,
-    work: u64,
+    key: ServerKey,
+    answer_tokens: u64,
 }
 
-impl Drop for Booking {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         if let Some(server) = self.fleet.lock().get_mut(self.key) {
             server.in_flight = server.in_flight.saturating_sub(1);
-            server.sent_tokens = server.sent_tokens.saturating_sub(self.work);
+            server.in_flight_tokens = server.in_flight_tokens.saturating_sub(self.answer_tokens);
         }
     }
 }
 
-/// The backend servers as this owner sees them.
+/// The backend servers as seen by this owner.
 pub struct Fleet {
     data_centre: String,
     client: Client,
-    servers: Mutex<SlotMap<Key, Server>>,
+    servers: Mutex<SlotMap<ServerKey, Server>>,
 }
 
 impl Fleet {
-    /// A fleet as seen from a data centre; it is empty before
-    /// [`Fleet::update`].
+    /// Creates an empty fleet as seen from a data centre. [`Fleet::update`] adds
+    /// backend servers.
     pub fn new(data_centre: &str) -> Self {
         Self {
             data_centre: data_centre.to_owned(),
@@ -110,12 +117,12 @@
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, SlotMap<Key, Server>> {
+    fn lock(&self) -> MutexGuard<'_, SlotMap<ServerKey, Server>> {
         self.servers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Brings the fleet in line with the settings in force. What is known of a
-    /// backend server whose settings did not change is kept.
+    /// Updates the fleet to the current settings. The state of a backend server
+    /// whose settings did not change is kept.
     pub fn update(&self, tree: &Tree) {
         let mut servers = self.lock();
         servers.retain(|_, s| tree.backends.get(s.id.as_str()) == Some(&s.settings));
@@ -125,7 +132,7 @@
                 continue;
             };
             if !known.contains(name) {
-                servers.insert(self.server(id, settings));
+                servers.insert(self.new_server(id, settings));
             }
         }
         for server in servers.values_mut() {
@@ -134,43 +141,44 @@
         }
     }
 
-    fn server(&self, id: id::Backend, settings: &Backend) -> Server {
+    fn new_server(&self, id: id::Backend, settings: &Backend) -> Server {
         let address = settings.address();
-        let link = match settings {
+        let client = match settings {
             Backend::Engine { .. } => {
-                let engine = engine_http::Http::new(address, self.client.clone(), CONTROL);
-                Link::Engine(Arc::new(engine))
+                let engine = engine_http::Http::new(address, self.client.clone(), CONTROL_TIMEOUT);
+                BackendClient::Engine(Arc::new(engine))
             }
             Backend::Service { outcome_path, .. } => {
-                let service = service::Http::new(address, outcome_path.clone(), CONTROL);
-                Link::Service(Arc::new(service))
+                let service = service::Http::new(address, outcome_path.clone(), CONTROL_TIMEOUT);
+                BackendClient::Service(Arc::new(service))
             }
         };
         Server {
             id,
-            near: settings.data_centre() == self.data_centre,
+            is_local: settings.data_centre() == self.data_centre,
             settings: settings.clone(),
-            link,
+            client,
             load: Load::default(),
-            sent_tokens: 0,
+            in_flight_tokens: 0,
             in_flight: 0,
             cached: HashMap::new(),
             last_event: 0,
             failures: 0,
-            rests_until: None,
+            backoff_until: None,
             listed_leaving: false,
             evacuated: false,
         }
     }
 
-    /// The engines that can serve `model` now, with `chain` as the prompt's
-    /// prefixes and `tokens` for each of them.
+    /// Returns the engines that can serve `model` now, without those in `avoid`.
+    /// `chain` holds the keys of the prompt's prefixes, one for each message, and
+    /// `tokens` the tokens of each message.
     pub fn engines(
         &self,
         model: &str,
         chain: &[prefix::Key],
         tokens: &[u64],
-        avoid: &[Key],
+        avoid: &[ServerKey],
         now: Instant,
     ) -> Vec<Candidate> {
         let serves = |s: &Server| match &s.settings {
@@ -180,8 +188,9 @@
         self.candidates(serves, avoid, now, |s| s.cached_tokens(chain, tokens))
     }
 
-    /// The backend servers that offer `service` now.
-    pub fn services(&self, service: &str, avoid: &[Key], now: Instant) -> Vec<Candidate> {
+    /// Returns the backend servers that offer `service` now, without those in
+    /// `avoid`.
+    pub fn services(&self, service: &str, avoid: &[ServerKey], now: Instant) -> Vec<Candidate> {
         let offers = |s: &Server| match &s.settings {
             Backend::Service { service: name, .. } => name == service,
             Backend::Engine { .. } => false,
@@ -192,101 +201,105 @@
     fn candidates(
         &self,
         fits: impl Fn(&Server) -> bool,
-        avoid: &[Key],
+        avoid: &[ServerKey],
         now: Instant,
         cached: impl Fn(&Server) -> u64,
     ) -> Vec<Candidate> {
         let servers = self.lock();
-        let stays = |(key, s): &(Key, &Server)| fits(s) && !s.leaves() && !avoid.contains(key);
-        let mut able: Vec<_> = servers.iter().filter(stays).collect();
-        // A rest spares a failed backend server while others do its work. When
-        // all of them rest, it would only refuse work that might succeed.
-        if able.iter().any(|(_, s)| !s.rests(now)) {
-            able.retain(|(_, s)| !s.rests(now));
+        let is_available =
+            |(key, s): &(ServerKey, &Server)| fits(s) && !s.is_leaving() && !avoid.contains(key);
+        let mut available: Vec<_> = servers.iter().filter(is_available).collect();
+        // Backend servers in backoff are skipped while others are available. If
+        // all are in backoff, any of them may be tried.
+        if available.iter().any(|(_, s)| !s.is_in_backoff(now)) {
+            available.retain(|(_, s)| !s.is_in_backoff(now));
         }
-        let able = able.into_iter();
-        able.map(|(key, s)| Candidate {
-            key,
-            pending_tokens: s.load.pending_tokens + s.sent_tokens,
-            in_flight: s.in_flight,
-            cached_tokens: cached(s),
-            near: s.near,
-        })
-        .collect()
+        let available = available.into_iter();
+        available
+            .map(|(key, s)| Candidate {
+                key,
+                pending_tokens: s.load.pending_tokens + s.in_flight_tokens,
+                in_flight: s.in_flight,
+                cached_tokens: cached(s),
+                is_local: s.is_local,
+            })
+            .collect()
     }
 
-    /// Books a call that means `work` tokens on a backend server, and returns how
-    /// to speak to it. The booking ends when the choice is dropped.
+    /// Counts a call with up to `answer_tokens` tokens to generate as in flight on a backend
+    /// server until the returned choice is dropped, and assumes that the prompt's
+    /// prefixes are cached there from now on.
     pub fn book(
         self: &Arc<Self>,
-        key: Key,
+        key: ServerKey,
         chain: &[prefix::Key],
         tokens: &[u64],
-        work: u64,
+        answer_tokens: u64,
     ) -> Option<Choice> {
         let mut servers = self.lock();
         let server = servers.get_mut(key)?;
         server.in_flight += 1;
-        server.sent_tokens += work;
-        if server.cached.len() + chain.len() > PREFIXES {
+        server.in_flight_tokens += answer_tokens;
+        if server.cached.len() + chain.len() > MAX_CACHED_PREFIXES {
             server.cached.clear();
         }
         let known = chain.iter().copied().zip(tokens.iter().copied());
         server.cached.extend(known);
-        let booking = Booking {
+        let guard = InFlightGuard {
             fleet: self.clone(),
             key,
-            work,
+            answer_tokens,
         };
         Some(Choice {
             key,
             id: server.id.clone(),
-            link: server.link.clone(),
-            _booking: Some(Arc::new(booking)),
+            client: server.client.clone(),
+            _in_flight: Some(Arc::new(guard)),
         })
     }
 
-    /// Takes in that a call went well.
-    pub fn succeeded(&self, key: Key) {
+    /// Records that a call succeeded, which ends the backoff.
+    pub fn succeeded(&self, key: ServerKey) {
         if let Some(server) = self.lock().get_mut(key) {
             server.failures = 0;
-            server.rests_until = None;
+            server.backoff_until = None;
         }
     }
 
-    /// Takes in that a call failed through the backend server's fault: it gets
-    /// no work for a while, longer each time.
-    pub fn failed(&self, key: Key, now: Instant) {
+    /// Records that a call failed because of the backend server, and starts or
+    /// extends its backoff.
+    pub fn failed(&self, key: ServerKey, now: Instant) {
         if let Some(server) = self.lock().get_mut(key) {
-            let rest = REST_FIRST * 2_u32.saturating_pow(server.failures.min(10));
+            let backoff = MIN_FAILURE_BACKOFF * 2_u32.saturating_pow(server.failures.min(10));
             server.failures += 1;
-            server.rests_until = Some(now + rest.min(REST_LAST));
+            server.backoff_until = Some(now + backoff.min(MAX_FAILURE_BACKOFF));
         }
     }
 
-    /// Takes in a load report.
-    pub fn report(&self, key: Key, load: Load) {
+    /// Stores a load report.
+    pub fn report(&self, key: ServerKey, load: Load) {
         if let Some(server) = self.lock().get_mut(key) {
             server.load = load;
         }
     }
 
-    /// Marks the backend servers that the instance list says are leaving.
+    /// Marks the backend servers that are shutting down according to the instance
+    /// list. All others are unmarked.
     pub fn leaving(&self, ids: &BTreeSet<String>) {
         for server in self.lock().values_mut() {
             server.listed_leaving = ids.contains(server.id.as_str());
         }
     }
 
-    /// Takes in cache events.
-    pub fn cache_events(&self, key: Key, events: &[CacheEvent]) {
+    /// Applies cache events of an engine.
+    pub fn cache_events(&self, key: ServerKey, events: &[CacheEvent]) {
         let mut servers = self.lock();
         let Some(server) = servers.get_mut(key) else {
             return;
         };
         for event in events {
-            let gap = server.last_event != 0 && event.number > server.last_event + 1;
-            if gap {
+            let has_gap = server.last_event != 0 && event.number > server.last_event + 1;
+            if has_gap {
                 server.cached.clear();
             }
             server.last_event = server.last_event.max(event.number);
@@ -296,44 +309,45 @@
         }
     }
 
-    /// The number of the last cache event of a backend server that was seen.
-    pub fn last_event(&self, key: Key) -> u64 {
+    /// Returns the number of the last cache event received from a backend server,
+    /// or 0.
+    pub fn last_event(&self, key: ServerKey) -> u64 {
         self.lock().get(key).map_or(0, |s| s.last_event)
     }
 
-    /// All engines.
-    pub fn all_engines(&self) -> Vec<(Key, id::Backend, Arc<dyn Engine>)> {
+    /// Returns all engines.
+    pub fn all_engines(&self) -> Vec<(ServerKey, id::Backend, Arc<dyn Engine>)> {
         let servers = self.lock();
-        let engine = |(key, s): (Key, &Server)| match &s.link {
-            Link::Engine(engine) => Some((key, s.id.clone(), engine.clone())),
-            Link::Service(_) => None,
+        let engine = |(key, s): (ServerKey, &Server)| match &s.client {
+            BackendClient::Engine(engine) => Some((key, s.id.clone(), engine.clone())),
+            BackendClient::Service(_) => None,
         };
         servers.iter().filter_map(engine).collect()
     }
 
-    /// A backend server by its name, without a booking.
+    /// Finds a backend server by its name, without counting a call as in flight.
     pub fn find(&self, id: &id::Backend) -> Option<Choice> {
         let servers = self.lock();
         let (key, server) = servers.iter().find(|(_, s)| s.id == *id)?;
         Some(Choice {
             key,
             id: server.id.clone(),
-            link: server.link.clone(),
-            _booking: None,
+            client: server.client.clone(),
+            _in_flight: None,
         })
     }
 }
 
 impl Server {
-    fn leaves(&self) -> bool {
+    fn is_leaving(&self) -> bool {
         self.load.leaving || self.listed_leaving || self.evacuated
     }
 
-    fn rests(&self, now: Instant) -> bool {
-        self.rests_until.is_some_and(|until| until > now)
+    fn is_in_backoff(&self, now: Instant) -> bool {
+        self.backoff_until.is_some_and(|until| until > now)
     }
 
-    /// Tokens of the longest known prefix of `chain`.
+    /// Returns the tokens of the longest prefix of `chain` that is assumed cached.
     fn cached_tokens(&self, chain: &[prefix::Key], tokens: &[u64]) -> u64 {
         let known = chain.iter().take_while(|k| self.cached.contains_key(k));
         known.zip(tokens).map(|(_, tokens)| tokens).sum()
--- a/crates/gradedyke/src/routing/round_robin.rs
+++ b/crates/gradedyke/src/routing/round_robin.rs
@@ -1,18 +1,18 @@
-//! The naive policy: each candidate in turn.
+//! The policy that takes each candidate in turn.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use super::{Candidate, Plugin, Policy, Question};
+use super::{CallInfo, Candidate, Plugin, Policy};
 
-/// Takes each candidate in turn, whatever its load.
+/// The policy `round_robin`: takes each candidate in turn, whatever its load.
 #[derive(Debug, Default)]
 pub struct RoundRobin {
     next: AtomicUsize,
 }
 
 impl Policy for RoundRobin {
-    fn choose(&self, _: &Question, candidates: &[Candidate]) -> Option<usize> {
+    fn choose(&self, _: &CallInfo, candidates: &[Candidate]) -> Option<usize> {
         if candidates.is_empty() {
             return None;
         }
