--- a/crates/gradedyke-platform/src/etcd.rs
+++ b/crates/gradedyke-platform/src/etcd.rs
@@ -1,9 +1,9 @@
-//! Adapter for a key-value service that speaks etcd's v3 JSON mapping.
+//! Adapter for a key-value service with the JSON API of etcd v3.
 //!
-//! The mapping is the published one of etcd's gRPC gateway: keys and values in
-//! base64, 64-bit numbers as strings, default values left out. Every call, a
-//! waiting watch too, is counted in `gradedyke_key_value_calls_total`, because
-//! the service's rates are small and shared.
+//! The API is that of etcd's gRPC gateway: keys and values are in base64, 64-bit
+//! numbers are strings, and fields with default values are omitted. The metric
+//! `gradedyke_key_value_calls_total` counts all calls, including watches, because
+//! the service has low rate limits that are shared with others.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -25,21 +25,22 @@
     Entry, Error, Event, KeyValue, Lease, Listing, MAX_VALUE, Revision, Swap, Swapped, Watch,
 };
 
-/// How the adapter behaves.
+/// The configuration of the adapter.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Addresses of the service, tried in turn.
+    /// Addresses of the service. After a failed call the next one is used.
     pub addresses: Vec<SocketAddr>,
-    /// Longest time for one call other than a watch.
+    /// Timeout of a call; for a watch, the timeout for opening it.
     pub time: Duration,
 }
 
-/// The adapter.
+/// A client of the key-value service.
 #[derive(Debug)]
 pub struct Etcd {
     config: Config,
     client: Client,
-    current: AtomicUsize,
+    /// Index of the address in use, modulo the number of addresses.
+    address_index: AtomicUsize,
 }
 
 #[derive(Serialize, Deserialize, Default)]
@@ -113,11 +114,11 @@
     #[serde(default)]
     succeeded: bool,
     #[serde(default)]
-    responses: Vec<TxnPart>,
+    responses: Vec<TxnResponse>,
 }
 
 #[derive(Deserialize)]
-struct TxnPart {
+struct TxnResponse {
     #[serde(default)]
     response_range: Option<RangeReply>,
 }
@@ -139,7 +140,7 @@
 }
 
 #[derive(Deserialize)]
-struct Streamed<T> {
+struct StreamMessage<T> {
     result: T,
 }
 
@@ -172,7 +173,7 @@
     kv: RawEntry,
 }
 
-/// The end of the range of keys that begin with `prefix`.
+/// The exclusive end of the range of keys that begin with `prefix`.
 fn range_end(prefix: &str) -> Vec<u8> {
     let mut end = prefix.as_bytes().to_vec();
     while let Some(last) = end.pop() {
@@ -181,26 +182,27 @@
             return end;
         }
     }
-    // Every key: etcd's mark for no end.
+    // A zero byte means that the range has no end.
     vec![0]
 }
 
-fn number(text: &str) -> u64 {
+/// Parses a 64-bit number; an omitted one is zero.
+fn parse_number(text: &str) -> u64 {
     text.parse().unwrap_or(0)
 }
 
-fn entry(raw: &RawEntry) -> Result<Entry, Error> {
-    let refused = |e: base64::DecodeError| Error::Refused(e.to_string());
-    let key = STANDARD.decode(&raw.key).map_err(refused)?;
+fn decode_entry(raw: &RawEntry) -> Result<Entry, Error> {
+    let invalid = |e: base64::DecodeError| Error::Refused(e.to_string());
+    let key = STANDARD.decode(&raw.key).map_err(invalid)?;
     Ok(Entry {
         key: String::from_utf8_lossy(&key).into_owned(),
-        value: STANDARD.decode(&raw.value).map_err(refused)?,
-        revision: number(&raw.mod_revision),
+        value: STANDARD.decode(&raw.value).map_err(invalid)?,
+        revision: parse_number(&raw.mod_revision),
     })
 }
 
-/// Reads a failed call as one of the service's errors.
-fn failure(error: &client::Error) -> Error {
+/// Converts the error of a call.
+fn convert_error(error: &client::Error) -> Error {
     match error {
         client::Error::NotSent { .. } => Error::Unavailable(error.to_string()),
         client::Error::Broken { .. } | client::Error::TimedOut { .. } => {
@@ -209,7 +211,7 @@
         client::Error::Status { message, .. } if message.contains("lease not found") => {
             Error::LeaseGone
         }
-        // 503 is what the gateway answers when it did not take the call.
+        // The gateway replies with 503 if it did not accept the call.
         client::Error::Status { status, .. } if status.as_u16() == 503 => {
             Error::Unavailable(error.to_string())
         }
@@ -218,20 +220,26 @@
 }
 
 impl Etcd {
-    /// An adapter for the service at `config.addresses`, of which there must be
-    /// one at least.
+    /// Creates a client of the service.
+    ///
+    /// # Panics
+    ///
+    /// If `config.addresses` is empty.
     pub fn new(config: Config) -> Self {
-        assert!(!config.addresses.is_empty(), "no address of the service");
+        assert!(
+            !config.addresses.is_empty(),
+            "the key-value service needs at least one address"
+        );
         Self {
             config,
             client: Client::new(&client::Config::default()),
-            current: AtomicUsize::new(0),
+            address_index: AtomicUsize::new(0),
         }
     }
 
     fn address(&self) -> SocketAddr {
-        let current = self.current.load(Ordering::Relaxed);
-        self.config.addresses[current % self.config.addresses.len()]
+        let index = self.address_index.load(Ordering::Relaxed);
+        self.config.addresses[index % self.config.addresses.len()]
     }
 
     async fn call<T: Serialize, U: DeserializeOwned>(
@@ -247,8 +255,8 @@
             .json(Method::POST, address, path, Some(request), self.config.time)
             .await;
         reply.map_err(|error| {
-            self.current.fetch_add(1, Ordering::Relaxed);
-            failure(&error)
+            self.address_index.fetch_add(1, Ordering::Relaxed);
+            convert_error(&error)
         })
     }
 
@@ -265,7 +273,7 @@
             range_end: None,
         };
         let reply = self.range(&request).await?;
-        reply.kvs.first().map(entry).transpose()
+        reply.kvs.first().map(decode_entry).transpose()
     }
 
     async fn list(&self, prefix: &str) -> Result<Listing, Error> {
@@ -275,8 +283,12 @@
         };
         let reply = self.range(&request).await?;
         Ok(Listing {
-            entries: reply.kvs.iter().map(entry).collect::<Result<_, _>>()?,
-            revision: number(&reply.header.revision),
+            entries: reply
+                .kvs
+                .iter()
+                .map(decode_entry)
+                .collect::<Result<_, _>>()?,
+            revision: parse_number(&reply.header.revision),
         })
     }
 
@@ -310,18 +322,18 @@
         };
         let reply: TxnReply = self.call("txn", "/v3/kv/txn", &request).await?;
         if reply.succeeded {
-            return Ok(Swapped::Done(number(&reply.header.revision)));
+            return Ok(Swapped::Done(parse_number(&reply.header.revision)));
         }
         let found = reply
             .responses
             .first()
-            .and_then(|part| part.response_range.as_ref())
+            .and_then(|response| response.response_range.as_ref())
             .and_then(|range| range.kvs.first());
-        Ok(Swapped::Conflict(found.map(entry).transpose()?))
+        Ok(Swapped::Conflict(found.map(decode_entry).transpose()?))
     }
 
-    async fn grant(&self, length: Duration) -> Result<Lease, Error> {
-        let seconds = length.as_millis().div_ceil(1_000);
+    async fn grant(&self, ttl: Duration) -> Result<Lease, Error> {
+        let seconds = ttl.as_millis().div_ceil(1_000);
         let request = LeaseRequest {
             id: "0".to_owned(),
             ttl: Some(seconds.to_string()),
@@ -338,8 +350,8 @@
             ttl: None,
         };
         let path = "/v3/lease/keepalive";
-        let reply: Streamed<LeaseReply> = self.call("renew", path, &request).await?;
-        match number(&reply.result.ttl) {
+        let reply: StreamMessage<LeaseReply> = self.call("renew", path, &request).await?;
+        match parse_number(&reply.result.ttl) {
             0 => Err(Error::LeaseGone),
             _ => Ok(()),
         }
@@ -367,38 +379,39 @@
         };
         let bytes = serde_json::to_vec(&request).map_err(|e| Error::Refused(e.to_string()))?;
         let request = client::build(Method::POST, address, "/v3/watch", body::full(bytes))
-            .map_err(|e| failure(&e))?;
+            .map_err(|e| convert_error(&e))?;
         let opening = self.client.send(address, request);
         let reply = tokio::time::timeout(self.config.time, opening)
             .await
             .map_err(|_| Error::Unavailable(format!("{address} opened no watch in time")))?
-            .map_err(|e| failure(&e))?;
+            .map_err(|e| convert_error(&e))?;
         if !reply.status().is_success() {
-            self.current.fetch_add(1, Ordering::Relaxed);
+            self.address_index.fetch_add(1, Ordering::Relaxed);
             return Err(Error::Unavailable(format!("{address}: {}", reply.status())));
         }
-        Ok(Box::new(Stream {
+        Ok(Box::new(WatchStream {
             incoming: reply.into_body(),
             buffer: BytesMut::new(),
         }))
     }
 }
 
-/// A watch: a stream of JSON documents, one to a line.
-struct Stream {
+/// An open watch: a stream of JSON documents, one per line.
+struct WatchStream {
     incoming: Incoming,
     buffer: BytesMut,
 }
 
-impl Stream {
-    async fn line(&mut self) -> Result<BytesMut, Error> {
+impl WatchStream {
+    /// Reads one line, including its newline.
+    async fn read_line(&mut self) -> Result<BytesMut, Error> {
         loop {
             if let Some(end) = self.buffer.iter().position(|b| *b == b'\n') {
                 return Ok(self.buffer.split_to(end + 1));
             }
-            let broken = || Error::Unavailable("the watch was cut".to_owned());
-            let frame = self.incoming.frame().await.ok_or_else(broken)?;
-            let frame = frame.map_err(|_| broken())?;
+            let ended = || Error::Unavailable("the watch was cut".to_owned());
+            let frame = self.incoming.frame().await.ok_or_else(ended)?;
+            let frame = frame.map_err(|_| ended())?;
             if let Ok(data) = frame.into_data() {
                 self.buffer.extend_from_slice(&data);
             }
@@ -407,28 +420,28 @@
 }
 
 #[async_trait]
-impl Watch for Stream {
+impl Watch for WatchStream {
     async fn next(&mut self) -> Result<Vec<Event>, Error> {
         loop {
-            let line = self.line().await?;
-            let reply: Streamed<WatchReply> =
+            let line = self.read_line().await?;
+            let reply: StreamMessage<WatchReply> =
                 serde_json::from_slice(&line).map_err(|e| Error::Refused(e.to_string()))?;
             let reply = reply.result;
-            if number(&reply.compact_revision) > 0 {
+            if parse_number(&reply.compact_revision) > 0 {
                 return Err(Error::Compacted);
             }
             if reply.canceled {
                 return Err(Error::Unavailable("the watch was cancelled".to_owned()));
             }
             if !reply.events.is_empty() {
-                return reply.events.iter().map(event).collect();
+                return reply.events.iter().map(decode_event).collect();
             }
         }
     }
 }
 
-fn event(raw: &RawEvent) -> Result<Event, Error> {
-    let entry = entry(&raw.kv)?;
+fn decode_event(raw: &RawEvent) -> Result<Event, Error> {
+    let entry = decode_entry(&raw.kv)?;
     if raw.kind == "DELETE" {
         return Ok(Event::Delete {
             key: entry.key,
--- a/crates/gradedyke-platform/src/instances.rs
+++ b/crates/gradedyke-platform/src/instances.rs
@@ -1,7 +1,6 @@
-//! The platform's instance list: which instances are live and which leave.
+//! The platform's instance list: which instances are live and which are leaving.
 //!
-//! The list lags, so it is one sign among several and never proof that an
-//! instance is gone.
+//! The list may be out of date, so it does not prove that an instance has gone.
 
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
@@ -11,45 +10,45 @@
 use http::Method;
 use serde::Deserialize;
 
-/// Whether an instance stays.
+/// The state of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// It takes work.
+    /// It accepts work.
     Live,
-    /// It is going and must get no new work.
+    /// It is shutting down and must not get new work.
     Leaving,
 }
 
-/// One instance in the list.
+/// An instance in the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Instance {
-    /// Its name.
+    /// Its identifier.
     pub id: String,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
-    /// The data centre it stands in.
+    /// The data centre in which it runs.
     pub data_centre: String,
-    /// Whether it stays.
+    /// Its state.
     pub state: State,
 }
 
 /// The instance list.
 #[async_trait]
 pub trait Instances: Send + Sync {
-    /// The instances of `service` as the platform sees them.
+    /// Returns the instances of `service`.
     ///
     /// # Errors
     ///
-    /// The list could not be read; what was read before still holds, lagging.
+    /// The list could not be read. The list read before can still be used.
     async fn list(&self, service: &str) -> Result<Vec<Instance>, client::Error>;
 }
 
-/// Adapter for a list published in the format of Consul's health API. An
-/// instance leaves when its metadata say `state=leaving` or a check is critical.
+/// A client of an instance list in the format of Consul's health API. An instance
+/// is leaving if its metadata has `state=leaving` or one of its checks is critical.
 #[derive(Debug)]
 pub struct Consul {
     address: SocketAddr,
-    time: Duration,
+    timeout: Duration,
     client: Client,
 }
 
@@ -87,11 +86,11 @@
 }
 
 impl Consul {
-    /// An adapter for the list at `address`; a read takes at most `time`.
-    pub fn new(address: SocketAddr, time: Duration) -> Self {
+    /// Creates a client of the list at `address`. A read takes at most `timeout`.
+    pub fn new(address: SocketAddr, timeout: Duration) -> Self {
         Self {
             address,
-            time,
+            timeout,
             client: Client::new(&client::Config::default()),
         }
     }
@@ -99,7 +98,7 @@
 
 impl From<Row> for Instance {
     fn from(row: Row) -> Self {
-        let leaving = row
+        let is_leaving = row
             .service
             .meta
             .get("state")
@@ -109,7 +108,11 @@
             id: row.service.id,
             address: SocketAddr::new(row.service.address, row.service.port),
             data_centre: row.node.datacenter,
-            state: if leaving { State::Leaving } else { State::Live },
+            state: if is_leaving {
+                State::Leaving
+            } else {
+                State::Live
+            },
         }
     }
 }
@@ -120,7 +123,7 @@
         let path = format!("/v1/health/service/{service}");
         let rows: Vec<Row> = self
             .client
-            .json(Method::GET, self.address, &path, None::<&()>, self.time)
+            .json(Method::GET, self.address, &path, None::<&()>, self.timeout)
             .await?;
         Ok(rows.into_iter().map(Instance::from).collect())
     }
--- a/crates/gradedyke-platform/src/kv.rs
+++ b/crates/gradedyke-platform/src/kv.rs
@@ -1,73 +1,73 @@
 //! The key-value service: compare-and-swap, leases and watches.
 //!
-//! The service can be down, slow, or lose an answer after the write has taken
-//! effect. The error kinds keep these apart, because what a writer may conclude
-//! differs: after [`Error::Unavailable`] nothing was written; after
-//! [`Error::Unknown`] nobody knows until the key is read back, which
-//! [`settle`] does.
+//! A call can fail before or after its write has taken effect. After
+//! [`Error::Unavailable`] nothing was written. After [`Error::Unknown`] the write may
+//! have taken effect; [`settle`] finds out by reading the key.
 
 use std::time::Duration;
 
 use async_trait::async_trait;
 
-/// Largest value the service holds, in bytes.
+/// Maximum size of a value, in bytes.
 pub const MAX_VALUE: usize = 1 << 20;
 
-/// A revision of the whole store. Every write has a higher one.
+/// A revision of the whole store, which increases with each write.
 pub type Revision = u64;
 
-/// A lease; keys written under it go when it lapses.
+/// The identifier of a lease. The keys attached to a lease are deleted when it
+/// expires or is revoked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Lease(pub i64);
 
-/// A key with its value.
+/// A key and its value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
     /// The key.
     pub key: String,
     /// The value.
     pub value: Vec<u8>,
-    /// The revision of its last write.
+    /// The revision of the key's last write.
     pub revision: Revision,
 }
 
-/// All keys under a prefix, as of one revision.
+/// All keys with a prefix, as of one revision.
 #[derive(Clone, Debug, Default)]
 pub struct Listing {
-    /// The keys in order.
+    /// The entries in key order.
     pub entries: Vec<Entry>,
-    /// The store's revision at the time.
+    /// The store's revision at the time of the read.
     pub revision: Revision,
 }
 
-/// A write that takes place only if the key was last written at `expected`.
+/// A compare-and-swap: a write that succeeds only if the key's revision is
+/// `expected`.
 #[derive(Clone, Debug)]
 pub struct Swap {
     /// The key.
     pub key: String,
-    /// The revision the key must have; 0 for a key that must not be there.
+    /// The revision that the key must have; 0 if the key must not exist.
     pub expected: Revision,
     /// The new value, or `None` to delete the key.
     pub value: Option<Vec<u8>>,
-    /// The lease the key goes with.
+    /// The lease to which the key is attached, if any.
     pub lease: Option<Lease>,
 }
 
-/// How a swap ended.
+/// The result of a compare-and-swap.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Swapped {
-    /// It took place at this revision.
+    /// The write succeeded at this revision.
     Done(Revision),
-    /// Somebody else wrote first; this is what the key holds.
+    /// The key had a different revision; this is its current entry, if it exists.
     Conflict(Option<Entry>),
 }
 
-/// A change seen by a watch.
+/// A change reported by a watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// A key was written.
     Put(Entry),
-    /// A key was deleted, or went with its lease.
+    /// A key was deleted, possibly because its lease ended.
     Delete {
         /// The key.
         key: String,
@@ -76,22 +76,23 @@
     },
 }
 
-/// What a call to the service fails with.
+/// The error of a call to the service.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// The service could not be reached, so nothing was written.
+    /// The service is not available; nothing was written.
     #[error("the key-value service cannot be reached ({0}); it is retried, check its address")]
     Unavailable(String),
-    /// No answer came. A write may have taken effect: read the key back.
+    /// The service did not answer. A write may have taken effect; read the key to
+    /// find out.
     #[error("the key-value service did not answer ({0}); read the key back")]
     Unknown(String),
-    /// The lease has lapsed.
+    /// The lease has expired or was revoked.
     #[error("the lease has lapsed; take a new one and act on nothing done under the old")]
     LeaseGone,
-    /// The value is over [`MAX_VALUE`].
+    /// The value is larger than [`MAX_VALUE`]; this is its size in bytes.
     #[error("the value has {0} bytes, over a megabyte; split it")]
     TooLarge(usize),
-    /// The watch's start has been compacted away.
+    /// The start revision of the watch has been compacted.
     #[error("the watch starts too far back; list the keys again and watch from there")]
     Compacted,
     /// The service answered with an error.
@@ -109,81 +110,83 @@
     /// Any [`Error`] of a read: nothing has changed.
     async fn get(&self, key: &str) -> Result<Option<Entry>, Error>;
 
-    /// Reads all keys under `prefix`.
+    /// Reads all keys with the given prefix.
     ///
     /// # Errors
     ///
     /// Any [`Error`] of a read: nothing has changed.
     async fn list(&self, prefix: &str) -> Result<Listing, Error>;
 
-    /// Writes if nobody else has.
+    /// Writes or deletes a key if it has the expected revision.
     ///
     /// # Errors
     ///
-    /// [`Error::Unknown`] when the write may have taken effect.
+    /// Any [`Error`]; after [`Error::Unknown`] the write may have taken effect.
     async fn swap(&self, swap: Swap) -> Result<Swapped, Error>;
 
-    /// Takes a lease of `length`, rounded up to whole seconds.
+    /// Creates a lease that expires after `ttl`, rounded up to whole seconds.
     ///
     /// # Errors
     ///
-    /// [`Error::Unknown`] when a lease may have been made; it lapses by itself.
-    async fn grant(&self, length: Duration) -> Result<Lease, Error>;
+    /// Any [`Error`]; after [`Error::Unknown`] a lease may have been created, which
+    /// then expires by itself.
+    async fn grant(&self, ttl: Duration) -> Result<Lease, Error>;
 
-    /// Renews a lease for its full length.
+    /// Renews a lease for its full time-to-live.
     ///
     /// # Errors
     ///
-    /// [`Error::LeaseGone`] when it has lapsed.
+    /// Any [`Error`]; [`Error::LeaseGone`] if the lease has expired.
     async fn renew(&self, lease: Lease) -> Result<(), Error>;
 
-    /// Gives a lease up; keys under it go at once.
+    /// Revokes a lease and so deletes the keys attached to it.
     ///
     /// # Errors
     ///
-    /// [`Error::Unknown`] when it may have gone.
+    /// Any [`Error`]; after [`Error::Unknown`] the lease may have been revoked.
     async fn revoke(&self, lease: Lease) -> Result<(), Error>;
 
-    /// Watches the keys under `prefix` for changes from revision `from` on. Where the service
-    /// answers each wait for changes, the first answer tells at once what has changed.
+    /// Watches the keys with the given prefix for changes from revision `from` on. If
+    /// the service is long-polled, the first poll returns existing changes at once.
     ///
     /// # Errors
     ///
-    /// [`Error::Compacted`] when that is too far back.
+    /// Any [`Error`]; [`Error::Compacted`] if changes since `from` are no longer
+    /// available.
     async fn watch(&self, prefix: &str, from: Revision) -> Result<Box<dyn Watch>, Error>;
 }
 
-/// A watch under way. Dropping it ends it.
+/// An open watch, which is closed when it is dropped.
 #[async_trait]
 pub trait Watch: Send {
-    /// Waits for the next changes, in the order of their revisions. There may be none: then
-    /// the service has said only that it is there.
+    /// Waits for the next changes and returns them in the order of their revisions. An
+    /// empty list shows only that the service is still available.
     ///
     /// # Errors
     ///
-    /// The watch is broken; watch again from after the last revision seen.
+    /// Any [`Error`]; the watch has ended. Start a new one after the last revision
+    /// seen or, after [`Error::Compacted`], list the keys first.
     async fn next(&mut self) -> Result<Vec<Event>, Error>;
 }
 
-/// Writes as [`KeyValue::swap`] does, and settles a lost answer by reading the
-/// key back.
+/// Calls [`KeyValue::swap`] and, if its outcome is unknown, reads the key to find out
+/// whether the write has taken effect.
 ///
-/// The value must carry a mark that no other writer writes, so that finding it
-/// proves that the lost write was this one. Finding another value is reported
-/// as a conflict, also where ours was there for a moment in between: the caller
-/// has to look at the newer value in either case.
+/// The value must be unique to this write, so that reading it proves that this write
+/// has taken effect. Any other value is reported as a conflict, even if this write
+/// took effect and was then overwritten.
 ///
 /// # Errors
 ///
-/// Any [`Error`]; [`Error::Unknown`] when reading back failed too.
+/// Any [`Error`]; [`Error::Unknown`] if reading the key failed too.
 pub async fn settle(kv: &dyn KeyValue, swap: Swap) -> Result<Swapped, Error> {
     let key = swap.key.clone();
     let value = swap.value.clone();
-    let lost = match kv.swap(swap).await {
+    let cause = match kv.swap(swap).await {
         Err(Error::Unknown(cause)) => cause,
-        settled => return settled,
+        result => return result,
     };
-    let found = kv.get(&key).await.map_err(|_| Error::Unknown(lost))?;
+    let found = kv.get(&key).await.map_err(|_| Error::Unknown(cause))?;
     Ok(match (found, value) {
         (Some(entry), Some(value)) if entry.value == value => Swapped::Done(entry.revision),
         (None, None) => Swapped::Done(0),
--- a/crates/gradedyke-platform/src/lib.rs
+++ b/crates/gradedyke-platform/src/lib.rs
@@ -1,7 +1,7 @@
-//! The platform's services as gradedyke sees them.
+//! Clients of the platform's services.
 //!
-//! Each service is a trait object at the border, with one HTTP adapter that
-//! follows a published format, so that tests can put small fakes in its place.
+//! Each service is a trait, which tests can implement with a fake, and has one
+//! HTTP adapter for a published API.
 //!
 //! - [`kv`]: the key-value service; [`etcd`] is its adapter.
 //! - [`instances`]: the instance list; its adapter reads Consul's health API.
--- a/crates/gradedyke-platform/tests/contract.rs
+++ b/crates/gradedyke-platform/tests/contract.rs
@@ -1,5 +1,5 @@
-//! The contract of the platform's services, through the real adapters against
-//! the stand-in, with the faults that the brief names.
+//! Tests of the adapters against a stand-in for the platform's services, with
+//! injected faults.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,8 +14,8 @@
 use serde_json::json;
 use tokio_util::sync::CancellationToken;
 
-const TIME: Duration = Duration::from_secs(2);
-const LEASE: Duration = Duration::from_secs(60);
+const TIMEOUT: Duration = Duration::from_secs(2);
+const LEASE_TTL: Duration = Duration::from_secs(60);
 
 async fn start() -> (Arc<Platform>, SocketAddr) {
     let platform = Platform::start();
@@ -28,10 +28,10 @@
     (platform, address)
 }
 
-fn etcd(address: SocketAddr, time: Duration) -> Etcd {
+fn etcd(address: SocketAddr, timeout: Duration) -> Etcd {
     Etcd::new(Config {
         addresses: vec![address],
-        time,
+        time: timeout,
     })
 }
 
@@ -44,7 +44,8 @@
     }
 }
 
-fn done(swapped: Result<Swapped, Error>) -> u64 {
+/// Returns the revision of a successful swap.
+fn expect_done(swapped: Result<Swapped, Error>) -> u64 {
     match swapped.unwrap() {
         Swapped::Done(revision) => revision,
         Swapped::Conflict(found) => panic!("conflict with {found:?}"),
@@ -52,17 +53,17 @@
 }
 
 #[tokio::test]
-async fn a_swap_takes_place_only_on_the_expected_revision() {
+async fn swap_succeeds_only_at_the_expected_revision() {
     let (_, address) = start().await;
-    let kv = etcd(address, TIME);
-    let first = done(kv.swap(put("a", 0, "one")).await);
-    // Each case: the revision expected, and whether it takes place.
-    for (expected, takes) in [(0, false), (first + 7, false), (first, true)] {
+    let kv = etcd(address, TIMEOUT);
+    let first = expect_done(kv.swap(put("a", 0, "one")).await);
+    // Each case: the expected revision, and whether the swap succeeds.
+    for (expected, succeeds) in [(0, false), (first + 7, false), (first, true)] {
         let swapped = kv.swap(put("a", expected, "two")).await.unwrap();
         match swapped {
-            Swapped::Done(_) => assert!(takes, "expected {expected}"),
+            Swapped::Done(_) => assert!(succeeds, "expected {expected}"),
             Swapped::Conflict(found) => {
-                assert!(!takes, "expected {expected}");
+                assert!(!succeeds, "expected {expected}");
                 assert_eq!(found.unwrap().value, b"one");
             }
         }
@@ -72,24 +73,24 @@
         value: None,
         ..put("a", entry.revision, "")
     };
-    done(kv.swap(delete).await);
+    expect_done(kv.swap(delete).await);
     assert_eq!(kv.get("a").await.unwrap(), None);
 }
 
 #[tokio::test]
-async fn writers_that_race_get_one_winner_each_time() {
+async fn one_of_several_concurrent_swaps_succeeds() {
     let (_, address) = start().await;
-    let kv = Arc::new(etcd(address, TIME));
+    let kv = Arc::new(etcd(address, TIMEOUT));
     let mut expected = 0;
     for round in 0..20 {
-        let race = (0..8).map(|writer| {
+        let writers = (0..8).map(|writer| {
             let kv = kv.clone();
             let swap = put("a", expected, &format!("{round}-{writer}"));
             tokio::spawn(async move { kv.swap(swap).await.unwrap() })
         });
-        let race: Vec<_> = race.collect();
+        let writers: Vec<_> = writers.collect();
         let mut winners = Vec::new();
-        for writer in race {
+        for writer in writers {
             if let Swapped::Done(revision) = writer.await.unwrap() {
                 winners.push(revision);
             }
@@ -102,31 +103,31 @@
 }
 
 #[tokio::test]
-async fn a_lost_answer_is_settled_by_reading_back() {
+async fn unknown_outcome_is_resolved_by_reading_the_key() {
     let (platform, address) = start().await;
-    let kv = etcd(address, TIME);
+    let kv = etcd(address, TIMEOUT);
     platform.faults.lose.store(1, Ordering::Relaxed);
-    let raw = kv.swap(put("a", 0, "mark-1")).await;
-    assert!(matches!(raw, Err(Error::Unknown(_))), "{raw:?}");
+    let unknown = kv.swap(put("a", 0, "mark-1")).await;
+    assert!(matches!(unknown, Err(Error::Unknown(_))), "{unknown:?}");
     let written = kv.get("a").await.unwrap().unwrap();
     assert_eq!(written.value, b"mark-1");
 
     platform.faults.lose.store(1, Ordering::Relaxed);
     let settled = kv::settle(&kv, put("a", written.revision, "mark-2")).await;
     let found = kv.get("a").await.unwrap().unwrap();
-    assert_eq!(done(settled), found.revision);
+    assert_eq!(expect_done(settled), found.revision);
     assert_eq!(found.value, b"mark-2");
 
-    // Somebody else's value is a conflict, lost answer or not.
+    // The value of another write is a conflict.
     platform.faults.lose.store(0, Ordering::Relaxed);
     let late = kv::settle(&kv, put("a", written.revision, "mark-3")).await;
     assert!(matches!(late, Ok(Swapped::Conflict(Some(_)))), "{late:?}");
 }
 
 #[tokio::test]
-async fn a_service_that_is_down_wrote_nothing() {
+async fn unavailable_service_writes_nothing() {
     let (platform, address) = start().await;
-    let kv = etcd(address, TIME);
+    let kv = etcd(address, TIMEOUT);
     platform.faults.down.store(true, Ordering::Relaxed);
     let down = kv.swap(put("a", 0, "one")).await;
     assert!(matches!(down, Err(Error::Unavailable(_))), "{down:?}");
@@ -134,12 +135,12 @@
     assert_eq!(kv.get("a").await.unwrap(), None);
 
     let closed = SocketAddr::from(([127, 0, 0, 1], 1));
-    let refused = etcd(closed, TIME).get("a").await;
+    let refused = etcd(closed, TIMEOUT).get("a").await;
     assert!(matches!(refused, Err(Error::Unavailable(_))), "{refused:?}");
 }
 
 #[tokio::test]
-async fn a_slow_service_leaves_a_write_unknown() {
+async fn outcome_is_unknown_after_a_timeout() {
     let (platform, address) = start().await;
     let kv = etcd(address, Duration::from_millis(20));
     platform.faults.slow_ms.store(60_000, Ordering::Relaxed);
@@ -148,39 +149,39 @@
 }
 
 #[tokio::test]
-async fn keys_go_with_their_lease() {
+async fn keys_are_deleted_when_their_lease_expires() {
     let (platform, address) = start().await;
-    let kv = etcd(address, TIME);
-    let lease = kv.grant(LEASE).await.unwrap();
+    let kv = etcd(address, TIMEOUT);
+    let lease = kv.grant(LEASE_TTL).await.unwrap();
     let leased = Swap {
         lease: Some(lease),
         ..put("a", 0, "one")
     };
-    done(kv.swap(leased.clone()).await);
+    expect_done(kv.swap(leased.clone()).await);
     kv.renew(lease).await.unwrap();
     let mut watch = kv.watch("a", 1).await.unwrap();
     assert!(matches!(&watch.next().await.unwrap()[0], Event::Put(e) if e.value == b"one"));
     platform.lapse();
-    let gone = watch.next().await.unwrap();
-    assert!(matches!(&gone[0], Event::Delete { key, .. } if key == "a"));
+    let deleted = watch.next().await.unwrap();
+    assert!(matches!(&deleted[0], Event::Delete { key, .. } if key == "a"));
     assert_eq!(kv.renew(lease).await, Err(Error::LeaseGone));
     assert_eq!(kv.swap(leased).await, Err(Error::LeaseGone));
-    let other = kv.grant(LEASE).await.unwrap();
+    let other = kv.grant(LEASE_TTL).await.unwrap();
     kv.revoke(other).await.unwrap();
     assert_eq!(kv.renew(other).await, Err(Error::LeaseGone));
 }
 
 #[tokio::test]
-async fn a_watch_misses_no_change_of_its_prefix() {
+async fn watch_reports_every_change_of_its_prefix() {
     let (_, address) = start().await;
-    let kv = Arc::new(etcd(address, TIME));
+    let kv = Arc::new(etcd(address, TIMEOUT));
     let mut watch = kv.watch("p/", 1).await.unwrap();
     let writers: Vec<_> = (0..50)
         .map(|n| {
             let kv = kv.clone();
             tokio::spawn(async move {
-                done(kv.swap(put(&format!("q/{n}"), 0, "other")).await);
-                done(kv.swap(put(&format!("p/{n}"), 0, "ours")).await);
+                expect_done(kv.swap(put(&format!("q/{n}"), 0, "other")).await);
+                expect_done(kv.swap(put(&format!("p/{n}"), 0, "ours")).await);
             })
         })
         .collect();
@@ -189,7 +190,7 @@
     while seen.len() < writers.len() {
         for event in watch.next().await.unwrap() {
             let Event::Put(entry) = event else {
-                panic!("nothing was deleted")
+                panic!("unexpected deletion")
             };
             assert!(entry.key.starts_with("p/"));
             assert!(entry.revision > last, "out of order");
@@ -204,19 +205,19 @@
 }
 
 #[tokio::test]
-async fn a_watch_is_cut_when_the_service_goes_down() {
+async fn watch_fails_when_the_service_becomes_unavailable() {
     let (platform, address) = start().await;
-    let kv = etcd(address, TIME);
+    let kv = etcd(address, TIMEOUT);
     let mut watch = kv.watch("p/", 1).await.unwrap();
     platform.faults.down.store(true, Ordering::Relaxed);
-    let cut = watch.next().await;
-    assert!(matches!(cut, Err(Error::Unavailable(_))), "{cut:?}");
+    let result = watch.next().await;
+    assert!(matches!(result, Err(Error::Unavailable(_))), "{result:?}");
 }
 
 #[tokio::test]
-async fn a_value_over_a_megabyte_is_refused_before_it_is_sent() {
+async fn too_large_value_is_rejected_without_a_call() {
     let (platform, address) = start().await;
-    let kv = etcd(address, TIME);
+    let kv = etcd(address, TIMEOUT);
     let large = Swap {
         value: Some(vec![0; MAX_VALUE + 1]),
         ..put("a", 0, "")
@@ -227,11 +228,11 @@
         value: Some(vec![0; MAX_VALUE]),
         ..put("a", 0, "")
     };
-    done(kv.swap(largest).await);
+    expect_done(kv.swap(largest).await);
 }
 
 #[tokio::test]
-async fn the_instance_list_tells_who_leaves() {
+async fn instance_list_reports_leaving_instances() {
     let (platform, address) = start().await;
     let row = |id: &str, state: &str, status: &str| {
         json!({
@@ -240,7 +241,7 @@
             "Checks": [{ "Status": status }],
         })
     };
-    // Each case: the state in the metadata, the check, and what follows.
+    // Each case: the state in the metadata, the check's status, and the result.
     let cases = [
         ("live", "passing", State::Live),
         ("leaving", "passing", State::Leaving),
@@ -250,20 +251,28 @@
     let rows = cases.iter().enumerate();
     let rows = rows.map(|(i, (state, status, _))| row(&i.to_string(), state, status));
     platform.list("backends", rows.collect());
-    let list = Consul::new(address, TIME).list("backends").await.unwrap();
+    let list = Consul::new(address, TIMEOUT)
+        .list("backends")
+        .await
+        .unwrap();
     let states: Vec<_> = list.iter().map(|i| i.state).collect();
     assert_eq!(states, cases.map(|(.., state)| state));
-    let none = Consul::new(address, TIME).list("unknown").await.unwrap();
+    let none = Consul::new(address, TIMEOUT).list("unknown").await.unwrap();
     assert!(none.is_empty());
     platform.faults.down.store(true, Ordering::Relaxed);
-    assert!(Consul::new(address, TIME).list("backends").await.is_err());
+    assert!(
+        Consul::new(address, TIMEOUT)
+            .list("backends")
+            .await
+            .is_err()
+    );
 }
 
 #[tokio::test]
-async fn the_weight_store_tells_sizes() {
+async fn weight_store_returns_sizes() {
     let (platform, address) = start().await;
     platform.weigh("m", "1", 42);
-    let store = weights::Http::new(address, TIME);
+    let store = weights::Http::new(address, TIMEOUT);
     assert_eq!(store.stat("m", "1").await.unwrap().bytes, 42);
     let missing = store.stat("m", "2").await;
     assert!(
