--- a/crates/gradedyke-http/src/server.rs
+++ b/crates/gradedyke-http/src/server.rs
@@ -49,12 +49,12 @@
     pub head: Duration,
     /// Maximum number of open connections; further ones wait to be accepted.
     pub connections: usize,
-    /// Time after the start of a connection's last request when the connection is
-    /// shut down gracefully. `None` for no limit.
+    /// Time without a new request after which a connection is closed, once its
+    /// requests in progress are completed. `None` for no limit.
     pub idle: Option<Duration>,
-    /// Maximum time for which sent data may stay unacknowledged (`TCP_USER_TIMEOUT`)
-    /// before the connection is closed, because data for a peer that does not read
-    /// takes memory. `None` for the operating system's default.
+    /// Maximum time for which data for a peer may stay unsent or unacknowledged
+    /// (`TCP_USER_TIMEOUT`) before the connection is closed. It bounds the memory
+    /// used for a peer that does not read. `None` for the operating system's default.
     pub unread: Option<Duration>,
 }
 
--- a/crates/gradedyke-http/tests/unread.rs
+++ b/crates/gradedyke-http/tests/unread.rs
@@ -1,5 +1,5 @@
 //! The connection of a peer that does not read is closed and its reply is no longer
-//! produced; a peer that reads in time receives the whole reply.
+//! produced; a peer that reads in time stays connected.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/gradedyke-peer/src/client.rs
+++ b/crates/gradedyke-peer/src/client.rs
@@ -113,11 +113,11 @@
             down: down.clone(),
             last_reply: last_reply.clone(),
         };
-        let cancelled = stop.clone();
+        let token = stop.clone();
         tokio::spawn(async move {
             tokio::select! {
                 () = connection.run() => {}
-                () = cancelled.cancelled() => {}
+                () = token.cancelled() => {}
             }
         });
         Self {
--- a/crates/gradedyke-platform/src/etcd.rs
+++ b/crates/gradedyke-platform/src/etcd.rs
@@ -340,8 +340,9 @@
         };
         let reply: LeaseReply = self.call("grant", "/v3/lease/grant", &request).await?;
         let id = reply.id.parse();
-        id.map(Lease)
-            .map_err(|_| Error::Refused("it granted a lease without an id".to_owned()))
+        id.map(Lease).map_err(|_| {
+            Error::Refused("the reply has a lease without a valid identifier".to_owned())
+        })
     }
 
     async fn renew(&self, lease: Lease) -> Result<(), Error> {
@@ -383,7 +384,7 @@
         let opening = self.client.send(address, request);
         let reply = tokio::time::timeout(self.config.time, opening)
             .await
-            .map_err(|_| Error::Unavailable(format!("{address} opened no watch in time")))?
+            .map_err(|_| Error::Unavailable(format!("{address} did not open the watch in time")))?
             .map_err(|e| convert_error(&e))?;
         if !reply.status().is_success() {
             self.address_index.fetch_add(1, Ordering::Relaxed);
@@ -409,7 +410,7 @@
             if let Some(end) = self.buffer.iter().position(|b| *b == b'\n') {
                 return Ok(self.buffer.split_to(end + 1));
             }
-            let ended = || Error::Unavailable("the watch was cut".to_owned());
+            let ended = || Error::Unavailable("the watch's connection was closed".to_owned());
             let frame = self.incoming.frame().await.ok_or_else(ended)?;
             let frame = frame.map_err(|_| ended())?;
             if let Ok(data) = frame.into_data() {
--- a/crates/gradedyke-platform/src/weights.rs
+++ b/crates/gradedyke-platform/src/weights.rs
@@ -36,7 +36,7 @@
 
 /// The weight store.
 #[async_trait]
-pub trait Weights: Send + Sync {
+pub trait WeightStore: Send + Sync {
     /// Returns the properties of a version of a model.
     ///
     /// # Errors
@@ -47,7 +47,7 @@
 
 /// A client of a store that serves `/weights/MODEL/VERSION` over plain HTTP.
 #[derive(Debug)]
-pub struct Http {
+pub struct HttpStore {
     address: SocketAddr,
     timeout: Duration,
     client: client::Client,
@@ -56,7 +56,7 @@
 /// Delay if the rate limit is exceeded and the store sends no `retry-after`.
 const DEFAULT_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-impl Http {
+impl HttpStore {
     /// Creates a client of the store at `address`. A request takes at most `timeout`.
     pub fn new(address: SocketAddr, timeout: Duration) -> Self {
         Self {
@@ -73,7 +73,7 @@
 }
 
 #[async_trait]
-impl Weights for Http {
+impl WeightStore for HttpStore {
     async fn stat(&self, model: &str, version: &str) -> Result<WeightInfo, Error> {
         let path = format!("/weights/{model}/{version}");
         let request = client::build(Method::HEAD, self.address, &path, body::empty())?;
--- a/crates/gradedyke-platform/tests/contract.rs
+++ b/crates/gradedyke-platform/tests/contract.rs
@@ -9,7 +9,7 @@
 use gradedyke_platform::etcd::{Config, Etcd};
 use gradedyke_platform::instances::{Consul, Instances, State};
 use gradedyke_platform::kv::{self, Error, Event, KeyValue, MAX_VALUE, Swap, Swapped};
-use gradedyke_platform::weights::{self, Weights};
+use gradedyke_platform::weights::{self, WeightStore};
 use gradedyke_standin::platform::{Listener, Platform};
 use serde_json::json;
 use tokio_util::sync::CancellationToken;
@@ -272,7 +272,7 @@
 async fn weight_store_returns_sizes() {
     let (platform, address) = start().await;
     platform.weigh("m", "1", 42);
-    let store = weights::Http::new(address, TIMEOUT);
+    let store = weights::HttpStore::new(address, TIMEOUT);
     assert_eq!(store.stat("m", "1").await.unwrap().bytes, 42);
     let missing = store.stat("m", "2").await;
     assert!(
