--- a/crates/gradedyke-standin/src/engine.rs
+++ b/crates/gradedyke-standin/src/engine.rs
@@ -1,10 +1,10 @@
-//! A model engine: continuous batching, a bounded prefix cache, priorities, a
-//! lagging load report, late and gapped cache events.
+//! Stand-in for a model engine, with continuous batching, a bounded prefix cache,
+//! priorities, delayed load reports, and cache events that are delayed or lost.
 //!
-//! The model: a step takes `step` and advances every running call; a call first
-//! computes the part of its prompt that is not cached, then generates a token a
-//! step. A token is a word. The text depends on the messages alone, so the same
-//! conversation gets the same answer from every engine.
+//! Each step takes [`Config::step_us`] and advances every running call: a call first
+//! computes the part of its prompt that is not cached, then generates one token per
+//! step. A token is a word. The generated text depends only on the messages, so every
+//! engine gives the same answer to the same conversation.
 
 mod batch;
 
@@ -23,25 +23,25 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::Instant;
 
-/// How the engine is built and how it misreports.
+/// Size and speed of the engine, and faults in its reports.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Config {
-    /// Calls that generate at a time.
+    /// Maximum number of calls that run at the same time.
     pub batch: usize,
-    /// Length of a step, in microseconds.
+    /// Duration of a step, in microseconds.
     pub step_us: u64,
-    /// Prompt tokens that a call computes in a step.
+    /// Prompt tokens that a call computes per step.
     pub prefill_tokens: u64,
-    /// Tokens that the cache holds.
+    /// Capacity of the prefix cache, in tokens.
     pub cache_tokens: u64,
-    /// How old the load report and the cache events are, in milliseconds.
+    /// Delay of load reports and cache events, in milliseconds.
     pub lag_ms: u64,
-    /// Every so manieth cache event is lost; 0 for none.
+    /// Every `lose_event`-th cache event is lost; 0 for none.
     pub lose_event: u64,
-    /// Whether an order with an old fencing number is refused.
+    /// Whether an order is refused if its fencing number is lower than an earlier one.
     pub checks_fencing: bool,
-    /// Tokens in an answer, before `max_tokens` cuts it.
+    /// Maximum number of tokens in an answer; `max_tokens` of a request can lower it.
     pub answer_tokens: u64,
 }
 
@@ -60,44 +60,46 @@
     }
 }
 
-/// One call that ran, as the engine saw it.
+/// A call and its progress.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Run {
-    /// The attempt's name.
+    /// ID of the attempt, from the `x-request-id` header.
     pub attempt: String,
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub prompt_tokens: u64,
-    /// Those found in the cache.
+    /// Number of prompt tokens found in the cache.
     pub cached_tokens: u64,
-    /// Tokens generated.
+    /// Number of tokens generated so far.
     pub completion_tokens: u64,
-    /// The text.
+    /// Text generated so far.
     pub text: String,
-    /// Whether it came to its end.
+    /// Whether the answer was generated completely.
     pub whole: bool,
 }
 
-/// The stand-in.
+/// The engine stand-in.
 #[derive(Debug)]
 pub struct Engine {
     config: Config,
     state: Mutex<State>,
+    /// Notified when there may be work for the next step.
     work: Notify,
     changed: watch::Sender<()>,
 }
 
-const WORDS: [&str; 16] = [
+const VOCABULARY: [&str; 16] = [
     "the", "council", "notes", "item", "approved", "copy", "shelf", "price", "motion", "carried",
     "chair", "stock", "minutes", "lot", "edition", "record",
 ];
 
-fn words_of(message: &Value) -> u64 {
+/// Number of tokens in a message: its words and one for the role.
+fn count_tokens(message: &Value) -> u64 {
     let content = message["content"].as_str().unwrap_or_default();
     content.split_whitespace().count() as u64 + 1
 }
 
-/// The answer to `messages`: a function of what they say.
-fn answer(messages: &[Value], tokens: u64) -> Vec<String> {
+/// Generates an answer of `tokens` words, which depend only on the messages.
+fn generate_answer(messages: &[Value], tokens: u64) -> Vec<String> {
     let mut hasher = blake3::Hasher::new();
     for message in messages {
         hasher.update(message["role"].to_string().as_bytes());
@@ -106,12 +108,16 @@
     let mut reader = hasher.finalize_xof();
     let mut bytes = vec![0; usize::try_from(tokens).unwrap_or(0)];
     reader.fill(&mut bytes);
-    let word = |byte: u8| format!("{} ", WORDS[usize::from(byte) % WORDS.len()]);
+    let word = |byte: u8| format!("{} ", VOCABULARY[usize::from(byte) % VOCABULARY.len()]);
     bytes.into_iter().map(word).collect()
 }
 
 impl Engine {
-    /// An idle engine. It needs a tokio runtime for its steps.
+    /// Starts an idle engine.
+    ///
+    /// # Panics
+    ///
+    /// If it is called outside a tokio runtime.
     pub fn start(config: Config) -> Arc<Self> {
         let engine = Arc::new(Self {
             config,
@@ -122,7 +128,7 @@
         let weak = Arc::downgrade(&engine);
         tokio::spawn(async move {
             while let Some(engine) = weak.upgrade() {
-                engine.turn().await;
+                engine.run_step().await;
             }
         });
         engine
@@ -132,7 +138,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// All calls that were started.
+    /// All calls received so far.
     pub fn runs(&self) -> Vec<Run> {
         self.lock()
             .attempts
@@ -141,57 +147,57 @@
             .collect()
     }
 
-    /// Programs for which memory is held, with the prefixes.
+    /// Pinned prefixes, as (holder, prefix key) pairs. Pinned prefixes are not evicted.
     pub fn pins(&self) -> Vec<(String, String)> {
         self.lock().pins.iter().cloned().collect()
     }
 
-    /// Orders carried out so far.
+    /// Orders accepted so far.
     pub fn orders(&self) -> Vec<Value> {
         self.lock().orders.clone()
     }
 
-    /// Number of load reports given so far.
+    /// Number of load reports returned so far.
     pub fn reports(&self) -> u64 {
         self.lock().reports
     }
 
-    /// Waits until `wanted` holds for the engine.
-    pub async fn until(&self, wanted: impl Fn(&Self) -> bool) {
+    /// Waits until `condition` holds. It is checked again after each step and most control
+    /// requests.
+    pub async fn until(&self, condition: impl Fn(&Self) -> bool) {
         let mut changed = self.changed.subscribe();
         loop {
             changed.borrow_and_update();
-            if wanted(self) {
+            if condition(self) {
                 return;
             }
-            // The sender lives as long as the engine.
+            // Cannot fail: `self` keeps the sender alive.
             let _ = changed.changed().await;
         }
     }
 
-    /// Has calls stand still when they have generated so many tokens, or lets
-    /// them go on.
+    /// Stalls each call once it has generated this many tokens; `None` lets all calls continue.
     pub fn hold_at(&self, tokens: Option<u64>) {
         self.lock().hold_at = tokens;
         self.work.notify_one();
     }
 
-    /// Says from now on that the engine is leaving, or no longer.
+    /// Sets the `leaving` flag of the load reports.
     pub fn leave(&self, leaving: bool) {
         self.lock().leaving = leaving;
     }
 
-    /// One step, or a wait for work.
-    async fn turn(&self) {
-        let idle = {
+    /// Runs one step, or waits for work if no call can make progress.
+    async fn run_step(&self) {
+        let is_idle = {
             let mut state = self.lock();
             state.admit(self.config.batch);
-            state.held()
+            state.is_idle()
         };
-        if idle {
-            // The wait is bounded so that the task sees when the engine is dropped.
-            let wait = Duration::from_millis(100);
-            let _ = tokio::time::timeout(wait, self.work.notified()).await;
+        if is_idle {
+            // The timeout lets the task notice that the engine was dropped.
+            let timeout = Duration::from_millis(100);
+            let _ = tokio::time::timeout(timeout, self.work.notified()).await;
             return;
         }
         tokio::time::sleep(Duration::from_micros(self.config.step_us)).await;
@@ -199,15 +205,16 @@
         self.changed.send_replace(());
     }
 
+    /// Queues a call. Does nothing if there is one with this ID already.
     fn submit(&self, attempt: &str, request: &Value) {
         let empty = Vec::new();
         let messages = request["messages"].as_array().unwrap_or(&empty);
-        let counts: Vec<u64> = messages.iter().map(words_of).collect();
+        let counts: Vec<u64> = messages.iter().map(count_tokens).collect();
         let keys = request["cache_keys"].as_array().unwrap_or(&empty).iter();
         let keys = keys.filter_map(|k| k.as_str().map(str::to_owned));
-        let limit = request["max_tokens"].as_u64();
-        let limit = request["max_completion_tokens"].as_u64().or(limit);
-        let tokens = limit.unwrap_or(u64::MAX).min(self.config.answer_tokens);
+        let requested = request["max_tokens"].as_u64();
+        let requested = request["max_completion_tokens"].as_u64().or(requested);
+        let max_tokens = requested.unwrap_or(u64::MAX).min(self.config.answer_tokens);
         let mut state = self.lock();
         if state.attempts.contains_key(attempt) {
             return;
@@ -224,9 +231,9 @@
             },
             model: request["model"].as_str().unwrap_or_default().to_owned(),
             priority: request["priority"].as_i64().unwrap_or(0),
-            order: state.clock,
+            arrival: state.clock,
             prefill_left: 0,
-            words: answer(messages, tokens),
+            words: generate_answer(messages, max_tokens),
             keys: keys.zip(counts).collect(),
             progress: watch::Sender::new(0),
             ended: false,
@@ -237,7 +244,7 @@
         self.work.notify_one();
     }
 
-    /// Streams an attempt's text from a byte offset on.
+    /// Streams the text of an attempt, starting at a byte offset.
     fn stream(self: &Arc<Self>, attempt: &str, offset: usize) -> Response<Body> {
         let progress = self
             .lock()
@@ -255,7 +262,7 @@
             let mut offset = offset;
             loop {
                 progress.borrow_and_update();
-                let (chunks, ended) = engine.news(&attempt, &mut offset);
+                let (chunks, ended) = engine.chunks_since(&attempt, &mut offset);
                 if !chunks.is_empty() && sender.send(Ok(Bytes::from(chunks))).await.is_err() {
                     return;
                 }
@@ -265,13 +272,16 @@
             }
         });
         let mut reply = Response::new(body);
-        let kind = http::HeaderValue::from_static("text/event-stream");
-        reply.headers_mut().insert(http::header::CONTENT_TYPE, kind);
+        let content_type = http::HeaderValue::from_static("text/event-stream");
+        reply
+            .headers_mut()
+            .insert(http::header::CONTENT_TYPE, content_type);
         reply
     }
 
-    /// What has come since `offset`, as server-sent events.
-    fn news(&self, attempt: &str, offset: &mut usize) -> (String, bool) {
+    /// Returns the text after `offset` as server-sent events and whether the attempt has ended;
+    /// advances `offset`.
+    fn chunks_since(&self, attempt: &str, offset: &mut usize) -> (String, bool) {
         let state = self.lock();
         let Some(entry) = state.attempts.get(attempt) else {
             return (String::new(), true);
@@ -306,6 +316,7 @@
         (chunks, entry.ended)
     }
 
+    /// Pins those of the prefixes that are cached.
     fn pin(&self, pin: &Value) -> Response<Body> {
         let holder = pin["holder"].as_str().unwrap_or_default();
         let empty = Vec::new();
@@ -321,46 +332,52 @@
         reply::json(StatusCode::OK, &json!({}))
     }
 
+    /// Accepts an order, unless its fencing number is too low.
     fn order(&self, order: &Value) -> Response<Body> {
         let mut state = self.lock();
         let fencing = order["fencing"].as_u64().unwrap_or(0);
         if self.config.checks_fencing && fencing < state.fencing {
-            let newest = state.fencing.to_string();
-            return reply::problem(&Problem::new(Kind::Conflict, newest));
+            let highest = state.fencing.to_string();
+            return reply::problem(&Problem::new(Kind::Conflict, highest));
         }
         state.fencing = state.fencing.max(fencing);
         state.orders.push(order.clone());
         reply::json(StatusCode::OK, &json!({}))
     }
 
-    fn get(self: &Arc<Self>, path: &str, query: u64) -> Response<Body> {
-        let aged = Instant::now() - Duration::from_millis(self.config.lag_ms);
+    /// Handles a GET request; `query` is the value of its only query parameter.
+    fn handle_get(self: &Arc<Self>, path: &str, query: u64) -> Response<Body> {
+        let visible_until = Instant::now() - Duration::from_millis(self.config.lag_ms);
         let mut state = self.lock();
         match path {
             "/control/load" => {
                 state.reports += 1;
                 self.changed.send_replace(());
-                let old = state.loads.iter().rev().find(|(at, _)| *at <= aged);
-                let load = old.map_or_else(|| json!({}), |(_, load)| load.clone());
+                let latest_visible = state
+                    .loads
+                    .iter()
+                    .rev()
+                    .find(|(at, _)| *at <= visible_until);
+                let load = latest_visible.map_or_else(|| json!({}), |(_, load)| load.clone());
                 let mut load = load;
                 load["leaving"] = state.leaving.into();
                 reply::json(StatusCode::OK, &load)
             }
             "/control/cache/events" => {
-                let lost = |number: u64| {
+                let is_lost = |number: u64| {
                     self.config.lose_event > 0 && number.is_multiple_of(self.config.lose_event)
                 };
-                let news = state.events.iter().filter(|(at, event)| {
+                let visible = state.events.iter().filter(|(at, event)| {
                     let number = event["number"].as_u64().unwrap_or(0);
-                    *at <= aged && number > query && !lost(number)
+                    *at <= visible_until && number > query && !is_lost(number)
                 });
-                let news: Vec<_> = news.map(|(_, event)| event).collect();
-                reply::json(StatusCode::OK, &news)
+                let visible: Vec<_> = visible.map(|(_, event)| event).collect();
+                reply::json(StatusCode::OK, &visible)
             }
             "/control/pins" => {
-                let pin =
+                let pin_json =
                     |(holder, key): &(String, String)| json!({ "holder": holder, "keys": [key] });
-                let pins: Vec<_> = state.pins.iter().map(pin).collect();
+                let pins: Vec<_> = state.pins.iter().map(pin_json).collect();
                 reply::json(StatusCode::OK, &pins)
             }
             "/records" => {
@@ -371,10 +388,11 @@
         }
     }
 
-    fn delete(&self, path: &str) -> Response<Body> {
+    /// Handles a DELETE request: cancels an attempt or removes the pins of a holder.
+    fn handle_delete(&self, path: &str) -> Response<Body> {
         let mut state = self.lock();
         if let Some(attempt) = path.strip_prefix("/control/requests/") {
-            state.end(attempt);
+            state.cancel(attempt);
         } else if let Some(holder) = path.strip_prefix("/control/pins/") {
             state.pins.retain(|(h, _)| h != holder);
         }
@@ -383,7 +401,12 @@
         reply::json(StatusCode::OK, &json!({}))
     }
 
-    async fn post(self: &Arc<Self>, path: &str, attempt: &str, bytes: &[u8]) -> Response<Body> {
+    async fn handle_post(
+        self: &Arc<Self>,
+        path: &str,
+        attempt: &str,
+        bytes: &[u8],
+    ) -> Response<Body> {
         let json: Value = match reply::parse(bytes) {
             Ok(json) => json,
             Err(problem) => return reply::problem(&problem),
@@ -405,7 +428,7 @@
             "/control/cache/import" => {
                 let key = json["key"].as_str().unwrap_or_default().to_owned();
                 let mut state = self.lock();
-                state.store(&key, 1);
+                state.cache_prefix(&key, 1);
                 reply::json(StatusCode::OK, &json!({}))
             }
             _ => reply::no_route(path),
@@ -413,7 +436,7 @@
     }
 }
 
-/// The engine as a listener.
+/// HTTP handler of the engine.
 #[derive(Debug)]
 pub struct Listener(pub Arc<Engine>);
 
@@ -424,14 +447,14 @@
         let query = request.uri().query().and_then(|q| q.split_once('='));
         let query = query.and_then(|(_, n)| n.parse().ok()).unwrap_or(0);
         match *request.method() {
-            Method::DELETE => return self.0.delete(&path),
+            Method::DELETE => return self.0.handle_delete(&path),
             Method::GET => {
                 return match path.strip_prefix("/control/requests/") {
                     Some(attempt) => {
                         let offset = usize::try_from(query).unwrap_or(usize::MAX);
                         self.0.stream(attempt, offset)
                     }
-                    None => self.0.get(&path, query),
+                    None => self.0.handle_get(&path, query),
                 };
             }
             _ => {}
@@ -439,9 +462,9 @@
         let attempt = request.headers().get("x-request-id");
         let attempt = attempt.and_then(|v| v.to_str().ok()).unwrap_or_default();
         let attempt = attempt.to_owned();
-        let time = Duration::from_secs(10);
-        match body::collect(request.into_body(), 64 << 20, time).await {
-            Ok(bytes) => self.0.post(&path, &attempt, &bytes).await,
+        let body_timeout = Duration::from_secs(10);
+        match body::collect(request.into_body(), 64 << 20, body_timeout).await {
+            Ok(bytes) => self.0.handle_post(&path, &attempt, &bytes).await,
             Err(problem) => reply::problem(&problem),
         }
     }
--- a/crates/gradedyke-standin/src/lib.rs
+++ b/crates/gradedyke-standin/src/lib.rs
@@ -1,10 +1,10 @@
-//! Small stand-ins for what surrounds gradedyke, for the demo and for tests.
+//! Small stand-ins for the systems around gradedyke, for the demo and for tests.
 //!
-//! They speak the same published formats over HTTP as the real things, keep
-//! their own records of what they ran, and fail when told to. They model no
-//! network and no hosts. The library never depends on them.
+//! They implement the same published HTTP protocols as the real systems, record
+//! the calls they ran, and inject faults on request. Networks and hosts are not
+//! modelled. The library does not depend on this crate.
 //!
-//! - [`platform`]: key-value service, instance list and weight store.
+//! - [`platform`]: the platform: key-value service, instance list and weight store.
 //! - [`engine`]: a model engine with batching and a bounded prefix cache.
 //! - [`service`]: a plain service.
 
@@ -20,7 +20,8 @@
 use gradedyke_http::server::{Config, Handler, Protocol, Server};
 use tokio_util::sync::CancellationToken;
 
-/// Serves `handler` on `address` until `stop` and returns the bound address.
+/// Serves `handler` on `address` in the background until `stop` is cancelled, and returns the
+/// bound address.
 ///
 /// # Errors
 ///
@@ -40,7 +41,8 @@
     Ok(bound)
 }
 
-/// The stand-in named `kind`: `platform`, `engine` or `service`.
+/// Creates a stand-in of this kind: `platform`, `engine` or `service`. Returns `None` for any
+/// other name.
 pub fn handler(kind: &str) -> Option<Arc<dyn Handler>> {
     match kind {
         "platform" => Some(Arc::new(platform::Listener(platform::Platform::start()))),
@@ -53,9 +55,9 @@
     }
 }
 
-/// A reply that breaks off, as a process does that dies while answering.
-fn cut() -> http::Response<gradedyke_http::Body> {
+/// A response whose body fails, as if the server had crashed while it was responding.
+fn aborted_response() -> http::Response<gradedyke_http::Body> {
     let (sender, body) = gradedyke_http::body::channel(1);
-    let _ = sender.try_send(Err("cut on request of a test".into()));
+    let _ = sender.try_send(Err("aborted by the test".into()));
     http::Response::new(body)
 }
--- a/crates/gradedyke-standin/src/platform.rs
+++ b/crates/gradedyke-standin/src/platform.rs
@@ -1,5 +1,5 @@
-//! The platform: a key-value service in etcd's v3 JSON mapping, an instance
-//! list in the format of Consul's health API, and a weight store, on one port.
+//! Stand-in for the platform: a key-value service with etcd's v3 JSON API, an instance
+//! list with Consul's health API, and a weight store, on one port.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
@@ -18,32 +18,35 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-use crate::cut;
-use crate::store::{Change, Store, Stored, covers};
+use crate::aborted_response;
+use crate::store::{Change, Store, StoredValue, is_in_range};
 
-/// How often leases are looked at.
-const SWEEP: Duration = Duration::from_millis(50);
+/// Interval at which expired leases and the `down` fault are checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Faults that a test can switch while the stand-in runs.
+/// Faults that a test can change while the stand-in runs.
 #[derive(Debug, Default)]
 pub struct Faults {
-    /// Refuse every call and cut every watch.
+    /// Whether every call is refused and every watch is aborted.
     pub down: AtomicBool,
-    /// Answer every call this much later, in milliseconds.
+    /// Delay of every response, in milliseconds.
     pub slow_ms: AtomicU64,
-    /// Carry out this many writes and then break off in place of the answer.
+    /// Number of further writes that are executed but whose response is aborted.
     pub lose: AtomicU32,
 }
 
-/// The stand-in.
+/// The platform stand-in.
 #[derive(Debug)]
 pub struct Platform {
-    /// Faults in force.
+    /// Faults in effect.
     pub faults: Faults,
     store: Mutex<Store>,
+    /// Latest revision that watches were notified of.
     revision: watch::Sender<u64>,
     instances: Mutex<BTreeMap<String, Vec<Value>>>,
+    /// Size in bytes by `model/version`.
     weights: Mutex<BTreeMap<String, u64>>,
+    /// Number of calls by path.
     calls: Mutex<BTreeMap<String, u64>>,
 }
 
@@ -51,29 +54,29 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn decode(value: &Value) -> Vec<u8> {
+fn decode_base64(value: &Value) -> Vec<u8> {
     let text = value.as_str().unwrap_or_default();
     STANDARD.decode(text).unwrap_or_default()
 }
 
-/// A 64-bit number, which the mapping writes as a string.
-fn number(value: &Value) -> i64 {
+/// Parses a 64-bit integer, which the JSON API writes as a string.
+fn parse_integer(value: &Value) -> i64 {
     match value {
         Value::String(text) => text.parse().unwrap_or(0),
         other => other.as_i64().unwrap_or(0),
     }
 }
 
-fn entry(key: &[u8], stored: &Stored) -> Value {
+fn entry_json(key: &[u8], stored: &StoredValue) -> Value {
     json!({
         "key": STANDARD.encode(key),
         "value": STANDARD.encode(&stored.value),
         "mod_revision": stored.revision.to_string(),
-        "lease": stored.lease.to_string(),
+        "lease": stored.lease_id.to_string(),
     })
 }
 
-fn event(change: &Change) -> Value {
+fn event_json(change: &Change) -> Value {
     let kv = json!({
         "key": STANDARD.encode(&change.key),
         "value": change.value.as_ref().map(|v| STANDARD.encode(v)).unwrap_or_default(),
@@ -85,42 +88,54 @@
     }
 }
 
-fn range(store: &Store, request: &Value) -> Value {
-    let found = store.range(&decode(&request["key"]), &decode(&request["range_end"]));
-    let kvs: Vec<_> = found.iter().map(|(k, s)| entry(k, s)).collect();
+fn range_reply(store: &Store, request: &Value) -> Value {
+    let found = store.range(
+        &decode_base64(&request["key"]),
+        &decode_base64(&request["range_end"]),
+    );
+    let kvs: Vec<_> = found.iter().map(|(k, s)| entry_json(k, s)).collect();
     json!({ "header": { "revision": store.revision.to_string() }, "kvs": kvs })
 }
 
-fn compare(store: &Store, compare: &Value) -> bool {
-    let stored = store.keys.get(&decode(&compare["key"]));
+/// Whether a condition of a transaction holds.
+fn comparison_holds(store: &Store, comparison: &Value) -> bool {
+    let stored = store.keys.get(&decode_base64(&comparison["key"]));
     let revision = stored.map_or(0, |s| s.revision);
-    revision.to_string() == compare["mod_revision"].as_str().unwrap_or("0")
+    revision.to_string() == comparison["mod_revision"].as_str().unwrap_or("0")
 }
 
-/// Carries an operation out; `None` when its lease has gone.
-fn operate(store: &mut Store, operation: &Value) -> Option<Value> {
+/// Executes an operation of a transaction. Returns `None` if its lease does not exist.
+fn execute_operation(store: &mut Store, operation: &Value) -> Option<Value> {
     if let Some(put) = operation.get("request_put") {
-        let lease = number(&put["lease"]);
-        if lease != 0 && !store.leases.contains_key(&lease) {
+        let lease_id = parse_integer(&put["lease"]);
+        if lease_id != 0 && !store.leases.contains_key(&lease_id) {
             return None;
         }
-        store.put(decode(&put["key"]), decode(&put["value"]), lease);
+        store.put(
+            decode_base64(&put["key"]),
+            decode_base64(&put["value"]),
+            lease_id,
+        );
         return Some(json!({ "response_put": {} }));
     }
     if let Some(delete) = operation.get("request_delete_range") {
-        store.delete(&decode(&delete["key"]));
+        store.delete(&decode_base64(&delete["key"]));
         return Some(json!({ "response_delete_range": {} }));
     }
-    Some(json!({ "response_range": range(store, &operation["request_range"]) }))
+    Some(json!({ "response_range": range_reply(store, &operation["request_range"]) }))
 }
 
-fn gone() -> Response<Body> {
+fn lease_not_found() -> Response<Body> {
     let bytes = br#"{"code":5,"message":"etcdserver: requested lease not found"}"#;
     reply::bytes_of(StatusCode::NOT_FOUND, "application/json", &bytes[..])
 }
 
 impl Platform {
-    /// A platform with nothing in it. It needs a tokio runtime for its leases.
+    /// Starts an empty platform.
+    ///
+    /// # Panics
+    ///
+    /// If it is called outside a tokio runtime.
     pub fn start() -> Arc<Self> {
         let platform = Arc::new(Self {
             faults: Faults::default(),
@@ -134,15 +149,15 @@
         tokio::spawn(async move {
             while let Some(platform) = weak.upgrade() {
                 lock(&platform.store).expire(Instant::now());
-                platform.announce();
+                platform.notify_watches();
                 drop(platform);
-                tokio::time::sleep(SWEEP).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         });
         platform
     }
 
-    /// Ends every lease at once, as if its holders had been paused.
+    /// Expires all leases at once, as if their holders had been paused.
     pub fn lapse(&self) {
         let mut store = lock(&self.store);
         let ids: Vec<_> = store.leases.keys().copied().collect();
@@ -150,80 +165,84 @@
             store.revoke(id);
         });
         drop(store);
-        self.announce();
+        self.notify_watches();
     }
 
-    /// The value of a key, as a test sees it.
+    /// The value of a key, for checks in tests.
     pub fn value(&self, key: &str) -> Option<Vec<u8>> {
         let store = lock(&self.store);
         store.keys.get(key.as_bytes()).map(|s| s.value.clone())
     }
 
-    /// Calls taken so far, by path.
+    /// Number of calls received so far, by path.
     pub fn calls(&self) -> BTreeMap<String, u64> {
         lock(&self.calls).clone()
     }
 
-    /// Sets the instance list of a service, in the published format.
+    /// Sets the instance list of a service, in the format of Consul's health API.
     pub fn list(&self, service: &str, rows: Vec<Value>) {
         lock(&self.instances).insert(service.to_owned(), rows);
     }
 
-    /// Puts a version of a model's weights into the store.
+    /// Adds the weights of a model version, of this size in bytes, to the weight store.
     pub fn weigh(&self, model: &str, version: &str, bytes: u64) {
         lock(&self.weights).insert(format!("{model}/{version}"), bytes);
     }
 
-    fn announce(&self) {
+    /// Notifies the watches of a new revision, if there is one.
+    fn notify_watches(&self) {
         let revision = lock(&self.store).revision;
-        self.revision.send_if_modified(|seen| {
-            let newer = *seen < revision;
-            *seen = revision;
-            newer
+        self.revision.send_if_modified(|notified| {
+            let is_newer = *notified < revision;
+            *notified = revision;
+            is_newer
         });
     }
 
-    /// Carries a transaction out, all under one lock; `None` when a lease it
-    /// names has gone.
+    /// Executes a transaction under one lock. Returns `None` if a lease that it names does not
+    /// exist; the operations before it remain in effect.
     fn txn(&self, request: &Value) -> Option<Value> {
         let empty = Vec::new();
-        let list = |name: &str| request[name].as_array().unwrap_or(&empty);
+        let items_of = |name: &str| request[name].as_array().unwrap_or(&empty);
         let mut store = lock(&self.store);
-        let holds = list("compare").iter().all(|c| compare(&store, c));
-        let operations = list(if holds { "success" } else { "failure" });
+        let succeeded = items_of("compare")
+            .iter()
+            .all(|c| comparison_holds(&store, c));
+        let operations = items_of(if succeeded { "success" } else { "failure" });
         let mut responses = Vec::new();
         for operation in operations {
-            responses.push(operate(&mut store, operation)?);
+            responses.push(execute_operation(&mut store, operation)?);
         }
         let revision = store.revision.to_string();
         let mut reply = json!({ "header": { "revision": revision }, "responses": responses });
-        if holds {
+        if succeeded {
             reply["succeeded"] = true.into();
         }
         Some(reply)
     }
 
     fn grant(&self, request: &Value) -> Value {
-        let seconds = u64::try_from(number(&request["TTL"])).unwrap_or(1);
+        let seconds = u64::try_from(parse_integer(&request["TTL"])).unwrap_or(1);
         let id = lock(&self.store).grant(Duration::from_secs(seconds), Instant::now());
         json!({ "ID": id.to_string(), "TTL": seconds.to_string() })
     }
 
     fn renew(&self, request: &Value) -> Value {
-        let id = number(&request["ID"]);
+        let id = parse_integer(&request["ID"]);
         let renewed = lock(&self.store).renew(id, Instant::now());
         let mut result = json!({ "ID": id.to_string() });
-        if let Some(length) = renewed {
-            result["TTL"] = length.as_secs().to_string().into();
+        if let Some(ttl) = renewed {
+            result["TTL"] = ttl.as_secs().to_string().into();
         }
         json!({ "result": result })
     }
 
     fn watch(self: &Arc<Self>, request: &Value) -> Response<Body> {
         let create = &request["create_request"];
-        let key = decode(&create["key"]);
-        let end = decode(&create["range_end"]);
-        let mut next = u64::try_from(number(&create["start_revision"])).unwrap_or(0);
+        let key = decode_base64(&create["key"]);
+        let end = decode_base64(&create["range_end"]);
+        let mut next_revision =
+            u64::try_from(parse_integer(&create["start_revision"])).unwrap_or(0);
         let (sender, body) = body::channel(16);
         let mut revision = self.revision.subscribe();
         let platform = self.clone();
@@ -235,24 +254,24 @@
                     return;
                 }
                 let events = loop {
-                    let events = platform.since(next, &key, &end);
+                    let events = platform.events_since(next_revision, &key, &end);
                     if !events.is_empty() {
                         break events;
                     }
                     tokio::select! {
                         changed = revision.changed() => if changed.is_err() { return },
-                        () = platform.went_down() => {
-                            let _ = sender.send(Err("down".into())).await;
+                        () = platform.wait_until_down() => {
+                            let _ = sender.send(Err("the platform is down".into())).await;
                             return;
                         }
                         () = sender.closed() => return,
                     }
                 };
-                next = events
+                next_revision = events
                     .iter()
                     .map(|(revision, _)| revision + 1)
                     .max()
-                    .unwrap_or(next);
+                    .unwrap_or(next_revision);
                 let events: Vec<Value> = events.into_iter().map(|(_, event)| event).collect();
                 line = json!({ "result": { "events": events } });
             }
@@ -260,37 +279,40 @@
         Response::new(body)
     }
 
-    fn since(&self, revision: u64, key: &[u8], end: &[u8]) -> Vec<(u64, Value)> {
+    /// Changes in a key range from `revision` on, as (revision, event) pairs.
+    fn events_since(&self, revision: u64, key: &[u8], end: &[u8]) -> Vec<(u64, Value)> {
         let store = lock(&self.store);
         let first = store.changes.partition_point(|c| c.revision < revision);
-        let news = store.changes[first..].iter();
-        let wanted = news.filter(|c| covers(key, end, &c.key));
-        wanted.map(|c| (c.revision, event(c))).collect()
+        let recent = store.changes[first..].iter();
+        let matching = recent.filter(|c| is_in_range(key, end, &c.key));
+        matching.map(|c| (c.revision, event_json(c))).collect()
     }
 
-    async fn went_down(&self) {
+    async fn wait_until_down(&self) {
         while !self.faults.down.load(Ordering::Relaxed) {
-            tokio::time::sleep(SWEEP).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    fn lost(&self) -> bool {
-        let take = |left: u32| left.checked_sub(1);
+    /// Whether the reply to a write is to be lost; counts [`Faults::lose`] down.
+    fn take_lost_reply(&self) -> bool {
+        let decrement = |count: u32| count.checked_sub(1);
         let lose = &self.faults.lose;
-        lose.fetch_update(Ordering::Relaxed, Ordering::Relaxed, take)
+        lose.fetch_update(Ordering::Relaxed, Ordering::Relaxed, decrement)
             .is_ok()
     }
 
-    fn written(&self, reply: Option<Value>) -> Response<Body> {
-        self.announce();
+    /// Response to a write; `None` means that its lease does not exist.
+    fn write_response(&self, reply: Option<Value>) -> Response<Body> {
+        self.notify_watches();
         match reply {
-            _ if self.lost() => cut(),
+            _ if self.take_lost_reply() => aborted_response(),
             Some(value) => reply::json(StatusCode::OK, &value),
-            None => gone(),
+            None => lease_not_found(),
         }
     }
 
-    fn look_up(&self, path: &str) -> Response<Body> {
+    fn handle_get(&self, path: &str) -> Response<Body> {
         if let Some(service) = path.strip_prefix("/v1/health/service/") {
             let rows = lock(&self.instances).get(service).cloned();
             return reply::json(StatusCode::OK, &rows.unwrap_or_default());
@@ -300,17 +322,17 @@
             .and_then(|name| lock(&self.weights).get(name).copied());
         match bytes {
             Some(bytes) => {
-                let mut found = Response::new(body::empty());
-                let headers = found.headers_mut();
+                let mut response = Response::new(body::empty());
+                let headers = response.headers_mut();
                 headers.insert(http::header::CONTENT_LENGTH, bytes.into());
-                found
+                response
             }
             None => reply::no_route(path),
         }
     }
 }
 
-/// The platform as a listener.
+/// HTTP handler of the platform.
 #[derive(Debug)]
 pub struct Listener(pub Arc<Platform>);
 
@@ -320,9 +342,9 @@
         let platform = &self.0;
         let path = request.uri().path().to_owned();
         *lock(&platform.calls).entry(path.clone()).or_default() += 1;
-        let slow = platform.faults.slow_ms.load(Ordering::Relaxed);
-        if slow > 0 {
-            tokio::time::sleep(Duration::from_millis(slow)).await;
+        let delay_ms = platform.faults.slow_ms.load(Ordering::Relaxed);
+        if delay_ms > 0 {
+            tokio::time::sleep(Duration::from_millis(delay_ms)).await;
         }
         if platform.faults.down.load(Ordering::Relaxed) {
             return reply::problem(&Problem::new(
@@ -331,31 +353,32 @@
             ));
         }
         if request.method() != Method::POST {
-            return platform.look_up(&path);
+            return platform.handle_get(&path);
         }
-        let limit = 4 << 20;
-        let bytes = match body::collect(request.into_body(), limit, SWEEP * 100).await {
-            Ok(bytes) => bytes,
-            Err(problem) => return reply::problem(&problem),
-        };
+        let max_body_bytes = 4 << 20;
+        let bytes =
+            match body::collect(request.into_body(), max_body_bytes, POLL_INTERVAL * 100).await {
+                Ok(bytes) => bytes,
+                Err(problem) => return reply::problem(&problem),
+            };
         let json: Value = serde_json::from_slice(&bytes).unwrap_or_default();
         match path.as_str() {
             "/v3/kv/range" => {
-                let reply = range(&lock(&platform.store), &json);
+                let reply = range_reply(&lock(&platform.store), &json);
                 reply::json(StatusCode::OK, &reply)
             }
             "/v3/kv/txn" => {
                 let reply = platform.txn(&json);
-                platform.written(reply)
+                platform.write_response(reply)
             }
             "/v3/lease/grant" => {
                 let reply = platform.grant(&json);
-                platform.written(Some(reply))
+                platform.write_response(Some(reply))
             }
             "/v3/lease/keepalive" => reply::json(StatusCode::OK, &platform.renew(&json)),
             "/v3/lease/revoke" => {
-                let there = lock(&platform.store).revoke(number(&json["ID"]));
-                platform.written(there.then(|| json!({})))
+                let existed = lock(&platform.store).revoke(parse_integer(&json["ID"]));
+                platform.write_response(existed.then(|| json!({})))
             }
             "/v3/watch" => platform.watch(&json),
             _ => reply::no_route(&path),
--- a/crates/gradedyke-standin/src/service.rs
+++ b/crates/gradedyke-standin/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service that records what it ran and misbehaves when told to.
+//! Stand-in for a plain service. It records the calls it ran and injects faults on request.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -12,37 +12,37 @@
 use serde_json::json;
 use tokio::sync::watch;
 
-use crate::cut;
+use crate::aborted_response;
 
-/// One run of a call.
+/// A call that ran.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Run {
-    /// The key it came with.
+    /// Idempotency key; empty if there was none.
     pub key: String,
-    /// Its path.
+    /// Request path.
     pub path: String,
-    /// Its body.
+    /// Request body.
     pub body: String,
 }
 
-/// What the service does with the next calls.
+/// What the service does with calls from now on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Mode {
-    /// Runs it and answers.
+    /// Runs the call and responds.
     #[default]
     Well,
-    /// Runs it and breaks off in place of the answer.
+    /// Runs the call and aborts the response.
     LoseAnswer,
-    /// Runs it and never answers.
+    /// Runs the call and never responds.
     Hang,
-    /// Runs it and answers this many milliseconds later.
+    /// Runs the call and responds after this delay, in milliseconds.
     Late(u64),
-    /// Answers with this status and does not run it.
+    /// Responds with this status without running the call.
     Fail(u16),
 }
 
-/// The stand-in. Clones share it.
+/// The stand-in. Clones share its state.
 #[derive(Clone, Debug, Default)]
 pub struct Service {
     state: Arc<Mutex<State>>,
@@ -53,54 +53,57 @@
 struct State {
     mode: Mode,
     runs: Vec<Run>,
-    answers: BTreeMap<String, String>,
+    /// Response body by idempotency key.
+    responses: BTreeMap<String, String>,
 }
 
-/// Longest time for a body to arrive.
-const BODY: Duration = Duration::from_secs(5);
-/// Largest body.
-const BODY_BYTES: usize = 4 << 20;
+/// Timeout for reading a request body.
+const BODY_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum size of a request body.
+const MAX_BODY_BYTES: usize = 4 << 20;
 
 impl Service {
     fn lock(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Changes what the service does.
+    /// Sets the mode for calls from now on.
     pub fn set(&self, mode: Mode) {
         self.lock().mode = mode;
     }
 
-    /// All runs so far.
+    /// All calls that ran so far.
     pub fn runs(&self) -> Vec<Run> {
         self.lock().runs.clone()
     }
 
-    /// Waits until `wanted` holds for the service.
-    pub async fn until(&self, wanted: impl Fn(&Self) -> bool) {
+    /// Waits until `condition` holds. It is checked again after each call that runs.
+    pub async fn until(&self, condition: impl Fn(&Self) -> bool) {
         let mut changed = self.changed.subscribe();
         loop {
             changed.borrow_and_update();
-            if wanted(self) {
+            if condition(self) {
                 return;
             }
-            // The sender lives as long as the service.
+            // Cannot fail: `self` keeps the sender alive.
             let _ = changed.changed().await;
         }
     }
 
-    fn run(&self, run: Run) -> String {
+    /// Records a call as run and returns its response body.
+    fn execute(&self, run: Run) -> String {
         let mut state = self.lock();
         state.runs.push(run.clone());
-        let answer = json!({ "run": run.path, "echo": run.body }).to_string();
-        state.answers.insert(run.key, answer.clone());
+        let response = json!({ "run": run.path, "echo": run.body }).to_string();
+        state.responses.insert(run.key, response.clone());
         drop(state);
         self.changed.send_replace(());
-        answer
+        response
     }
 
+    /// Response to a query for the result of an earlier call.
     fn outcome(&self, key: &str) -> Response<Body> {
-        match self.lock().answers.get(key) {
+        match self.lock().responses.get(key) {
             Some(body) => {
                 let outcome =
                     json!({ "status": 200, "content_type": "application/json", "body": body });
@@ -126,7 +129,7 @@
             .and_then(|k| k.to_str().ok())
             .unwrap_or_default()
             .to_owned();
-        let bytes = match body::collect(request.into_body(), BODY_BYTES, BODY).await {
+        let bytes = match body::collect(request.into_body(), MAX_BODY_BYTES, BODY_TIMEOUT).await {
             Ok(bytes) => bytes,
             Err(problem) => return reply::problem(&problem),
         };
@@ -145,13 +148,13 @@
             let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
             return reply::bytes_of(status, "text/plain", "failed on request of a test");
         }
-        let answer = self.run(Run { key, path, body });
+        let response = self.execute(Run { key, path, body });
         match mode {
-            Mode::LoseAnswer => return cut(),
+            Mode::LoseAnswer => return aborted_response(),
             Mode::Hang => std::future::pending().await,
             Mode::Late(ms) => tokio::time::sleep(Duration::from_millis(ms)).await,
             Mode::Well | Mode::Fail(_) => {}
         }
-        reply::bytes_of(StatusCode::OK, "application/json", answer)
+        reply::bytes_of(StatusCode::OK, "application/json", response)
     }
 }
