--- a/crates/gradedyke-standin/src/engine.rs
+++ b/crates/gradedyke-standin/src/engine.rs
@@ -159,7 +159,7 @@
 
     /// Number of load reports returned so far.
     pub fn reports(&self) -> u64 {
-        self.lock().reports
+        self.lock().load_report_count
     }
 
     /// Waits until `condition` holds. It is checked again after each step and most control
@@ -336,11 +336,11 @@
     fn order(&self, order: &Value) -> Response<Body> {
         let mut state = self.lock();
         let fencing = order["fencing"].as_u64().unwrap_or(0);
-        if self.config.checks_fencing && fencing < state.fencing {
-            let highest = state.fencing.to_string();
+        if self.config.checks_fencing && fencing < state.highest_fencing {
+            let highest = state.highest_fencing.to_string();
             return reply::problem(&Problem::new(Kind::Conflict, highest));
         }
-        state.fencing = state.fencing.max(fencing);
+        state.highest_fencing = state.highest_fencing.max(fencing);
         state.orders.push(order.clone());
         reply::json(StatusCode::OK, &json!({}))
     }
@@ -351,10 +351,10 @@
         let mut state = self.lock();
         match path {
             "/control/load" => {
-                state.reports += 1;
+                state.load_report_count += 1;
                 self.changed.send_replace(());
                 let latest_visible = state
-                    .loads
+                    .load_reports
                     .iter()
                     .rev()
                     .find(|(at, _)| *at <= visible_until);
--- a/crates/gradedyke-standin/src/engine/batch.rs
+++ b/crates/gradedyke-standin/src/engine/batch.rs
@@ -24,14 +24,14 @@
     pub(super) events: Vec<(Instant, Value)>,
     pub(super) event_number: u64,
     /// Past load reports with their times.
-    pub(super) loads: Vec<(Instant, Value)>,
+    pub(super) load_reports: Vec<(Instant, Value)>,
     /// Highest fencing number of the accepted orders.
-    pub(super) fencing: u64,
+    pub(super) highest_fencing: u64,
     pub(super) orders: Vec<Value>,
     /// Logical clock: orders the arrivals of attempts and the uses of cached prefixes.
     pub(super) clock: u64,
     pub(super) leaving: bool,
-    pub(super) reports: u64,
+    pub(super) load_report_count: u64,
     /// Number of generated tokens at which calls stall.
     pub(super) hold_at: Option<u64>,
 }
@@ -68,14 +68,14 @@
     /// Moves waiting attempts into the batch as far as there is room: lowest priority value
     /// first, then in order of arrival.
     pub(super) fn admit(&mut self, batch_size: usize) {
-        let free = batch_size.saturating_sub(self.running.len());
-        if free == 0 || self.waiting.is_empty() {
+        let free_places = batch_size.saturating_sub(self.running.len());
+        if free_places == 0 || self.waiting.is_empty() {
             return;
         }
         let mut waiting = std::mem::take(&mut self.waiting);
         let admission_order = |id: &String| self.attempts.get(id).map(|a| (a.priority, a.arrival));
         waiting.sort_by_cached_key(admission_order);
-        self.waiting = waiting.split_off(free.min(waiting.len()));
+        self.waiting = waiting.split_off(free_places.min(waiting.len()));
         for id in waiting {
             self.start_prefill(&id);
             self.running.push(id);
@@ -164,9 +164,9 @@
         let load = json!({
             "running": self.running.len(), "waiting": self.waiting.len(), "pending_tokens": pending_tokens,
         });
-        self.loads.push((Instant::now(), load));
-        if self.loads.len() > MAX_LOAD_REPORTS {
-            self.loads.drain(..MAX_LOAD_REPORTS / 2);
+        self.load_reports.push((Instant::now(), load));
+        if self.load_reports.len() > MAX_LOAD_REPORTS {
+            self.load_reports.drain(..MAX_LOAD_REPORTS / 2);
         }
     }
 
