--- a/crates/gradedyke-backend/src/chat.rs
+++ b/crates/gradedyke-backend/src/chat.rs
@@ -1,15 +1,15 @@
-//! The chat-completions format, as far as gradedyke reads it.
+//! The part of the chat-completions format that gradedyke reads.
 //!
-//! Requests keep fields that are not read here and pass them on as they came,
-//! so that engines may offer more than gradedyke knows of. Messages stay JSON
-//! for the same reason; [`same`] tells when two of them say the same.
+//! Unknown fields of requests are preserved and forwarded unchanged, so that engines
+//! may support more than gradedyke does. Messages are kept as JSON for the same reason;
+//! [`same`] compares two of them.
 
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
 
 use gradedyke_base::problem::{Kind, Problem};
 
-/// A message of a conversation, as it came.
+/// A message of a conversation, as received.
 pub type Message = Map<String, Value>;
 
 /// A request of the chat-completions format.
@@ -17,12 +17,12 @@
 pub struct Request {
     /// The model to use.
     pub model: String,
-    /// The conversation, or what is new in it.
+    /// The whole conversation, or the messages to append to it.
     pub messages: Vec<Message>,
-    /// Whether to stream the answer.
+    /// Whether to stream the response.
     #[serde(default)]
     pub stream: bool,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub max_tokens: Option<u64>,
     /// The newer name of `max_tokens`.
@@ -34,42 +34,43 @@
 }
 
 impl Request {
-    /// Checks what gradedyke cannot carry out.
+    /// Rejects requests that gradedyke doesn't support.
     ///
     /// # Errors
     ///
-    /// `bad_request` for no message, for more than one choice, and for log
-    /// probabilities, which a resumed stream could not repeat.
+    /// Returns `bad_request` if there is no message, a message without a role, more
+    /// than one choice or a token limit of 0, or if log probabilities are requested,
+    /// which a resumed stream could not repeat.
     pub fn check(&self) -> Result<(), Problem> {
-        let refuse = |message: &str| Err(Problem::new(Kind::BadRequest, message));
+        let reject = |message: &str| Err(Problem::new(Kind::BadRequest, message));
         if self.messages.is_empty() {
-            return refuse("messages is empty; send one message at least");
+            return reject("messages is empty; send one message at least");
         }
         if self.messages.iter().any(|m| !m.contains_key("role")) {
-            return refuse("a message has no role; give each one a role");
+            return reject("a message has no role; give each one a role");
         }
         if self.rest.get("n").is_some_and(|n| n != 1) {
-            return refuse("n is not 1; issue a call for each choice");
+            return reject("n is not 1; issue a call for each choice");
         }
         if self.rest.get("logprobs").is_some_and(|l| l != false) {
-            return refuse("logprobs is not served; leave it out");
+            return reject("logprobs is not served; leave it out");
         }
         if self.limit() == Some(0) {
-            return refuse("max_tokens is 0; use 1 or more");
+            return reject("max_tokens is 0; use 1 or more");
         }
         Ok(())
     }
 
-    /// The most tokens to generate, if the caller said.
+    /// Returns the maximum number of tokens to generate, if the caller set one.
     pub fn limit(&self) -> Option<u64> {
         self.max_completion_tokens.or(self.max_tokens)
     }
 }
 
-/// Fields in which two messages are compared; clients add others at will.
-const COMPARED: [&str; 5] = ["role", "content", "tool_calls", "tool_call_id", "name"];
+/// Fields of messages that [`same`] compares. Clients may add others.
+const COMPARED_FIELDS: [&str; 5] = ["role", "content", "tool_calls", "tool_call_id", "name"];
 
-/// Whether two messages say the same.
+/// Returns whether two messages have the same role, content and tool calls.
 ///
 /// ```
 /// use gradedyke_backend::chat::{Message, same};
@@ -81,48 +82,50 @@
 /// ```
 pub fn same(a: &Message, b: &Message) -> bool {
     let field = |m: &Message, name: &str| m.get(name).cloned().unwrap_or(Value::Null);
-    COMPARED.iter().all(|name| field(a, name) == field(b, name))
+    COMPARED_FIELDS
+        .iter()
+        .all(|name| field(a, name) == field(b, name))
 }
 
-/// Tokens used by a call.
+/// Token usage of a call.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     #[serde(default)]
     pub prompt_tokens: u64,
-    /// Tokens generated.
+    /// Number of generated tokens.
     #[serde(default)]
     pub completion_tokens: u64,
-    /// Their sum.
+    /// Sum of prompt and generated tokens.
     #[serde(default)]
     pub total_tokens: u64,
-    /// Where the prompt's tokens came from.
+    /// Details on the prompt tokens.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub prompt_tokens_details: Option<Details>,
 }
 
-/// Where a prompt's tokens came from.
+/// Details on the prompt tokens of a call.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Details {
-    /// Tokens found in the engine's cache.
+    /// Number of prompt tokens that were in the engine's cache.
     #[serde(default)]
     pub cached_tokens: u64,
 }
 
 impl Usage {
-    /// Tokens found in the engine's cache.
+    /// Returns the number of prompt tokens that were in the engine's cache.
     pub fn cached(&self) -> u64 {
         self.prompt_tokens_details.map_or(0, |d| d.cached_tokens)
     }
 }
 
-/// One chunk of a streamed answer, as an engine sends it.
+/// One chunk of a streamed response, as an engine sends it.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct Chunk {
-    /// The choices; empty in the chunk that carries the usage.
+    /// The choices; empty in the chunk that has the usage.
     #[serde(default)]
     pub choices: Vec<Choice>,
-    /// Tokens used, in the last chunk.
+    /// The token usage, in the last chunk.
     #[serde(default)]
     pub usage: Option<Usage>,
 }
@@ -130,29 +133,29 @@
 /// One choice of a chunk.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct Choice {
-    /// What is new.
+    /// The text and tool calls to append.
     #[serde(default)]
     pub delta: Delta,
-    /// Why generation ended, when it has.
+    /// Why generation ended, in the last chunk with a choice.
     #[serde(default)]
     pub finish_reason: Option<String>,
 }
 
-/// What is new in a chunk.
+/// The text and tool calls that a chunk appends to the response.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct Delta {
-    /// Text.
+    /// Text to append.
     #[serde(default)]
     pub content: Option<String>,
-    /// Parts of tool calls.
+    /// Fragments of tool calls.
     #[serde(default)]
     pub tool_calls: Option<Vec<Map<String, Value>>>,
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Completion {
-    /// The model that answered.
+    /// The model that generated it.
     pub model: String,
     /// Its text.
     pub content: String,
@@ -161,12 +164,12 @@
     pub tool_calls: Vec<Map<String, Value>>,
     /// Why generation ended.
     pub finish_reason: String,
-    /// Tokens used.
+    /// The token usage.
     pub usage: Usage,
 }
 
 impl Completion {
-    /// The answer as the next message of the conversation.
+    /// Returns the response as the next message of the conversation.
     pub fn message(&self) -> Message {
         let mut message = Map::new();
         message.insert("role".to_owned(), "assistant".into());
@@ -178,24 +181,27 @@
         message
     }
 
-    /// Adds what is new in a streamed tool call to those gathered so far. Parts
-    /// belong together by `index`; the arguments come in pieces.
-    pub fn merge_tool_call(&mut self, mut part: Map<String, Value>) {
-        let index = part.remove("index").and_then(|i| i.as_u64()).unwrap_or(0);
+    /// Merges a streamed fragment of a tool call into those received so far. Fragments
+    /// with the same `index` belong to the same call; their arguments are concatenated.
+    pub fn merge_tool_call(&mut self, mut fragment: Map<String, Value>) {
+        let index = fragment
+            .remove("index")
+            .and_then(|i| i.as_u64())
+            .unwrap_or(0);
         let index = usize::try_from(index).unwrap_or(usize::MAX);
         let Some(call) = self.tool_calls.get_mut(index) else {
-            self.tool_calls.push(part);
+            self.tool_calls.push(fragment);
             return;
         };
-        let piece = part
+        let new_arguments = fragment
             .get("function")
             .and_then(|f| f.get("arguments"))
             .and_then(Value::as_str);
         let arguments = call
             .get_mut("function")
             .and_then(|f| f.get_mut("arguments"));
-        if let (Some(piece), Some(Value::String(arguments))) = (piece, arguments) {
-            arguments.push_str(piece);
+        if let (Some(new_arguments), Some(Value::String(arguments))) = (new_arguments, arguments) {
+            arguments.push_str(new_arguments);
         }
     }
 }
--- a/crates/gradedyke-backend/src/engine.rs
+++ b/crates/gradedyke-backend/src/engine.rs
@@ -1,5 +1,5 @@
-//! A model engine as gradedyke sees it: the published chat-completions format
-//! and a small control API.
+//! The trait of a model engine: chat completions, and a control API for cancellation,
+//! load reports, the cache and orders.
 
 use async_trait::async_trait;
 use gradedyke_base::id;
@@ -9,32 +9,32 @@
 use crate::error::Error;
 use crate::prefix::{Chain, Key};
 
-/// A call to an engine.
+/// A model call to an engine.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// The name of this attempt, by which it is cancelled or resumed.
+    /// The ID of this attempt, used to cancel or resume it.
     pub attempt: String,
     /// The request with the whole conversation.
     pub request: Request,
-    /// The conversation's prefixes.
+    /// The keys of the conversation's prefixes.
     pub chain: Chain,
-    /// How urgent it is; lower runs first.
+    /// The scheduling priority; lower values run first.
     pub priority: i32,
 }
 
-/// What an engine says about its load. It lags.
+/// The load that an engine reports. It may be slightly out of date.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Load {
-    /// Calls that generate.
+    /// Number of calls that are being run.
     #[serde(default)]
     pub running: u32,
-    /// Calls that wait.
+    /// Number of calls in the queue.
     #[serde(default)]
     pub waiting: u32,
-    /// Tokens that wait to be computed or generated.
+    /// Number of tokens still to be processed or generated.
     #[serde(default)]
     pub pending_tokens: u64,
-    /// Whether it is going and wants no new work.
+    /// Whether the engine is shutting down and should get no new calls.
     #[serde(default)]
     pub leaving: bool,
 }
@@ -42,24 +42,24 @@
 /// A change in an engine's cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Its number; a gap in the numbers means that events were lost.
+    /// The sequence number; a gap means that events were lost.
     pub number: u64,
-    /// The prefix.
+    /// The prefix that was added or evicted.
     pub key: Key,
-    /// Whether it is cached now, or no longer.
+    /// Whether the prefix is cached now.
     pub cached: bool,
 }
 
-/// A prefix kept in an engine's memory for a program.
+/// A prefix that an engine must keep in its cache for a program.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Pin {
-    /// The program it is kept for.
+    /// The program that the prefix is pinned for.
     pub holder: id::Program,
-    /// The prefix: its keys from the first message on.
+    /// The keys of the prefix, from the first message on.
     pub keys: Vec<Key>,
 }
 
-/// What an engine can be ordered to do.
+/// An operation that an engine can be ordered to run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Action {
@@ -70,14 +70,14 @@
         /// The version.
         version: String,
     },
-    /// Load an adapter over a model.
+    /// Load an adapter for a model.
     Adapter {
         /// The model.
         model: String,
         /// The adapter.
         adapter: String,
     },
-    /// Take a role, such as `prefill` or `decode`.
+    /// Switch to a role, such as `prefill` or `decode`.
     Role {
         /// The role.
         role: String,
@@ -87,100 +87,102 @@
 /// An order to an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// The fencing number of who orders; engines that check refuse older ones.
+    /// The sender's fencing token. Engines that check it reject an order with a lower one
+    /// than the highest they have seen.
     pub fencing: u64,
-    /// What to do.
+    /// The operation to run.
     pub action: Action,
 }
 
-/// A streamed answer. Dropping it closes the connection.
+/// A streamed response. Dropping it closes the connection.
 #[async_trait]
 pub trait Chunks: Send {
-    /// The next chunk, or `None` when the answer is whole.
+    /// Waits for the next chunk; returns `None` at the end of the response.
     ///
     /// # Errors
     ///
-    /// [`Error::Broken`] when the stream broke off.
+    /// Returns [`Error::Broken`] if the stream was interrupted.
     async fn next(&mut self) -> Result<Option<Chunk>, Error>;
 }
 
 /// A model engine.
 #[async_trait]
 pub trait Engine: Send + Sync {
-    /// Starts a call and streams its answer.
+    /// Starts a call and streams its response.
     ///
     /// # Errors
     ///
     /// Any [`Error`].
     async fn chat(&self, call: &Call) -> Result<Box<dyn Chunks>, Error>;
 
-    /// Streams the answer of an attempt from a byte offset of its text on.
+    /// Streams the response of an attempt, starting at a byte offset of its text.
     ///
     /// # Errors
     ///
-    /// [`Error::Invalid`] when the engine does not know the attempt any more.
+    /// Returns [`Error::Invalid`] if the engine no longer has the attempt.
     async fn resume(&self, attempt: &str, offset: u64) -> Result<Box<dyn Chunks>, Error>;
 
-    /// Cancels an attempt. Cancelling one that is not there succeeds.
+    /// Cancels an attempt. Succeeds if there is no such attempt.
     ///
     /// # Errors
     ///
-    /// Any [`Error`]; repeat it.
+    /// Any [`Error`]; it may be retried.
     async fn cancel(&self, attempt: &str) -> Result<(), Error>;
 
-    /// Reads the engine's load.
+    /// Returns the engine's load.
     ///
     /// # Errors
     ///
     /// Any [`Error`].
     async fn load(&self) -> Result<Load, Error>;
 
-    /// Reads the cache events after number `after`.
+    /// Returns the cache events with sequence numbers above `after`.
     ///
     /// # Errors
     ///
     /// Any [`Error`].
     async fn cache_events(&self, after: u64) -> Result<Vec<CacheEvent>, Error>;
 
-    /// Keeps a prefix in memory for a program.
+    /// Pins a prefix in the engine's cache for a program.
     ///
     /// # Errors
     ///
-    /// Any [`Error`]; a prefix that is not cached cannot be kept.
+    /// Any [`Error`]; a prefix that isn't cached can't be pinned.
     async fn pin(&self, pin: &Pin) -> Result<(), Error>;
 
-    /// Releases all that is kept for a program. Repeating it is harmless.
+    /// Releases all pins of a program. Idempotent.
     ///
     /// # Errors
     ///
-    /// Any [`Error`]; repeat it until the engine confirms.
+    /// Any [`Error`]; retry until it succeeds.
     async fn release(&self, holder: &id::Program) -> Result<(), Error>;
 
-    /// Lists what is kept.
+    /// Lists all pins.
     ///
     /// # Errors
     ///
     /// Any [`Error`].
     async fn pins(&self) -> Result<Vec<Pin>, Error>;
 
-    /// Writes a prefix out and returns a handle for [`Engine::import`].
+    /// Exports a cached prefix and returns a handle for [`Engine::import`].
     ///
     /// # Errors
     ///
-    /// Any [`Error`]; a prefix that is not cached cannot be exported.
+    /// Any [`Error`]; a prefix that isn't cached can't be exported.
     async fn export(&self, key: Key) -> Result<String, Error>;
 
-    /// Reads a prefix in that another engine has exported.
+    /// Imports a prefix that another engine has exported.
     ///
     /// # Errors
     ///
     /// Any [`Error`].
     async fn import(&self, key: Key, handle: &str) -> Result<(), Error>;
 
-    /// Gives an order.
+    /// Sends an order.
     ///
     /// # Errors
     ///
-    /// [`Error::Fenced`] from an engine that checks.
+    /// Returns [`Error::Fenced`] if the engine has received an order with a higher
+    /// fencing token.
     async fn order(&self, order: &Order) -> Result<(), Error>;
 }
--- a/crates/gradedyke-backend/src/engine_http.rs
+++ b/crates/gradedyke-backend/src/engine_http.rs
@@ -1,9 +1,8 @@
-//! Adapter for engines over HTTP.
+//! Implementation of [`Engine`] over HTTP.
 //!
-//! Calls go to `/v1/chat/completions`, always streamed, so that a call can be
-//! cancelled and its tokens counted; a caller that wants the whole answer gets
-//! it put together. `priority` and `cache_salt` are fields that published
-//! engines know; the rest of the control API stands under `/control`.
+//! Calls go to `/v1/chat/completions`. They are always streamed, so that they can be
+//! cancelled and their tokens counted. `priority` and `cache_salt` are fields that
+//! common engines support; the control API is under `/control`.
 
 use std::net::SocketAddr;
 use std::pin::Pin as Pinned;
@@ -24,95 +23,96 @@
 use crate::error::Error;
 use crate::prefix::Key;
 
-/// Names an attempt towards an engine.
-pub const ATTEMPT: &str = "x-request-id";
-/// Ends a stream of the chat-completions format.
-const DONE: &str = "[DONE]";
-const CONFLICT: u16 = 409;
+/// The header that has the ID of an attempt.
+pub const ATTEMPT_HEADER: &str = "x-request-id";
+/// The data of the event that ends a stream.
+const DONE_DATA: &str = "[DONE]";
+const CONFLICT_STATUS: u16 = 409;
 
-/// An engine at an address.
+/// An HTTP client of an engine.
 #[derive(Clone, Debug)]
 pub struct Http {
     address: SocketAddr,
     client: Client,
-    time: Duration,
+    timeout: Duration,
 }
 
-/// A request with the fields that gradedyke adds.
+/// A chat-completions request with the fields that gradedyke adds.
 #[derive(Serialize)]
-struct Extended<'a> {
+struct ExtendedRequest<'a> {
     #[serde(flatten)]
     request: &'a chat::Request,
-    stream_options: Options,
+    stream_options: StreamOptions,
     priority: i32,
     cache_salt: &'a str,
     cache_keys: &'a [Key],
 }
 
 #[derive(Serialize)]
-struct Options {
+struct StreamOptions {
     include_usage: bool,
 }
 
 #[derive(Serialize)]
-struct Export {
+struct ExportRequest {
     key: Key,
 }
 
 #[derive(Deserialize)]
-struct Exported {
+struct ExportResponse {
     handle: String,
 }
 
 #[derive(Serialize)]
-struct Import<'a> {
+struct ImportRequest<'a> {
     key: Key,
     handle: &'a str,
 }
 
 impl Http {
-    /// The engine at `address`. Control calls take at most `time`.
-    pub fn new(address: SocketAddr, client: Client, time: Duration) -> Self {
+    /// Creates a client of the engine at `address`. `timeout` applies to calls of the
+    /// control API.
+    pub fn new(address: SocketAddr, client: Client, timeout: Duration) -> Self {
         Self {
             address,
             client,
-            time,
+            timeout,
         }
     }
 
     async fn get<T: serde::de::DeserializeOwned>(&self, path: &str) -> Result<T, Error> {
         let none = None::<&()>;
-        let reply = self
+        let response = self
             .client
-            .json(Method::GET, self.address, path, none, self.time);
-        Ok(reply.await?)
+            .json(Method::GET, self.address, path, none, self.timeout);
+        Ok(response.await?)
     }
 
     async fn post<T: Serialize>(&self, path: &str, value: &T) -> Result<Value, Error> {
-        let reply = self
-            .client
-            .json(Method::POST, self.address, path, Some(value), self.time);
-        Ok(reply.await?)
+        let response =
+            self.client
+                .json(Method::POST, self.address, path, Some(value), self.timeout);
+        Ok(response.await?)
     }
 
     async fn delete(&self, path: &str) -> Result<(), Error> {
         let none = None::<&()>;
-        let reply = self
+        let response = self
             .client
-            .json(Method::DELETE, self.address, path, none, self.time);
-        let _: Value = reply.await?;
+            .json(Method::DELETE, self.address, path, none, self.timeout);
+        let _: Value = response.await?;
         Ok(())
     }
 
     async fn stream(&self, request: Request<body::Body>) -> Result<Box<dyn Chunks>, Error> {
-        let reply = self.client.send(self.address, request).await?;
-        let status = reply.status();
+        let response = self.client.send(self.address, request).await?;
+        let status = response.status();
         if !status.is_success() {
-            let bytes = client::collect(self.address, reply.into_body()).await?;
+            let bytes = client::collect(self.address, response.into_body()).await?;
             return Err(client::status(self.address, status, &bytes).into());
         }
-        let events = BodyDataStream::new(reply.into_body()).eventsource();
-        Ok(Box::new(Answer {
+        let events = BodyDataStream::new(response.into_body()).eventsource();
+        Ok(Box::new(ChunkStream {
             events: Box::pin(events),
         }))
     }
@@ -120,17 +120,17 @@
 
 type Events = dyn Stream<Item = Result<Event, EventStreamError<hyper::Error>>> + Send;
 
-struct Answer {
+struct ChunkStream {
     events: Pinned<Box<Events>>,
 }
 
 #[async_trait]
-impl Chunks for Answer {
+impl Chunks for ChunkStream {
     async fn next(&mut self) -> Result<Option<Chunk>, Error> {
-        let cut = || Error::Broken("the stream ended before its end mark".to_owned());
-        let event = self.events.next().await.ok_or_else(cut)?;
+        let interrupted = || Error::Broken("the stream ended before its end mark".to_owned());
+        let event = self.events.next().await.ok_or_else(interrupted)?;
         let event = event.map_err(|e| Error::Broken(e.to_string()))?;
-        if event.data == DONE {
+        if event.data == DONE_DATA {
             return Ok(None);
         }
         let chunk = serde_json::from_str(&event.data);
@@ -143,21 +143,21 @@
 #[async_trait]
 impl Engine for Http {
     async fn chat(&self, call: &Call) -> Result<Box<dyn Chunks>, Error> {
-        let extended = Extended {
+        let request_body = ExtendedRequest {
             request: &call.request,
-            stream_options: Options {
+            stream_options: StreamOptions {
                 include_usage: true,
             },
             priority: call.priority,
             cache_salt: call.chain.salt(),
             cache_keys: call.chain.keys(),
         };
-        let bytes = serde_json::to_vec(&extended).map_err(|e| Error::NotSent(e.to_string()))?;
+        let body = serde_json::to_vec(&request_body).map_err(|e| Error::NotSent(e.to_string()))?;
         let path = "/v1/chat/completions";
-        let mut request = client::build(Method::POST, self.address, path, body::full(bytes))?;
+        let mut request = client::build(Method::POST, self.address, path, body::full(body))?;
         let attempt = HeaderValue::from_str(&call.attempt);
         let attempt = attempt.map_err(|e| Error::NotSent(e.to_string()))?;
-        request.headers_mut().insert(ATTEMPT, attempt);
+        request.headers_mut().insert(ATTEMPT_HEADER, attempt);
         self.stream(request).await
     }
 
@@ -193,25 +193,27 @@
     }
 
     async fn export(&self, key: Key) -> Result<String, Error> {
-        let reply = self.post("/control/cache/export", &Export { key }).await?;
-        let exported: Exported =
-            serde_json::from_value(reply).map_err(|e| Error::Broken(e.to_string()))?;
+        let response = self
+            .post("/control/cache/export", &ExportRequest { key })
+            .await?;
+        let exported: ExportResponse =
+            serde_json::from_value(response).map_err(|e| Error::Broken(e.to_string()))?;
         Ok(exported.handle)
     }
 
     async fn import(&self, key: Key, handle: &str) -> Result<(), Error> {
-        let import = Import { key, handle };
+        let import = ImportRequest { key, handle };
         self.post("/control/cache/import", &import).await.map(drop)
     }
 
     async fn order(&self, order: &Order) -> Result<(), Error> {
         match self.post("/control/orders", order).await {
             Err(Error::Invalid {
-                status: CONFLICT,
+                status: CONFLICT_STATUS,
                 message,
             }) => {
-                let newer = message.parse().unwrap_or(order.fencing + 1);
-                Err(Error::Fenced(newer))
+                let latest = message.parse().unwrap_or(order.fencing + 1);
+                Err(Error::Fenced(latest))
             }
             other => other.map(drop),
         }
--- a/crates/gradedyke-backend/src/error.rs
+++ b/crates/gradedyke-backend/src/error.rs
@@ -1,48 +1,48 @@
-//! What a call to a backend server fails with.
+//! Errors of calls to backend servers.
 
 use std::time::Duration;
 
 use gradedyke_http::client;
 
-/// A failed call. The kinds differ in what may be tried again.
+/// The error of a failed call. The variants differ in whether a retry is safe.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// Nothing was sent; it may be tried anywhere.
+    /// The call was not sent; it may be retried at any backend server.
     #[error("the call was not sent ({0}); check that the backend server runs")]
     NotSent(String),
-    /// The backend server says that it did not run the call.
+    /// The backend server rejected the call without running it.
     #[error("the backend server is busy ({message}); try later or elsewhere")]
     Busy {
-        /// What it said.
+        /// The message of the backend server.
         message: String,
-        /// When it wants to be asked again.
+        /// The delay before a retry that the backend server asked for.
         after: Option<Duration>,
     },
-    /// The call itself is at fault; it fails anywhere.
+    /// The call is invalid; a retry at any backend server would fail.
     #[error("the backend server refuses the call ({status}: {message}); correct the call")]
     Invalid {
-        /// The status it answered.
+        /// The HTTP status of the response.
         status: u16,
-        /// What it said.
+        /// The message of the backend server.
         message: String,
     },
-    /// The backend server fenced an order off.
+    /// The backend server rejected an order because of an outdated fencing token.
     #[error("a newer order was given (fencing number {0}); read the present state first")]
     Fenced(u64),
-    /// It was sent and broke off: it may have run.
+    /// The call was sent, then interrupted: it may have run.
     #[error("the call broke off ({0}); it may have run")]
     Broken(String),
 }
 
 impl Error {
-    /// Whether the call certainly did not run.
+    /// Returns whether the call certainly did not run.
     pub fn not_run(&self) -> bool {
         !matches!(self, Error::Broken(_))
     }
 }
 
-const TOO_MANY_REQUESTS: u16 = 429;
-const UNAVAILABLE: u16 = 503;
+const TOO_MANY_REQUESTS_STATUS: u16 = 429;
+const UNAVAILABLE_STATUS: u16 = 503;
 
 impl From<client::Error> for Error {
     fn from(error: client::Error) -> Self {
@@ -56,7 +56,7 @@
                 problem,
                 ..
             } => match status.as_u16() {
-                TOO_MANY_REQUESTS | UNAVAILABLE => Error::Busy {
+                TOO_MANY_REQUESTS_STATUS | UNAVAILABLE_STATUS => Error::Busy {
                     message,
                     after: problem
                         .and_then(|p| p.retry_after_ms)
--- a/crates/gradedyke-backend/src/lib.rs
+++ b/crates/gradedyke-backend/src/lib.rs
@@ -1,10 +1,10 @@
 //! Clients of backend servers: model engines and plain services.
 //!
-//! - [`chat`]: the published chat-completions format, as far as it is read here.
-//! - [`prefix`]: names for the prefixes of a conversation in an engine's cache.
-//! - [`engine`]: the trait of a model engine; [`engine_http`] is its adapter.
-//! - [`service`]: the trait of a plain service and its adapter.
-//! - [`error`]: what a call fails with, and whether it may have run.
+//! - [`chat`]: the part of the chat-completions format that gradedyke reads.
+//! - [`prefix`]: keys of a conversation's prefixes in an engine's cache.
+//! - [`engine`]: the trait of a model engine; [`engine_http`] implements it over HTTP.
+//! - [`service`]: the trait of a plain service, and its implementation over HTTP.
+//! - [`error`]: errors of calls; they say whether the call may have run.
 
 pub mod chat;
 pub mod engine;
--- a/crates/gradedyke-backend/src/prefix.rs
+++ b/crates/gradedyke-backend/src/prefix.rs
@@ -1,10 +1,10 @@
-//! Names for the prefixes of a conversation in an engine's cache.
+//! Keys of a conversation's prefixes in an engine's cache.
 //!
-//! Each message boundary gets a key that covers all messages before it and a
-//! salt for the client account, so that two accounts never share cache, even
-//! where they say the same. Engines take the keys with a call and name them in
-//! their cache events. Keys by message are coarser than by block of tokens, but
-//! need no tokenizer here, and agent programs grow by whole messages.
+//! Each message has a key: a hash of this and all earlier messages, the model and a
+//! salt of the client account, so that client accounts never share cache entries.
+//! Engines receive the keys with a call and use them in cache events. Keys are per
+//! message, not per block of tokens, so that no tokenizer is needed; conversations grow
+//! by whole messages.
 
 use std::fmt;
 
@@ -13,7 +13,7 @@
 
 use crate::chat::Message;
 
-/// The name of a prefix.
+/// The key of a prefix: a hash, written as 16 hexadecimal digits.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct Key(u64);
@@ -44,13 +44,14 @@
     }
 }
 
-/// The salt under which `account`'s prefixes stand in an engine's cache.
+/// Returns the salt of `account`, which separates its cache entries from those of other
+/// client accounts.
 pub fn salt(account: &id::Account) -> String {
     let hash = blake3::derive_key("gradedyke cache salt v1", account.as_str().as_bytes());
     hash[..16].iter().map(|b| format!("{b:02x}")).collect()
 }
 
-/// The chain of keys of a conversation.
+/// The prefix keys of a conversation, one per message; each depends on the one before.
 #[derive(Clone, Debug)]
 pub struct Chain {
     salt: String,
@@ -59,7 +60,7 @@
 }
 
 impl Chain {
-    /// The empty chain of `account` on `model`.
+    /// Creates the chain of an empty conversation of `account` with `model`.
     pub fn new(account: &id::Account, model: &str) -> Self {
         Self {
             salt: salt(account),
@@ -68,15 +69,15 @@
         }
     }
 
-    /// The chain over `messages`.
+    /// Creates the chain of a conversation of `messages`.
     ///
     /// ```
     /// use gradedyke_backend::{chat::Message, prefix::Chain};
     /// use gradedyke_base::id::Account;
     ///
     /// let hi: Message = serde_json::from_str(r#"{"role":"user","content":"hi"}"#).unwrap();
-    /// let of = |name| Chain::over(&Account::parse(name).unwrap(), "m", std::slice::from_ref(&hi));
-    /// assert_ne!(of("kestrel").keys(), of("jordan").keys());
+    /// let chain = |name| Chain::over(&Account::parse(name).unwrap(), "m", std::slice::from_ref(&hi));
+    /// assert_ne!(chain("kestrel").keys(), chain("jordan").keys());
     /// ```
     pub fn over(account: &id::Account, model: &str, messages: &[Message]) -> Self {
         let mut chain = Self::new(account, model);
@@ -84,7 +85,7 @@
         chain
     }
 
-    /// Extends the chain by a message.
+    /// Appends the key of the next message.
     pub fn push(&mut self, message: &Message) {
         let mut hasher = blake3::Hasher::new();
         let parent = self.keys.last().map_or(0, |key| key.0);
@@ -96,22 +97,22 @@
             hasher.update(value.to_string().as_bytes());
         }
         let hash = hasher.finalize();
-        let mut head = [0; 8];
-        head.copy_from_slice(&hash.as_bytes()[..8]);
-        self.keys.push(Key(u64::from_le_bytes(head)));
+        let mut bytes = [0; 8];
+        bytes.copy_from_slice(&hash.as_bytes()[..8]);
+        self.keys.push(Key(u64::from_le_bytes(bytes)));
     }
 
-    /// The salt of the client account.
+    /// Returns the salt of the client account.
     pub fn salt(&self) -> &str {
         &self.salt
     }
 
-    /// The model the chain is for.
+    /// Returns the model.
     pub fn model(&self) -> &str {
         &self.model
     }
 
-    /// The keys, one for each message.
+    /// Returns the keys, one for each message.
     pub fn keys(&self) -> &[Key] {
         &self.keys
     }
--- a/crates/gradedyke-backend/src/service.rs
+++ b/crates/gradedyke-backend/src/service.rs
@@ -1,7 +1,7 @@
-//! Plain services: tools and other HTTP services beside the model engines.
+//! Plain services: tools and other HTTP services that are not model engines.
 //!
-//! Every call carries the caller's request as `idempotency-key`, so that a
-//! service which keeps track can tell a repeat from a new call.
+//! Each call has the ID of the caller's request in the header `idempotency-key`, so that
+//! a service that supports it can recognize retries.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,26 +14,26 @@
 
 use crate::error::Error;
 
-/// Carries the key by which a service knows a repeat.
-pub const KEY: &str = "idempotency-key";
-const NOT_FOUND: u16 = 404;
+/// The header that has the idempotency key of a call.
+pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
+const NOT_FOUND_STATUS: u16 = 404;
 
 /// A call to a plain service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Call {
     /// The HTTP method.
     pub method: String,
-    /// The path and query.
+    /// The path and the query string.
     pub path: String,
     /// The body's content type.
     #[serde(default)]
     pub content_type: Option<String>,
-    /// The body, as text: services of agent programs speak JSON or text.
+    /// The body, as text. Only text formats such as JSON are supported.
     #[serde(default)]
     pub body: String,
 }
 
-/// What a service answered, whatever its status.
+/// The response of a service, with any status.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Reply {
     /// The HTTP status.
@@ -48,38 +48,39 @@
 /// A plain service.
 #[async_trait]
 pub trait Service: Send + Sync {
-    /// Calls the service under an idempotency key, within `time`.
+    /// Calls the service with the idempotency key `key`.
     ///
     /// # Errors
     ///
-    /// [`Error::NotSent`] when it certainly did not run, [`Error::Broken`] when
-    /// it may have. An error status is a [`Reply`].
-    async fn call(&self, key: &str, call: &Call, time: Duration) -> Result<Reply, Error>;
+    /// Returns [`Error::NotSent`] if the call certainly did not run and
+    /// [`Error::Broken`] if it may have. An HTTP error status is returned as a [`Reply`].
+    async fn call(&self, key: &str, call: &Call, timeout: Duration) -> Result<Reply, Error>;
 
-    /// Asks what became of a call. `None` means that it has not arrived yet; it
-    /// still may, so this is no leave to send it again.
+    /// Queries the outcome of a call. `None` means that the service has not received
+    /// it yet. It may still arrive, so this doesn't make a retry safe.
     ///
     /// # Errors
     ///
-    /// Any [`Error`]; [`Error::Invalid`] when the service cannot tell.
+    /// Any [`Error`]; [`Error::Invalid`] if the service doesn't support such queries.
     async fn outcome(&self, key: &str) -> Result<Option<Reply>, Error>;
 }
 
-/// A service over HTTP.
+/// An HTTP client of a service.
 #[derive(Clone, Debug)]
 pub struct Http {
     address: SocketAddr,
     outcome_path: Option<String>,
     client: Client,
-    time: Duration,
+    timeout: Duration,
 }
 
 impl Http {
-    /// The service at `address`. `outcome_path` tells the outcome of the call
-    /// whose key is put in place of `{key}`; asking takes at most `time`.
-    pub fn new(address: SocketAddr, outcome_path: Option<String>, time: Duration) -> Self {
-        // A kept connection that the service closes just as the call goes out
-        // leaves it unknown whether the call ran; a fresh one seldom does.
+    /// Creates a client of the service at `address`. `outcome_path` is the path to query
+    /// the outcome of a call, with `{key}` as the placeholder of its idempotency key;
+    /// `timeout` applies to these queries.
+    pub fn new(address: SocketAddr, outcome_path: Option<String>, timeout: Duration) -> Self {
+        // If the service closes an idle connection while a call is being sent, it is
+        // unknown whether the call ran. A new connection for each call makes that unlikely.
         let config = client::Config {
             keep: false,
             ..client::Config::default()
@@ -88,7 +89,7 @@
             address,
             outcome_path,
             client: Client::new(&config),
-            time,
+            timeout,
         }
     }
 
@@ -96,10 +97,12 @@
         let reply = self.client.send(self.address, request).await?;
         let (head, incoming) = reply.into_parts();
         let bytes = client::collect(self.address, incoming).await?;
-        let kind = head.headers.get(header::CONTENT_TYPE);
+        let content_type = head.headers.get(header::CONTENT_TYPE);
         Ok(Reply {
             status: head.status.as_u16(),
-            content_type: kind.and_then(|v| v.to_str().ok()).map(str::to_owned),
+            content_type: content_type
+                .and_then(|v| v.to_str().ok())
+                .map(str::to_owned),
             body: String::from_utf8_lossy(&bytes).into_owned(),
         })
     }
@@ -107,22 +110,25 @@
 
 #[async_trait]
 impl Service for Http {
-    async fn call(&self, key: &str, call: &Call, time: Duration) -> Result<Reply, Error> {
-        let unsent = |e: &dyn std::fmt::Display| Error::NotSent(e.to_string());
-        let method = Method::from_bytes(call.method.as_bytes()).map_err(|e| unsent(&e))?;
+    async fn call(&self, key: &str, call: &Call, timeout: Duration) -> Result<Reply, Error> {
+        let not_sent = |e: &dyn std::fmt::Display| Error::NotSent(e.to_string());
+        let method = Method::from_bytes(call.method.as_bytes()).map_err(|e| not_sent(&e))?;
         let body = body::full(Bytes::from(call.body.clone()));
         let mut request = client::build(method, self.address, &call.path, body)?;
         let headers = request.headers_mut();
-        headers.insert(KEY, HeaderValue::from_str(key).map_err(|e| unsent(&e))?);
-        if let Some(kind) = &call.content_type {
-            let kind = HeaderValue::from_str(kind).map_err(|e| unsent(&e))?;
-            headers.insert(header::CONTENT_TYPE, kind);
+        headers.insert(
+            IDEMPOTENCY_KEY_HEADER,
+            HeaderValue::from_str(key).map_err(|e| not_sent(&e))?,
+        );
+        if let Some(content_type) = &call.content_type {
+            let content_type = HeaderValue::from_str(content_type).map_err(|e| not_sent(&e))?;
+            headers.insert(header::CONTENT_TYPE, content_type);
         }
-        match tokio::time::timeout(time, self.exchange(request)).await {
+        match tokio::time::timeout(timeout, self.exchange(request)).await {
             Ok(result) => result,
             Err(_) => Err(Error::Broken(format!(
                 "no answer within {} ms",
-                time.as_millis()
+                timeout.as_millis()
             ))),
         }
     }
@@ -130,18 +136,18 @@
     async fn outcome(&self, key: &str) -> Result<Option<Reply>, Error> {
         let Some(path) = &self.outcome_path else {
             return Err(Error::Invalid {
-                status: NOT_FOUND,
+                status: NOT_FOUND_STATUS,
                 message: "the service does not tell outcomes".to_owned(),
             });
         };
         let path = path.replace("{key}", key);
         let request = client::build(Method::GET, self.address, &path, body::empty())?;
-        let asked = tokio::time::timeout(self.time, self.exchange(request));
-        let reply = asked
+        let exchange = tokio::time::timeout(self.timeout, self.exchange(request));
+        let reply = exchange
             .await
             .map_err(|_| Error::Broken("the outcome was not told in time".to_owned()))??;
         match reply.status {
-            NOT_FOUND => Ok(None),
+            NOT_FOUND_STATUS => Ok(None),
             200..=299 => match serde_json::from_str(&reply.body) {
                 Ok(outcome) => Ok(Some(outcome)),
                 Err(e) => Err(Error::Broken(format!("the outcome makes no sense: {e}"))),
--- a/crates/gradedyke-backend/tests/contract.rs
+++ b/crates/gradedyke-backend/tests/contract.rs
@@ -1,5 +1,4 @@
-//! The contract of backend servers, through the real adapters against the
-//! stand-ins.
+//! The HTTP clients of engines and services, run against the stand-in servers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,9 +15,9 @@
 use serde_json::json;
 use tokio_util::sync::CancellationToken;
 
-const TIME: Duration = Duration::from_secs(5);
+const TIMEOUT: Duration = Duration::from_secs(5);
 
-fn any() -> SocketAddr {
+fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
@@ -26,11 +25,11 @@
     let engine = engine::Engine::start(config);
     let listener = Arc::new(engine::Listener(engine.clone()));
     let stop = CancellationToken::new();
-    let address = gradedyke_standin::serve(listener, any(), &stop)
+    let address = gradedyke_standin::serve(listener, any_port(), &stop)
         .await
         .unwrap();
     let client = Client::new(&client::Config::default());
-    (engine, engine_http::Http::new(address, client, TIME))
+    (engine, engine_http::Http::new(address, client, TIMEOUT))
 }
 
 fn message(text: &str) -> Message {
@@ -51,7 +50,7 @@
     }
 }
 
-async fn whole(mut chunks: Box<dyn Chunks>) -> Result<Completion, Error> {
+async fn collect(mut chunks: Box<dyn Chunks>) -> Result<Completion, Error> {
     let mut completion = Completion::default();
     while let Some(chunk) = chunks.next().await? {
         for choice in chunk.choices {
@@ -66,25 +65,25 @@
 }
 
 #[tokio::test]
-async fn an_answer_is_whole_and_counted() {
+async fn a_response_is_complete_with_usage() {
     let (stand_in, engine) = start(Config::default()).await;
-    let answer = whole(engine.chat(&call("a", &["hello there"])).await.unwrap());
-    let answer = answer.await.unwrap();
+    let response = collect(engine.chat(&call("a", &["hello there"])).await.unwrap());
+    let response = response.await.unwrap();
     let run = &stand_in.runs()[0];
-    assert_eq!(answer.content, run.text);
-    assert_eq!(answer.usage.completion_tokens, 16);
-    assert_eq!(answer.usage.prompt_tokens, 3);
-    assert_eq!(answer.finish_reason, "stop");
+    assert_eq!(response.content, run.text);
+    assert_eq!(response.usage.completion_tokens, 16);
+    assert_eq!(response.usage.prompt_tokens, 3);
+    assert_eq!(response.finish_reason, "stop");
 }
 
 #[tokio::test]
-async fn a_stream_is_resumed_at_any_offset() {
+async fn a_stream_can_be_resumed_at_any_offset() {
     let (stand_in, engine) = start(Config::default()).await;
-    let answer = whole(engine.chat(&call("a", &["hello"])).await.unwrap());
-    let text = answer.await.unwrap().content;
+    let response = collect(engine.chat(&call("a", &["hello"])).await.unwrap());
+    let text = response.await.unwrap().content;
     for offset in [0, 1, text.len() / 2, text.len()] {
-        let rest = engine.resume("a", offset as u64).await.unwrap();
-        assert_eq!(whole(rest).await.unwrap().content, text[offset..]);
+        let resumed = engine.resume("a", offset as u64).await.unwrap();
+        assert_eq!(collect(resumed).await.unwrap().content, text[offset..]);
     }
     assert_eq!(stand_in.runs().len(), 1);
     let unknown = engine.resume("b", 0).await;
@@ -92,22 +91,22 @@
 }
 
 #[tokio::test]
-async fn a_cancelled_call_ends_without_its_end_mark() {
+async fn a_cancelled_stream_ends_with_an_error() {
     let (stand_in, engine) = start(Config::default()).await;
     stand_in.hold_at(Some(2));
     let mut chunks = engine.chat(&call("a", &["hello"])).await.unwrap();
     chunks.next().await.unwrap().unwrap();
     engine.cancel("a").await.unwrap();
     engine.cancel("a").await.unwrap();
-    assert!(matches!(whole(chunks).await, Err(Error::Broken(_))));
+    assert!(matches!(collect(chunks).await, Err(Error::Broken(_))));
 }
 
 #[tokio::test]
-async fn a_longer_conversation_finds_its_prefix_cached() {
+async fn a_longer_conversation_reuses_its_cached_prefix() {
     let (stand_in, engine) = start(Config::default()).await;
     for texts in [&["one two three"][..], &["one two three", "four"]] {
         let name = texts.len().to_string();
-        whole(engine.chat(&call(&name, texts)).await.unwrap())
+        collect(engine.chat(&call(&name, texts)).await.unwrap())
             .await
             .unwrap();
     }
@@ -116,10 +115,10 @@
 }
 
 #[tokio::test]
-async fn pins_hold_until_they_are_released() {
+async fn pins_last_until_they_are_released() {
     let (stand_in, engine) = start(Config::default()).await;
     let call = call("a", &["hello"]);
-    whole(engine.chat(&call).await.unwrap()).await.unwrap();
+    collect(engine.chat(&call).await.unwrap()).await.unwrap();
     let holder = id::Program::parse("p").unwrap();
     let pin = Pin {
         holder: holder.clone(),
@@ -136,7 +135,7 @@
 }
 
 #[tokio::test]
-async fn an_old_order_is_refused_where_fencing_is_checked() {
+async fn outdated_orders_are_rejected_by_engines_that_check_fencing() {
     for checks_fencing in [true, false] {
         let (stand_in, engine) = start(Config {
             checks_fencing,
@@ -150,40 +149,39 @@
             },
         };
         engine.order(&order(7)).await.unwrap();
-        let old = engine.order(&order(6)).await;
-        assert_eq!(matches!(old, Err(Error::Fenced(7))), checks_fencing);
-        let carried_out = if checks_fencing { 1 } else { 2 };
-        assert_eq!(stand_in.orders().len(), carried_out);
+        let outdated = engine.order(&order(6)).await;
+        assert_eq!(matches!(outdated, Err(Error::Fenced(7))), checks_fencing);
+        let accepted = if checks_fencing { 1 } else { 2 };
+        assert_eq!(stand_in.orders().len(), accepted);
     }
 }
 
 #[tokio::test]
-async fn an_engine_that_is_not_there_was_sent_nothing() {
+async fn a_call_to_an_unreachable_engine_did_not_run() {
     let client = Client::new(&client::Config::default());
-    let nobody = SocketAddr::from(([127, 0, 0, 1], 1));
-    let engine = engine_http::Http::new(nobody, client, TIME);
-    let failed = engine.chat(&call("a", &["hello"])).await.err().unwrap();
-    assert!(failed.not_run(), "{failed}");
+    let closed_port = SocketAddr::from(([127, 0, 0, 1], 1));
+    let engine = engine_http::Http::new(closed_port, client, TIMEOUT);
+    let error = engine.chat(&call("a", &["hello"])).await.err().unwrap();
+    assert!(error.not_run(), "{error}");
 }
 
 #[tokio::test]
-async fn a_service_tells_what_may_have_run() {
+async fn a_service_reports_whether_a_call_ran() {
     let stand_in = gradedyke_standin::service::Service::default();
     let stop = CancellationToken::new();
     let listener = Arc::new(stand_in.clone());
-    let address = gradedyke_standin::serve(listener, any(), &stop)
+    let address = gradedyke_standin::serve(listener, any_port(), &stop)
         .await
         .unwrap();
     let path = Some("/outcomes/{key}".to_owned());
-    let service = service::Http::new(address, path, TIME);
+    let service = service::Http::new(address, path, TIMEOUT);
     let call = service::Call {
         method: "POST".to_owned(),
         path: "/place".to_owned(),
         content_type: None,
         body: "{}".to_owned(),
     };
-    // Each case: what the service does, whether the caller gets a reply, and
-    // whether it ran.
+    // Behaviour of the service, status that the caller gets, whether the call ran.
     let cases = [
         (Mode::Well, Some(200), true),
         (Mode::Late(1), Some(200), true),
@@ -194,27 +192,27 @@
     for (i, (mode, status, ran)) in cases.into_iter().enumerate() {
         stand_in.set(mode);
         let key = i.to_string();
-        let short = Duration::from_millis(if status.is_some() { 5_000 } else { 50 });
-        let reply = service.call(&key, &call, short).await;
+        let timeout = Duration::from_millis(if status.is_some() { 5_000 } else { 50 });
+        let reply = service.call(&key, &call, timeout).await;
         match (&reply, status) {
             (Ok(reply), Some(status)) => assert_eq!(reply.status, status),
             (Err(error), None) => assert!(!error.not_run(), "{mode:?}: {error}"),
             _ => panic!("{mode:?}: {reply:?}"),
         }
         if ran {
-            // The caller may have given up before the call got there.
-            let arrived =
+            // The caller may have timed out before the call arrived.
+            let has_arrived =
                 |s: &gradedyke_standin::service::Service| s.runs().iter().any(|r| r.key == key);
-            stand_in.until(arrived).await;
+            stand_in.until(has_arrived).await;
         }
         let runs = stand_in.runs();
         assert_eq!(runs.iter().any(|r| r.key == key), ran, "{mode:?}");
         let outcome = service.outcome(&key).await.unwrap();
         assert_eq!(outcome.is_some(), ran, "{mode:?}");
     }
-    let mute = service::Http::new(address, None, TIME);
+    let without_outcomes = service::Http::new(address, None, TIMEOUT);
     assert!(matches!(
-        mute.outcome("0").await,
+        without_outcomes.outcome("0").await,
         Err(Error::Invalid { .. })
     ));
 }
--- a/crates/gradedyke-base/src/id.rs
+++ b/crates/gradedyke-base/src/id.rs
@@ -1,8 +1,8 @@
 //! Typed identifiers.
 //!
-//! Identifiers are separate types so that a request can never be passed where
-//! a program is meant. Text identifiers are checked when they enter the system
-//! ([`Program::parse`] and the like); inside it they are trusted.
+//! Each kind of identifier has its own type, so that a request can't be passed
+//! where a program is expected. Text identifiers are validated when they enter
+//! the system ([`Program::parse`] and the like) and trusted afterwards.
 
 use std::fmt;
 use std::str::FromStr;
@@ -13,48 +13,49 @@
 
 /// Number of slots that programs hash into.
 ///
-/// Slots are the unit of ownership. 16,384 gives about a dozen slots to each
-/// of 1,400 instances, which keeps the imbalance between them tolerable, and
-/// the whole map still fits a few values of the key-value service.
+/// A slot is the unit of ownership. The number is large enough to balance load
+/// over more than a thousand instances, and small enough that the map from slots
+/// to owners fits in a few values of the key-value store.
 pub const SLOTS: u16 = 16_384;
 
-/// Longest accepted text identifier, in bytes.
-pub const MAX_TEXT: usize = 128;
+/// Maximum length of a text identifier, in bytes.
+pub const MAX_ID_BYTES: usize = 128;
 
-/// Separates a program's root from the path of its sub-agents.
-const CHILD_MARK: char = '.';
+/// Separates a program's identifier from the name of a sub-agent.
+const CHILD_SEPARATOR: char = '.';
 
-fn check(what: &str, text: &str) -> Result<(), Problem> {
+fn validate(kind: &str, text: &str) -> Result<(), Problem> {
     let allowed = |c: char| c.is_ascii_alphanumeric() || "-_.:".contains(c);
-    if !text.is_empty() && text.len() <= MAX_TEXT && text.chars().all(allowed) {
+    if !text.is_empty() && text.len() <= MAX_ID_BYTES && text.chars().all(allowed) {
         return Ok(());
     }
     let message = format!(
-        "the {what} id is empty, longer than {MAX_TEXT} bytes or has a character other than \
+        "the {kind} id is empty, longer than {MAX_ID_BYTES} bytes or has a character other than \
          A-Z a-z 0-9 - _ . : ; send one that keeps to these"
     );
     Err(Problem::new(Kind::BadRequest, message))
 }
 
 macro_rules! text_id {
-    ($(#[$doc:meta])* $name:ident, $what:literal) => {
+    ($(#[$doc:meta])* $name:ident, $kind:literal) => {
         $(#[$doc])*
         #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
         #[serde(transparent)]
         pub struct $name(String);
 
         impl $name {
-            /// Checks `text` and makes an identifier of it.
+            /// Parses an identifier.
             ///
             /// # Errors
             ///
-            /// Refuses text that is empty, too long or has unusual characters.
+            /// Returns [`Kind::BadRequest`] if `text` is empty, too long or has
+            /// characters other than ASCII letters, digits, `-`, `_`, `.` and `:`.
             pub fn parse(text: &str) -> Result<Self, Problem> {
-                check($what, text)?;
+                validate($kind, text)?;
                 Ok(Self(text.to_owned()))
             }
 
-            /// The identifier as text.
+            /// Returns the identifier as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -82,15 +83,15 @@
     "client account"
 );
 text_id!(
-    /// A program, or a sub-agent under one.
+    /// A program or a sub-agent of one.
     ///
-    /// A sub-agent's identifier extends its parent's by a dot and a name, so
-    /// that a whole tree of programs shares one [`Slot`] and thus one owner.
+    /// A sub-agent's identifier is its parent's followed by a dot and a name, so
+    /// that a program and all its sub-agents share one [`Slot`] and one owner.
     Program,
     "program"
 );
 text_id!(
-    /// A request of a caller, unique within its program.
+    /// A caller's request, unique within its program.
     Request,
     "request"
 );
@@ -100,10 +101,10 @@
     "instance"
 );
 text_id!(
-    /// A keeper: an instance and the store it keeps the journal in.
+    /// A keeper: an instance and the store that holds its journal replica.
     ///
-    /// An instance that comes back with an empty store is another keeper. Taken
-    /// for the old one it would count as a copy of what it never had.
+    /// An instance that restarts with an empty store is a different keeper, so
+    /// that it isn't counted as a replica of records that it never stored.
     Keeper,
     "keeper"
 );
@@ -114,7 +115,7 @@
 );
 
 impl Keeper {
-    /// The keeper on `instance` whose store has the given identity.
+    /// Returns the keeper on `instance` with the store ID `store`.
     ///
     /// ```
     /// use gradedyke_base::id::{Instance, Keeper};
@@ -124,37 +125,38 @@
     /// assert_eq!(keeper.parts(), Some(("north-1", "0a1b")));
     /// ```
     pub fn new(instance: &Instance, store: &str) -> Self {
-        Self(format!("{instance}{STORE_MARK}{store}"))
+        Self(format!("{instance}{STORE_SEPARATOR}{store}"))
     }
 
-    /// The names of the instance and of its store.
+    /// Returns the instance name and the store ID, or `None` if the identifier has no
+    /// separator.
     pub fn parts(&self) -> Option<(&str, &str)> {
-        self.0.rsplit_once(STORE_MARK)
+        self.0.rsplit_once(STORE_SEPARATOR)
     }
 }
 
-/// Separates a keeper's instance from its store.
-const STORE_MARK: char = ':';
+/// Separates the instance from the store ID in a keeper's identifier.
+const STORE_SEPARATOR: char = ':';
 
-/// Number of random or hashed bytes in a fresh identifier.
-const FRESH_BYTES: usize = 12;
+/// Number of random or hash bytes in a generated identifier.
+const GENERATED_ID_BYTES: usize = 12;
 
-fn hex(bytes: &[u8]) -> String {
+fn to_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
 
 impl Request {
-    /// A fresh identifier for a request that came without one.
+    /// Generates a random identifier for a request that came without one.
     pub fn fresh() -> Self {
-        Self(hex(&rand::random::<[u8; FRESH_BYTES]>()))
+        Self(to_hex(&rand::random::<[u8; GENERATED_ID_BYTES]>()))
     }
 }
 
 impl Program {
-    /// The identifier of the program that `request` of `account` opens.
+    /// Returns the identifier of the program that `account` opens by `request`.
     ///
-    /// It is a hash, so a request that is repeated through another entry opens
-    /// the same program again and no state is needed to recognise it.
+    /// It is a hash of both, so a retry of the request through another entry opens
+    /// the same program, without shared state.
     ///
     /// ```
     /// use gradedyke_base::id::{Account, Program, Request};
@@ -169,28 +171,29 @@
         hasher.update(account.0.as_bytes());
         hasher.update(&[0]);
         hasher.update(request.0.as_bytes());
-        Self(hex(&hasher.finalize().as_bytes()[..FRESH_BYTES]))
+        Self(to_hex(&hasher.finalize().as_bytes()[..GENERATED_ID_BYTES]))
     }
 
-    /// The identifier of the sub-agent that `request` opens under this program.
+    /// Returns the identifier of the sub-agent that `request` opens under this program.
     pub fn child(&self, request: &Request) -> Self {
         let hash = blake3::hash(request.0.as_bytes());
-        let name = hex(&hash.as_bytes()[..4]);
-        Self(format!("{}{CHILD_MARK}{name}", self.0))
+        let name = to_hex(&hash.as_bytes()[..4]);
+        Self(format!("{}{CHILD_SEPARATOR}{name}", self.0))
     }
 
-    /// The program this sub-agent was opened under, or `None` for a root.
+    /// Returns the program that this sub-agent was opened under, or `None` if it is
+    /// not a sub-agent.
     pub fn parent(&self) -> Option<Self> {
-        let (parent, _) = self.0.rsplit_once(CHILD_MARK)?;
+        let (parent, _) = self.0.rsplit_once(CHILD_SEPARATOR)?;
         Some(Self(parent.to_owned()))
     }
 
-    /// The program at the top of this one's tree.
+    /// Returns the identifier of the top-level program.
     pub fn root(&self) -> &str {
-        self.0.split(CHILD_MARK).next().unwrap_or(&self.0)
+        self.0.split(CHILD_SEPARATOR).next().unwrap_or(&self.0)
     }
 
-    /// The slot of this program, the same for its whole tree.
+    /// Returns the slot of this program, which all its sub-agents share.
     ///
     /// ```
     /// use gradedyke_base::id::{Program, Request};
@@ -207,12 +210,12 @@
     }
 }
 
-/// A slot: the unit in which programs change owner.
+/// A slot: a group of programs that have the same owner and change owner together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Slot(pub u16);
 
-/// An ownership epoch of a slot. A higher one fences off every lower one.
+/// The ownership epoch of a slot. Operations with an older epoch are rejected.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -231,17 +234,18 @@
     }
 }
 
-/// Rendezvous weight of `node` for `key`: the node with the highest one wins.
+/// Returns the rendezvous hashing weight of `node` for `key`; the key is assigned to
+/// the node with the highest weight.
 ///
-/// Each node's weight is independent of the others, so when a node goes, only
-/// what it held moves.
+/// A node's weight doesn't depend on the other nodes, so when a node leaves, only
+/// the keys assigned to it move.
 pub fn weight(key: &[u8], node: &str) -> u64 {
     let mut hasher = blake3::Hasher::new();
     hasher.update(key);
     hasher.update(&[0]);
     hasher.update(node.as_bytes());
     let hash = hasher.finalize();
-    let mut head = [0; 8];
-    head.copy_from_slice(&hash.as_bytes()[..8]);
-    u64::from_le_bytes(head)
+    let mut bytes = [0; 8];
+    bytes.copy_from_slice(&hash.as_bytes()[..8]);
+    u64::from_le_bytes(bytes)
 }
--- a/crates/gradedyke-base/src/lib.rs
+++ b/crates/gradedyke-base/src/lib.rs
@@ -1,13 +1,12 @@
-//! Identifiers, errors and settings that every gradedyke crate shares.
+//! Identifiers, errors and settings shared by all gradedyke crates.
 //!
-//! This crate is the bottom layer: it performs no input or output of its own
-//! besides reading a settings file, holds no task and no clock, and can be used
-//! without any other gradedyke crate.
+//! This crate is the lowest layer: it performs no I/O, spawns no tasks, reads no
+//! clock, and depends on no other gradedyke crate.
 //!
-//! - [`id`]: small typed identifiers, and the hash from a program to its slot.
-//! - [`problem`]: the error that callers and operators see.
-//! - [`retry`]: when and how often to try again.
-//! - [`settings`]: JSON-with-comments settings of an instance and of the tree.
+//! - [`id`]: typed identifiers, and the hash that maps a program to its slot.
+//! - [`problem`]: the error type that is returned to callers and operators.
+//! - [`retry`]: exponential backoff.
+//! - [`settings`]: settings of an instance and the shared settings tree, as JSON with comments.
 
 pub mod id;
 pub mod problem;
--- a/crates/gradedyke-base/src/problem.rs
+++ b/crates/gradedyke-base/src/problem.rs
@@ -1,58 +1,60 @@
-//! The error that callers and operators see.
+//! The error type that is returned to callers and operators.
 //!
-//! One type serves every listener, so that a caller can rely on its shape. The
-//! kind decides the HTTP status and whether the request may have run; the
-//! message names the remedy. A message never tells anything about another
-//! client account: an unknown program and somebody else's look the same.
+//! All listeners use the same type. The kind determines the HTTP status and whether
+//! the request may have run; the message says what to do. A message reveals nothing
+//! about other client accounts: a program of another client account is reported like
+//! one that does not exist.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// What went wrong, for programs to act upon.
+/// The machine-readable category of an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// The request is malformed. Correct it; sent as it is it never succeeds.
+    /// The request is malformed; a retry without a correction fails again.
     BadRequest,
-    /// The key is missing or unknown.
+    /// The API key is missing or unknown.
     Unauthorized,
-    /// The key is known but may not do this.
+    /// The API key is valid but doesn't permit this request.
     Forbidden,
-    /// No such program, request, model or service for this client account.
+    /// The client account has no such program, request, model or service.
     NotFound,
-    /// No such path on this listener.
+    /// The listener doesn't serve this path.
     NoRoute,
-    /// The method is not served on this path.
+    /// The path doesn't support this HTTP method.
     BadMethod,
-    /// The request contradicts what is already there.
+    /// The request conflicts with the current state.
     Conflict,
-    /// The body is larger than the listener takes.
+    /// The request body exceeds the size limit.
     TooLarge,
-    /// The body did not arrive in time.
+    /// The request body did not arrive before the timeout.
     TooSlow,
     /// The program has ended or was cancelled.
     Ended,
-    /// The program's budget does not cover the worst case of this call.
+    /// The program's remaining budget doesn't cover the most that this call may use.
     OverBudget,
-    /// Too much is under way for this client account. Come back later.
+    /// The client account has too many requests in progress; retry later.
     Overloaded,
-    /// No place to run it can be reached now. Come back later.
+    /// No instance or backend server that could run the request is reachable now; retry
+    /// later.
     Unavailable,
-    /// The owner of the program is changing. Retry soon.
+    /// The program is moving to another owner; retry shortly.
     Moving,
-    /// A backend server failed the request; it may be sent again as a new one.
+    /// A backend server failed the request; the caller may send it again as a new
+    /// request.
     BackendFailed,
-    /// It was sent, and nobody can tell whether it ran. It will not be sent again.
+    /// The request was sent, and it is unknown whether it ran. It is not retried.
     OutcomeUnknown,
     /// The deadline passed.
     DeadlineExceeded,
-    /// A fault in gradedyke itself.
+    /// An internal error of gradedyke.
     Internal,
 }
 
 impl Kind {
-    /// The HTTP status for this kind.
+    /// Returns the HTTP status for this kind.
     pub fn status(self) -> u16 {
         match self {
             Kind::BadRequest => 400,
@@ -73,7 +75,7 @@
         }
     }
 
-    /// Whether a request refused with this kind certainly did not run.
+    /// Returns whether a request that failed with this kind certainly did not run.
     pub fn not_run(self) -> bool {
         !matches!(
             self,
@@ -85,7 +87,7 @@
         )
     }
 
-    /// The kind's name on the wire.
+    /// Returns the name used in JSON bodies.
     pub fn name(self) -> &'static str {
         match self {
             Kind::BadRequest => "bad_request",
@@ -110,31 +112,31 @@
     }
 }
 
-/// An error as a caller or operator sees it.
+/// An error as it is returned to a caller or operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[error("{}: {message}", kind.name())]
 pub struct Problem {
-    /// What went wrong.
+    /// The category of the error.
     pub kind: Kind,
-    /// What went wrong and what to do about it, in a sentence.
+    /// What went wrong and what to do about it.
     pub message: String,
-    /// When to come back, in milliseconds from now.
+    /// Delay before a retry, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
     /// Whether the request certainly did not run.
     pub not_run: bool,
 }
 
-/// The body of an error reply: the problem under the key that clients of the
-/// chat-completions format look for.
+/// The JSON body of an error response, in the layout that clients of the
+/// chat-completions format expect.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Body {
-    /// The problem.
+    /// The error.
     pub error: Problem,
 }
 
 impl Problem {
-    /// A problem of `kind` with a message that names the remedy.
+    /// Creates an error of `kind`; the message should say what to do about it.
     ///
     /// ```
     /// use gradedyke_base::problem::{Kind, Problem};
@@ -152,27 +154,27 @@
         }
     }
 
-    /// The same problem, telling the caller when to come back.
+    /// Sets the delay before a retry.
     pub fn retry_after(mut self, after: Duration) -> Self {
         self.retry_after_ms = Some(u64::try_from(after.as_millis()).unwrap_or(u64::MAX));
         self
     }
 
-    /// The same problem, marked as one whose request may have run.
+    /// Marks the request as one that may have run.
     pub fn may_have_run(mut self) -> Self {
         self.not_run = false;
         self
     }
 
-    /// The JSON body of the reply.
+    /// Encodes the JSON body of the error response.
     pub fn body(&self) -> Vec<u8> {
         let body = Body {
             error: self.clone(),
         };
-        serde_json::to_vec(&body).expect("a problem has only strings, numbers and booleans")
+        serde_json::to_vec(&body).expect("a problem consists of strings, numbers and booleans")
     }
 
-    /// Reads a problem from the body of a reply, if it holds one.
+    /// Decodes an error from the body of a response; `None` if it isn't one.
     pub fn from_body(body: &[u8]) -> Option<Self> {
         let body: Body = serde_json::from_slice(body).ok()?;
         Some(body.error)
--- a/crates/gradedyke-base/src/retry.rs
+++ b/crates/gradedyke-base/src/retry.rs
@@ -1,22 +1,22 @@
-//! When and how often to try again.
+//! Exponential backoff with jitter.
 //!
-//! Only what certainly did not run, or may be repeated, is tried again, and
-//! never without a wait that grows and is spread at random: tries that come
-//! back in step are a storm, and peers that have fallen behind are asked the more by
-//! fixed waits, the further they are behind.
+//! Callers retry only requests that certainly did not run or that are idempotent.
+//! Jitter keeps clients from retrying at the same moment, and growing delays reduce
+//! the load on overloaded peers.
 
 use std::time::Duration;
 
-/// Waits that grow from a first to a last, each spread over half its length.
+/// Delays that double up to a maximum; jitter shortens each by up to half.
 #[derive(Clone, Copy, Debug)]
 pub struct Backoff {
-    next: Duration,
-    last: Duration,
-    left: u32,
+    delay: Duration,
+    max_delay: Duration,
+    retries_left: u32,
 }
 
 impl Backoff {
-    /// `tries` waits from `first` on, each twice the one before, up to `last`.
+    /// Creates a sequence of at most `max_retries` delays that starts at `initial_delay`
+    /// and doubles up to `max_delay`.
     ///
     /// ```
     /// use gradedyke_base::retry::Backoff;
@@ -28,15 +28,15 @@
     /// assert!(backoff.wait(1.0).unwrap() <= second * 2);
     /// assert!(backoff.wait(0.5).is_none());
     /// ```
-    pub fn new(first: Duration, last: Duration, tries: u32) -> Self {
+    pub fn new(initial_delay: Duration, max_delay: Duration, max_retries: u32) -> Self {
         Self {
-            next: first,
-            last,
-            left: tries,
+            delay: initial_delay,
+            max_delay,
+            retries_left: max_retries,
         }
     }
 
-    /// Waits without an end, for what is tried until its time is over.
+    /// Creates a sequence without a limit on retries, for calls bounded by a deadline.
     ///
     /// ```
     /// use gradedyke_base::retry::Backoff;
@@ -44,24 +44,24 @@
     ///
     /// let second = Duration::from_secs(1);
     /// let mut backoff = Backoff::endless(second, second * 2);
-    /// let waits: Vec<Duration> = (0..3).map(|_| backoff.step(1.0)).collect();
-    /// assert_eq!(waits, [second, second * 2, second * 2]);
+    /// let delays: Vec<Duration> = (0..3).map(|_| backoff.step(1.0)).collect();
+    /// assert_eq!(delays, [second, second * 2, second * 2]);
     /// ```
-    pub fn endless(first: Duration, last: Duration) -> Self {
-        Self::new(first, last, u32::MAX)
+    pub fn endless(initial_delay: Duration, max_delay: Duration) -> Self {
+        Self::new(initial_delay, max_delay, u32::MAX)
     }
 
-    /// The next wait, spread by `random` from 0 to 1; `None` when all tries are
-    /// used up.
+    /// Returns the next delay, or `None` if no retries are left. `random` is a number
+    /// from 0 to 1 that determines the jitter.
     pub fn wait(&mut self, random: f64) -> Option<Duration> {
-        self.left = self.left.checked_sub(1)?;
+        self.retries_left = self.retries_left.checked_sub(1)?;
         Some(self.step(random))
     }
 
-    /// The next wait, whatever number of tries is left.
+    /// Returns the next delay, regardless of the number of retries left.
     pub fn step(&mut self, random: f64) -> Duration {
-        let wait = self.next;
-        self.next = (self.next * 2).min(self.last);
-        wait.mul_f64(0.5 + random.clamp(0.0, 1.0) / 2.0)
+        let delay = self.delay;
+        self.delay = (self.delay * 2).min(self.max_delay);
+        delay.mul_f64(0.5 + random.clamp(0.0, 1.0) / 2.0)
     }
 }
--- a/crates/gradedyke-base/src/settings/instance.rs
+++ b/crates/gradedyke-base/src/settings/instance.rs
@@ -1,4 +1,4 @@
-//! Settings of one process: who it is, where it listens, what it runs.
+//! Settings of one process: its identity, addresses and roles.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -13,18 +13,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// Takes callers' requests and relays the answers.
+    /// Authenticates and relays callers' requests.
     Entry,
-    /// Owns programs: orders their calls, keeps their state, dispatches.
+    /// Runs programs: orders their calls, holds their state and dispatches the calls to
+    /// backend servers.
     Owner,
-    /// Keeps copies of the journal.
+    /// Stores a replica of the journal.
     Keeper,
-    /// Serves operators.
+    /// Serves the operators' API.
     Admin,
 }
 
 impl Role {
-    /// The role's name, as in settings.
+    /// Returns the role's name, as in settings.
     pub fn name(self) -> &'static str {
         match self {
             Role::Entry => "entry",
@@ -35,24 +36,24 @@
     }
 }
 
-/// The addresses a process listens on. Port 0 takes a free one.
+/// The addresses that a process listens on. Port 0 selects a free port.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listen {
     /// For callers (role `entry`).
     #[serde(default)]
     pub caller: Option<SocketAddr>,
-    /// For other processes of the system.
+    /// For other gradedyke processes.
     pub peer: SocketAddr,
-    /// For operators (role `admin`), and for the health and metrics pages.
+    /// For operators (role `admin`), health checks and metrics.
     pub admin: SocketAddr,
 }
 
-/// Where the platform's services are.
+/// Addresses of the platform's services.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Platform {
-    /// Addresses of the key-value service, tried in turn.
+    /// Addresses of the key-value store, tried in order.
     pub key_value: Vec<SocketAddr>,
     /// Address of the instance list, if the deployment has one.
     #[serde(default)]
@@ -62,22 +63,22 @@
     pub weights: Option<SocketAddr>,
 }
 
-/// Limits on what callers may send and how long they may take.
+/// Limits on callers' connections and requests, and timeouts of the shutdown.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Largest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// Longest time for a whole request to arrive, in milliseconds.
+    /// Timeout for receiving a whole request, in milliseconds.
     pub body_ms: u64,
-    /// Longest time for a request's head to arrive, in milliseconds.
+    /// Timeout for receiving a request's headers, in milliseconds.
     pub head_ms: u64,
-    /// Most connections at a time on the caller listener.
+    /// Maximum number of concurrent connections on the caller listener.
     pub connections: usize,
-    /// Time between saying that this process leaves and refusing connections,
-    /// in milliseconds: as long as the balancer takes to notice.
+    /// Delay between reporting not ready and refusing connections, in milliseconds.
+    /// Gives the load balancer time to stop sending requests.
     pub leave_ms: u64,
-    /// Longest time that a planned stop waits for streams, in milliseconds.
+    /// Timeout for open streams to finish in a graceful shutdown, in milliseconds.
     pub drain_ms: u64,
 }
 
@@ -100,29 +101,30 @@
 pub struct Instance {
     /// The instance's name, unique within the deployment.
     pub id: id::Instance,
-    /// The deployment's name: processes of another deployment are strangers.
+    /// The deployment's name. Instances of other deployments are ignored.
     pub deployment: String,
-    /// The data centre the instance stands in.
+    /// The data centre of the instance.
     pub data_centre: String,
-    /// What this process runs.
+    /// The roles of this process.
     pub roles: BTreeSet<Role>,
-    /// Where it listens.
+    /// The addresses that the process listens on.
     pub listen: Listen,
-    /// Where the platform is.
+    /// The addresses of the platform's services.
     pub platform: Platform,
-    /// The folder for bulk data, on instances that have a disk.
+    /// The folder for persistent data, on instances that have a disk.
     #[serde(default)]
     pub data_folder: Option<PathBuf>,
-    /// Length of this process's lease, in milliseconds.
+    /// Duration of this process's lease, in milliseconds.
     #[serde(default = "lease_ms")]
     pub lease_ms: u64,
-    /// Keepers that each part of the journal has; the same everywhere.
+    /// Number of keepers that store each part of the journal. Must be the same on all
+    /// instances.
     #[serde(default = "copies")]
     pub copies: usize,
-    /// Hash of the key of the first operator, who applies the first settings.
+    /// Hash of the key of the operator who applies the first settings tree.
     #[serde(default)]
     pub operator_hash: Option<String>,
-    /// Limits towards callers.
+    /// Limits on callers' connections and requests, and timeouts of the shutdown.
     #[serde(default)]
     pub limits: Limits,
 }
@@ -135,25 +137,26 @@
     3
 }
 
-/// Shortest sensible lease: below it, an ordinary pause loses the lease.
-const SHORTEST_LEASE_MS: u64 = 1_000;
+/// Minimum duration of a lease, in milliseconds. A shorter one would expire during
+/// ordinary scheduling pauses.
+const MIN_LEASE_MS: u64 = 1_000;
 
 impl Instance {
-    /// Reads and checks the settings in `text`, which came from `file`.
+    /// Parses and validates the settings in `text`, the content of `file`.
     ///
     /// # Errors
     ///
-    /// The first fault found, with its place and remedy.
+    /// Returns the first error found.
     pub fn read(file: &str, text: &str) -> Result<Self, Error> {
         let source = Source::new(file, text);
         let instance: Self = source.read()?;
-        match instance.fault() {
+        match instance.first_error() {
             Some((path, message)) => Err(source.error(path, message)),
             None => Ok(instance),
         }
     }
 
-    fn fault(&self) -> Option<(&'static str, &'static str)> {
+    fn first_error(&self) -> Option<(&'static str, &'static str)> {
         if id::Instance::parse(self.id.as_str()).is_err() {
             return Some(("id", "not a usable name; use letters, digits and - _ . :"));
         }
@@ -172,19 +175,19 @@
         if self.platform.key_value.is_empty() {
             return Some(("platform.key_value", "no address; name at least one"));
         }
-        if self.lease_ms < SHORTEST_LEASE_MS {
-            return Some(("lease_ms", "too short to hold; use 1000 or more"));
+        if self.lease_ms < MIN_LEASE_MS {
+            return Some(("lease_ms", "the lease is too short; use 1000 or more"));
         }
         if self.copies == 0 {
             return Some((
                 "copies",
-                "nothing would be kept; use 1 or more, 3 as a rule",
+                "the journal would not be stored; use 1 or more, usually 3",
             ));
         }
         None
     }
 
-    /// Whether the process runs `role`.
+    /// Returns whether the process has `role`.
     pub fn runs(&self, role: Role) -> bool {
         self.roles.contains(&role)
     }
--- a/crates/gradedyke-base/src/settings/mod.rs
+++ b/crates/gradedyke-base/src/settings/mod.rs
@@ -1,14 +1,14 @@
 //! Settings in JSON with comments.
 //!
-//! There are two kinds of file. [`instance::Instance`] tells one process who it
-//! is, where it listens and where the platform is; it is read once at start.
-//! [`tree::Tree`] is what operators share: client accounts, their agent
-//! programs and the backend servers. It lives in the key-value service under a
-//! rising revision and is never read from a file by a running process, because
-//! a file may be older than what is already in force.
+//! There are two kinds of settings. [`instance::Instance`] holds the settings of one
+//! process: its identity, its addresses and those of the platform. It is read from a
+//! file at start. [`tree::Tree`] holds the settings that all instances share: client
+//! accounts, their agent programs and the backend servers. Running processes read it
+//! from the key-value store only, where each change gets a higher revision, because a
+//! file may be older than the active settings.
 //!
-//! Unknown keys are refused. Every error names the file, the line, the path in
-//! the tree and the remedy.
+//! Unknown keys are rejected. Each error has the file, the line, the path of the
+//! setting and how to correct it.
 
 pub mod check;
 pub mod instance;
--- a/crates/gradedyke-base/src/settings/parse.rs
+++ b/crates/gradedyke-base/src/settings/parse.rs
@@ -1,9 +1,8 @@
-//! Reads JSON with comments into typed settings, with errors that tell where.
+//! Parses JSON with comments into typed settings; errors have line and path.
 //!
-//! The text is parsed twice: once into a syntax tree, which knows lines, and
-//! once into values, which know types. The path of a type error is then looked
-//! up in the syntax tree. Settings files are small, so the second pass costs
-//! nothing worth saving.
+//! The text is first deserialized into typed values. If a type error occurs, the text is
+//! parsed again into a syntax tree, to find the line that belongs to the error's
+//! path.
 
 use std::fmt;
 
@@ -12,16 +11,16 @@
 use jsonc_parser::{CollectOptions, ParseOptions, parse_to_ast, parse_to_serde_value};
 use serde::de::DeserializeOwned;
 
-/// A settings error: where, what and the remedy.
+/// An error in settings: its location, what is wrong and how to correct it.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub struct Error {
-    /// The file, as the operator named it.
+    /// The file name, as the operator gave it.
     pub file: String,
-    /// The line in the file, from 1.
+    /// The line in the file, counted from 1.
     pub line: usize,
-    /// The path in the tree, such as `accounts.kestrel.keys[0]`.
+    /// The path of the setting, such as `accounts.kestrel.keys[0]`.
     pub path: String,
-    /// What is wrong and how to mend it.
+    /// What is wrong and how to correct it.
     pub message: String,
 }
 
@@ -37,7 +36,7 @@
     }
 }
 
-/// A settings text that parsed, with what is needed to place later errors.
+/// The text of a settings file, which is needed to find the lines of errors.
 #[derive(Debug)]
 pub struct Source<'a> {
     file: &'a str,
@@ -45,16 +44,16 @@
 }
 
 impl<'a> Source<'a> {
-    /// A source from the text of `file`.
+    /// Creates a source from `text`, the content of `file`.
     pub fn new(file: &'a str, text: &'a str) -> Self {
         Self { file, text }
     }
 
-    /// Reads typed settings from the text.
+    /// Parses the text into typed settings.
     ///
     /// # Errors
     ///
-    /// The first fault of syntax or of type, placed by line and path.
+    /// Returns the first error of syntax or type.
     ///
     /// ```
     /// use gradedyke_base::settings::parse::Source;
@@ -66,14 +65,14 @@
     pub fn read<T: DeserializeOwned>(&self) -> Result<T, Error> {
         let options = ParseOptions::default();
         let value = parse_to_serde_value::<serde_json::Value>(self.text, &options)
-            .map_err(|e| self.syntax(&e))?;
+            .map_err(|e| self.syntax_error(&e))?;
         serde_path_to_error::deserialize(value).map_err(|e| {
             let path = e.path().to_string();
-            self.error(&path, &remedy(&e.into_inner().to_string()))
+            self.error(&path, &with_remedy(&e.into_inner().to_string()))
         })
     }
 
-    /// An error at `path` in this source.
+    /// Returns an error for the setting at `path`.
     pub fn error(&self, path: &str, message: &str) -> Error {
         Error {
             file: self.file.to_owned(),
@@ -83,7 +82,7 @@
         }
     }
 
-    fn syntax(&self, error: &jsonc_parser::errors::ParseError) -> Error {
+    fn syntax_error(&self, error: &jsonc_parser::errors::ParseError) -> Error {
         Error {
             file: self.file.to_owned(),
             line: self.line_at(error.range().start),
@@ -96,11 +95,11 @@
     }
 
     fn line_at(&self, offset: usize) -> usize {
-        let head = &self.text.as_bytes()[..offset.min(self.text.len())];
-        1 + head.iter().filter(|b| **b == b'\n').count()
+        let preceding = &self.text.as_bytes()[..offset.min(self.text.len())];
+        1 + preceding.iter().filter(|b| **b == b'\n').count()
     }
 
-    /// The line of the deepest node on `path` that stands in the text.
+    /// Returns the line of the setting at `path`, or of its deepest ancestor in the text.
     fn line_of(&self, path: &str) -> usize {
         let options = (CollectOptions::default(), ParseOptions::default());
         let Ok(parsed) = parse_to_ast(self.text, &options.0, &options.1) else {
@@ -111,8 +110,8 @@
         };
         let mut offset = root.start();
         let mut node = &root;
-        for step in steps(path) {
-            let Some((start, next)) = descend(node, &step) else {
+        for segment in segments(path) {
+            let Some((start, next)) = find_child(node, &segment) else {
                 break;
             };
             offset = start;
@@ -122,32 +121,39 @@
     }
 }
 
-/// Splits `a.b[2].c` into its steps.
-fn steps(path: &str) -> Vec<String> {
+/// Splits a path like `a.b[2].c` into keys and array indexes.
+fn segments(path: &str) -> Vec<String> {
     path.replace('[', ".")
         .replace(']', "")
         .split('.')
-        .filter(|step| !step.is_empty())
+        .filter(|segment| !segment.is_empty())
         .map(str::to_owned)
         .collect()
 }
 
-fn descend<'a, 'b>(node: &'b ast::Value<'a>, step: &str) -> Option<(usize, &'b ast::Value<'a>)> {
+/// Returns the offset and the value of a member of an object or array.
+fn find_child<'a, 'b>(
+    node: &'b ast::Value<'a>,
+    segment: &str,
+) -> Option<(usize, &'b ast::Value<'a>)> {
     match node {
         ast::Value::Object(object) => {
-            let property = object.properties.iter().find(|p| p.name.as_str() == step)?;
+            let property = object
+                .properties
+                .iter()
+                .find(|p| p.name.as_str() == segment)?;
             Some((property.start(), &property.value))
         }
         ast::Value::Array(array) => {
-            let value = array.elements.get(step.parse::<usize>().ok()?)?;
+            let value = array.elements.get(segment.parse::<usize>().ok()?)?;
             Some((value.start(), value))
         }
         _ => None,
     }
 }
 
-/// Adds the remedy to a message of serde's.
-fn remedy(message: &str) -> String {
+/// Appends to an error message of serde how to correct the settings.
+fn with_remedy(message: &str) -> String {
     let remedy = if message.starts_with("unknown field") {
         "remove it or correct its name"
     } else if message.starts_with("missing field") {
--- a/crates/gradedyke-base/src/settings/tree.rs
+++ b/crates/gradedyke-base/src/settings/tree.rs
@@ -1,8 +1,8 @@
-//! The operators' shared settings: client accounts, agent programs, backend
-//! servers, and the defaults they inherit from.
+//! The settings that all instances share: client accounts, agent programs, backend
+//! servers and defaults.
 //!
-//! A value that an agent program leaves out comes from its client account, then
-//! from `defaults`, then from the constants below; [`Tree::agent`] resolves it.
+//! A value that an agent program doesn't set is inherited from its client account,
+//! else from `defaults`, else from the constants below. [`Tree::agent`] resolves it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -11,21 +11,21 @@
 
 use crate::id;
 
-/// How urgent a program's work is.
+/// The priority class of a program.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "lowercase")]
 pub enum Class {
-    /// A person waits for it.
+    /// Interactive: a person waits for the result.
     #[default]
     Staff,
-    /// Nobody waits; it goes behind staff work.
+    /// Not interactive: runs after `Staff` work.
     Batch,
 }
 
 impl Class {
-    /// The class's name, as in settings and metrics.
+    /// Returns the name used in settings and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Class::Staff => "staff",
@@ -34,33 +34,34 @@
     }
 }
 
-/// Values that each level may set and the next one inherits.
+/// Settings that defaults, client accounts and agent programs may each set; unset values
+/// are inherited.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Policy {
-    /// Most tokens that one program and its sub-agents may spend.
+    /// Token budget of one program and its sub-agents.
     pub budget_tokens: Option<u64>,
-    /// Tokens that one model call may generate when the caller names none.
+    /// Maximum of tokens that a model call may generate, unless the caller sets one.
     pub max_tokens: Option<u64>,
-    /// Most calls that one program may issue.
+    /// Maximum number of calls of one program.
     pub max_turns: Option<u32>,
-    /// How long a program may stay without a call, in milliseconds.
+    /// Time without a call after which a program is ended, in milliseconds.
     pub idle_ms: Option<u64>,
-    /// Longest time for one call, in milliseconds.
+    /// Timeout of a call, in milliseconds.
     pub call_ms: Option<u64>,
-    /// How urgent the work is.
+    /// The priority class.
     pub class: Option<Class>,
-    /// The routing policy, by its registered name.
+    /// The name of the routing policy.
     pub routing: Option<String>,
 }
 
-/// A key of a client account or operator, kept only as its hash.
+/// An API key of a client account or operator. Only its hash is stored.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Key {
     /// BLAKE3 hash of the key in hexadecimal, as `gradedyke key` prints it.
     pub hash: String,
-    /// A note for operators, such as who holds the key.
+    /// A note for operators, such as who uses the key.
     #[serde(default)]
     pub note: String,
 }
@@ -69,11 +70,11 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Agent {
-    /// Models it may call.
+    /// Models that it may call.
     pub models: Vec<String>,
-    /// Plain services it may call.
+    /// Plain services that it may call.
     pub services: Vec<String>,
-    /// What it sets over its client account.
+    /// Values that override those of its client account.
     pub policy: Policy,
 }
 
@@ -81,12 +82,12 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Account {
-    /// Keys its callers may use.
+    /// API keys of its callers.
     pub keys: Vec<Key>,
-    /// What it sets over the defaults.
+    /// Values that override the defaults.
     #[serde(default)]
     pub policy: Policy,
-    /// Most calls of this client account in progress at one entry.
+    /// Maximum number of concurrent calls of this client account at one entry.
     #[serde(default = "concurrent")]
     pub concurrent: usize,
     /// Its agent programs, by name.
@@ -97,46 +98,46 @@
     1_024
 }
 
-/// What a backend server is.
+/// A backend server, by its kind.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase", deny_unknown_fields, tag = "kind")]
 pub enum Backend {
-    /// A model engine.
+    /// A server that runs models.
     Engine {
-        /// Where it listens.
+        /// The address that it listens on.
         address: SocketAddr,
-        /// The data centre it stands in.
+        /// The data centre that it is in.
         data_centre: String,
-        /// Models it serves.
+        /// Models that it serves.
         models: Vec<String>,
-        /// Whether it refuses an order with an old fencing number.
+        /// Whether it rejects orders with an outdated fencing token.
         #[serde(default)]
         checks_fencing: bool,
     },
-    /// A plain service.
+    /// A plain HTTP service, such as a tool of agent programs.
     Service {
-        /// Where it listens.
+        /// The address that it listens on.
         address: SocketAddr,
-        /// The data centre it stands in.
+        /// The data centre that it is in.
         data_centre: String,
-        /// The name callers know it by; several backend servers may share it.
+        /// The service name that callers use; several backend servers may share it.
         service: String,
-        /// Path that tells the outcome of a request by its idempotency key,
-        /// with `{key}` in the key's place, if the service has one.
+        /// Path to query the outcome of a request, with `{key}` as the placeholder
+        /// of its idempotency key, if the service supports that.
         #[serde(default)]
         outcome_path: Option<String>,
     },
 }
 
 impl Backend {
-    /// Where it listens.
+    /// Returns the address that it listens on.
     pub fn address(&self) -> SocketAddr {
         match self {
             Backend::Engine { address, .. } | Backend::Service { address, .. } => *address,
         }
     }
 
-    /// The data centre it stands in.
+    /// Returns the data centre that it is in.
     pub fn data_centre(&self) -> &str {
         match self {
             Backend::Engine { data_centre, .. } | Backend::Service { data_centre, .. } => {
@@ -146,60 +147,60 @@
     }
 }
 
-/// The whole tree.
+/// All shared settings.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tree {
-    /// Values for all that does not set its own.
+    /// Values for client accounts and agent programs that don't set their own.
     #[serde(default)]
     pub defaults: Policy,
-    /// Keys of operators.
+    /// API keys of operators.
     #[serde(default)]
     pub operators: Vec<Key>,
-    /// Client accounts by name.
+    /// Client accounts, by name.
     #[serde(default)]
     pub accounts: BTreeMap<String, Account>,
-    /// Backend servers by name.
+    /// Backend servers, by name.
     #[serde(default)]
     pub backends: BTreeMap<String, Backend>,
-    /// Data centres whose backend servers get nothing new.
+    /// Data centres whose backend servers get no new calls.
     #[serde(default)]
     pub evacuated: BTreeSet<String>,
 }
 
-/// Used when no level sets a budget, in tokens.
-pub const BUDGET_TOKENS: u64 = 1_000_000;
-/// Used when no level sets a length for answers, in tokens.
-pub const MAX_TOKENS: u64 = 1_024;
-/// Used when no level sets a number of turns.
-pub const MAX_TURNS: u32 = 170;
-/// Used when no level sets an idle time: half an hour.
+/// Default token budget of a program.
+pub const DEFAULT_BUDGET_TOKENS: u64 = 1_000_000;
+/// Default maximum of tokens that a model call may generate.
+pub const DEFAULT_MAX_TOKENS: u64 = 1_024;
+/// Default maximum number of calls of a program.
+pub const DEFAULT_MAX_TURNS: u32 = 170;
+/// Default idle timeout of a program, in milliseconds.
 pub const IDLE_MS: u64 = 1_800_000;
-/// Used when no level sets a longest call: five minutes.
-pub const CALL_MS: u64 = 300_000;
-/// Used when no level names a routing policy.
+/// Default timeout of a call, in milliseconds.
+pub const DEFAULT_CALL_TIMEOUT_MS: u64 = 300_000;
+/// Default routing policy.
 pub const ROUTING: &str = "prefix";
 
-/// An agent program with everything it inherits filled in.
+/// The effective settings of an agent program, inherited values included.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Effective {
-    /// Models it may call.
+    /// Models that it may call.
     pub models: Vec<String>,
-    /// Plain services it may call.
+    /// Plain services that it may call.
     pub services: Vec<String>,
-    /// Most tokens that one program and its sub-agents may spend.
+    /// Token budget of one program and its sub-agents.
     pub budget_tokens: u64,
-    /// Tokens that one model call may generate when the caller names none.
+    /// Maximum of tokens that a model call may generate, unless the caller sets one.
     pub max_tokens: u64,
-    /// Most calls that one program may issue.
+    /// Maximum number of calls of one program.
     pub max_turns: u32,
-    /// How long a program may stay without a call, in milliseconds.
+    /// Time without a call after which a program is ended, in milliseconds.
     pub idle_ms: u64,
-    /// Longest time for one call, in milliseconds.
+    /// Timeout of a call, in milliseconds.
     pub call_ms: u64,
-    /// How urgent the work is.
+    /// The priority class.
     pub class: Class,
-    /// The routing policy, by its registered name.
+    /// The name of the routing policy.
     pub routing: String,
 }
 
@@ -208,11 +209,11 @@
         Self {
             models: Vec::new(),
             services: Vec::new(),
-            budget_tokens: BUDGET_TOKENS,
-            max_tokens: MAX_TOKENS,
-            max_turns: MAX_TURNS,
+            budget_tokens: DEFAULT_BUDGET_TOKENS,
+            max_tokens: DEFAULT_MAX_TOKENS,
+            max_turns: DEFAULT_MAX_TURNS,
             idle_ms: IDLE_MS,
-            call_ms: CALL_MS,
+            call_ms: DEFAULT_CALL_TIMEOUT_MS,
             class: Class::default(),
             routing: ROUTING.to_owned(),
         }
@@ -220,17 +221,17 @@
 }
 
 impl Tree {
-    /// The agent program `agent` of `account`, with inherited values filled in.
+    /// Returns the effective settings of the agent program `agent` of `account`.
     ///
     /// ```
-    /// use gradedyke_base::{id, settings::tree::{Account, Agent, Tree, MAX_TURNS}};
+    /// use gradedyke_base::{id, settings::tree::{Account, Agent, Tree, DEFAULT_MAX_TURNS}};
     ///
     /// let mut tree = Tree::default();
     /// let agents = [("minutes".to_owned(), Agent::default())].into();
     /// let account = Account { keys: vec![], policy: Default::default(), concurrent: 1, agents };
     /// tree.accounts.insert("kestrel".to_owned(), account);
     /// let kestrel = id::Account::parse("kestrel").unwrap();
-    /// assert_eq!(tree.agent(&kestrel, "minutes").unwrap().max_turns, MAX_TURNS);
+    /// assert_eq!(tree.agent(&kestrel, "minutes").unwrap().max_turns, DEFAULT_MAX_TURNS);
     /// ```
     pub fn agent(&self, account: &id::Account, agent: &str) -> Option<Effective> {
         let account = self.accounts.get(account.as_str())?;
@@ -239,34 +240,34 @@
         Some(Effective {
             models: agent.models.clone(),
             services: agent.services.clone(),
-            budget_tokens: first(levels, |p| p.budget_tokens).unwrap_or(BUDGET_TOKENS),
-            max_tokens: first(levels, |p| p.max_tokens).unwrap_or(MAX_TOKENS),
-            max_turns: first(levels, |p| p.max_turns).unwrap_or(MAX_TURNS),
-            idle_ms: first(levels, |p| p.idle_ms).unwrap_or(IDLE_MS),
-            call_ms: first(levels, |p| p.call_ms).unwrap_or(CALL_MS),
-            class: first(levels, |p| p.class).unwrap_or_default(),
-            routing: first(levels, |p| p.routing.clone()).unwrap_or_else(|| ROUTING.to_owned()),
+            budget_tokens: first_set(levels, |p| p.budget_tokens).unwrap_or(DEFAULT_BUDGET_TOKENS),
+            max_tokens: first_set(levels, |p| p.max_tokens).unwrap_or(DEFAULT_MAX_TOKENS),
+            max_turns: first_set(levels, |p| p.max_turns).unwrap_or(DEFAULT_MAX_TURNS),
+            idle_ms: first_set(levels, |p| p.idle_ms).unwrap_or(IDLE_MS),
+            call_ms: first_set(levels, |p| p.call_ms).unwrap_or(DEFAULT_CALL_TIMEOUT_MS),
+            class: first_set(levels, |p| p.class).unwrap_or_default(),
+            routing: first_set(levels, |p| p.routing.clone()).unwrap_or_else(|| ROUTING.to_owned()),
         })
     }
 
-    /// Whether a backend server stands in `data_centre`.
+    /// Returns whether any backend server is in `data_centre`.
     pub fn has_data_centre(&self, data_centre: &str) -> bool {
         let mut backends = self.backends.values();
         backends.any(|b| b.data_centre() == data_centre)
     }
 
-    /// Whether `key` is an operator's.
+    /// Returns whether `key` is the API key of an operator.
     pub fn is_operator(&self, key: &str) -> bool {
         let hash = hash_key(key);
         self.operators.iter().any(|k| k.hash == hash)
     }
 }
 
-fn first<T>(levels: [&Policy; 3], get: impl Fn(&Policy) -> Option<T>) -> Option<T> {
+fn first_set<T>(levels: [&Policy; 3], get: impl Fn(&Policy) -> Option<T>) -> Option<T> {
     levels.into_iter().find_map(get)
 }
 
-/// The hash under which settings keep `key`.
+/// Returns the hash of `key` as stored in settings.
 pub fn hash_key(key: &str) -> String {
     blake3::hash(key.as_bytes()).to_hex().to_string()
 }
--- a/crates/gradedyke-cli/src/demo/agents.rs
+++ b/crates/gradedyke-cli/src/demo/agents.rs
@@ -1,106 +1,106 @@
-//! The agent programs of the demo, as callers would write them.
+//! The agent programs of the demo, written like callers' own programs.
 
 use std::time::Instant;
 
 use gradedyke_client::Options;
 use gradedyke_world::{World, chat, text_of, user};
 
-/// Minutes drafts and valuations that run beside each other.
-const PAIRS: usize = 4;
-/// Follow-up questions in a minutes draft.
-const FOLLOW_UPS: usize = 3;
-/// Programs in each half of the routing comparison.
-const COMPARED: usize = 6;
-/// Turns of each of them.
+/// Number of pairs of a minutes draft and a valuation; the two of a pair run concurrently.
+const PROGRAM_PAIRS: usize = 4;
+/// Number of follow-up questions in a minutes draft.
+const FOLLOW_UP_QUESTIONS: usize = 3;
+/// Number of programs per routing policy in the comparison.
+const COMPARED_PROGRAMS: usize = 6;
+/// Number of turns of each of these programs.
 const COMPARED_TURNS: usize = 4;
 
-/// One call as its caller saw it.
-pub struct Seen {
-    /// The program.
+/// A completed call, as its caller saw it.
+pub struct Call {
+    /// The program ID.
     pub program: String,
-    /// The request.
+    /// The request ID.
     pub request: String,
-    /// The text of the answer.
-    pub answer: String,
-    /// Whether a plain service was called.
-    pub service: bool,
+    /// The text of the response.
+    pub response: String,
+    /// Whether it is a call to a plain service.
+    pub is_service: bool,
 }
 
-/// All that the agent programs did.
+/// What the agent programs did.
 #[derive(Default)]
-pub struct Journeys {
-    /// Programs opened, with their budgets in tokens.
+pub struct History {
+    /// IDs of the programs and sub-agents opened, with their budgets in tokens.
     pub programs: Vec<(String, u64)>,
-    /// Calls answered.
-    pub calls: Vec<Seen>,
+    /// Completed calls.
+    pub calls: Vec<Call>,
 }
 
-fn short(text: &str) -> String {
+fn truncate(text: &str) -> String {
     text.chars().take(40).collect()
 }
 
-impl Journeys {
-    /// Runs all programs beside each other.
+impl History {
+    /// Runs all pairs of programs, one pair after the other.
     pub async fn run(world: &World) -> eyre::Result<Self> {
-        let mut journeys = Self::default();
-        for pair in 0..PAIRS {
+        let mut history = Self::default();
+        for pair in 0..PROGRAM_PAIRS {
             let (minutes, valuation) = tokio::join!(minutes(world, pair), valuation(world, pair));
-            for journey in [minutes?, valuation?] {
-                journeys.programs.extend(journey.programs);
-                journeys.calls.extend(journey.calls);
+            for part in [minutes?, valuation?] {
+                history.programs.extend(part.programs);
+                history.calls.extend(part.calls);
             }
         }
-        Ok(journeys)
+        Ok(history)
     }
 
-    fn saw(&mut self, program: &str, request: &str, answer: String, service: bool) {
-        println!("  {program} {request}: {}...", short(&answer));
-        self.calls.push(Seen {
+    fn record_call(&mut self, program: &str, request: &str, response: String, is_service: bool) {
+        println!("  {program} {request}: {}...", truncate(&response));
+        self.calls.push(Call {
             program: program.to_owned(),
             request: request.to_owned(),
-            answer,
-            service,
+            response,
+            is_service,
         });
     }
 }
 
-/// A minutes draft: a long transcript, a sub-agent that checks names, an export
-/// that must not be repeated, and a clerk's follow-up questions.
-async fn minutes(world: &World, number: usize) -> eyre::Result<Journeys> {
+/// Runs a minutes draft: a long transcript, a sub-agent that checks names, an export that
+/// must run only once, and follow-up questions.
+async fn minutes(world: &World, number: usize) -> eyre::Result<History> {
     let caller = world.kestrel();
-    let mut journey = Journeys::default();
+    let mut history = History::default();
     let mut entries = (number..).map(|n| world.entry(n));
     let mut entry = || entries.next().unwrap_or_else(|| world.entry(0));
     let budget = 6_000;
-    let opened = format!("minutes-{number}");
+    let open_request = format!("minutes-{number}");
     let program = caller
-        .open(entry(), "minutes", Some(budget), None, &opened)
+        .open(entry(), "minutes", Some(budget), None, &open_request)
         .await?;
     println!("kestrel opens minutes draft {program}");
-    journey.programs.push((program.clone(), budget));
+    history.programs.push((program.clone(), budget));
 
     let transcript = "The chair opened the meeting and item four was discussed. ".repeat(12);
     let body = chat(&[user(&transcript)]);
-    let mut answer = caller
+    let mut response = caller
         .stream(entry(), &program, &body, Options::request("draft"))
         .await?;
-    let mut pieces = 0;
-    while answer.next().await?.is_some() {
-        pieces += 1;
+    let mut chunks = 0;
+    while response.next().await?.is_some() {
+        chunks += 1;
     }
-    println!("  {program} draft: streamed in {pieces} pieces");
-    journey.saw(&program, "draft", answer.text, false);
+    println!("  {program} draft: streamed in {chunks} chunks");
+    history.record_call(&program, "draft", response.text, false);
 
     let child = caller
         .open(entry(), "minutes", None, Some(&program), "names")
         .await?;
     println!("  {program} opens sub-agent {child}");
-    journey.programs.push((child.clone(), budget));
+    history.programs.push((child.clone(), budget));
     let body = chat(&[user("Check the names against the members' list.")]);
     let checked = caller
         .chat(entry(), &child, &body, Options::request("check"))
         .await?;
-    journey.saw(&child, "check", text_of(&checked), false);
+    history.record_call(&child, "check", text_of(&checked), false);
     caller.program(entry(), &child, "end").await?;
 
     let options = Options::request("export");
@@ -113,8 +113,8 @@
             options.clone(),
         )
         .await?;
-    journey.saw(&program, "export", exported, true);
-    // The same request again gives the same answer and runs nothing.
+    history.record_call(&program, "export", exported, true);
+    // A retry of the request returns the same response without running the call again.
     caller
         .service(
             entry(),
@@ -125,43 +125,43 @@
         )
         .await?;
 
-    for turn in 0..FOLLOW_UPS {
+    for turn in 0..FOLLOW_UP_QUESTIONS {
         let request = format!("follow-up-{turn}");
         let options = Options {
             append: true,
             ..Options::request(&request)
         };
         let body = chat(&[user("What was decided on item four?")]);
-        let answer = caller
+        let response = caller
             .chat(entry(), &program, &body, options.clone())
             .await?;
-        journey.saw(&program, &request, text_of(&answer), false);
+        history.record_call(&program, &request, text_of(&response), false);
     }
     caller.program(entry(), &program, "end").await?;
     println!("kestrel ends {program}");
-    Ok(journey)
+    Ok(history)
 }
 
-/// A valuation: two model calls and an order that must not be repeated.
-async fn valuation(world: &World, number: usize) -> eyre::Result<Journeys> {
+/// Runs a valuation: two model calls and an order that must run only once.
+async fn valuation(world: &World, number: usize) -> eyre::Result<History> {
     let caller = world.jordan();
-    let mut journey = Journeys::default();
+    let mut history = History::default();
     let mut entries = (number + 1..).map(|n| world.entry(n));
     let mut entry = || entries.next().unwrap_or_else(|| world.entry(0));
     let budget = 3_000;
-    let opened = format!("valuation-{number}");
+    let open_request = format!("valuation-{number}");
     let program = caller
-        .open(entry(), "valuation", Some(budget), None, &opened)
+        .open(entry(), "valuation", Some(budget), None, &open_request)
         .await?;
     println!("jordan opens valuation {program}");
-    journey.programs.push((program.clone(), budget));
+    history.programs.push((program.clone(), budget));
 
     let first = user("Value this copy: first edition, spine worn.");
     let body = chat(std::slice::from_ref(&first));
     let valued = caller
         .chat(entry(), &program, &body, Options::request("value"))
         .await?;
-    journey.saw(&program, "value", text_of(&valued), false);
+    history.record_call(&program, "value", text_of(&valued), false);
 
     let options = Options {
         repeatable: Some(false),
@@ -176,51 +176,50 @@
             options.clone(),
         )
         .await?;
-    journey.saw(&program, "order", ordered, true);
+    history.record_call(&program, "order", ordered, true);
 
-    // An existing client repeats the whole conversation.
+    // Without `append`, a call sends the whole conversation, as unmodified clients do.
     let message = valued["choices"][0]["message"].clone();
     let body = chat(&[first, message, user("List it at that price.")]);
     let listed = caller
         .chat(entry(), &program, &body, Options::request("list"))
         .await?;
-    journey.saw(&program, "list", text_of(&listed), false);
+    history.record_call(&program, "list", text_of(&listed), false);
     caller.program(entry(), &program, "end").await?;
     println!("jordan ends {program}");
-    Ok(journey)
+    Ok(history)
 }
 
-/// Runs the same programs under each routing policy and tells what the second
-/// one gains.
+/// Runs the same programs under both routing policies; returns a line with the latency and
+/// the wasted tokens of each.
 pub async fn compare_routing(world: &World) -> eyre::Result<String> {
-    let (naive_ms, naive_wasted) = compared(world, "minutes-plain").await?;
-    let (ms, wasted) = compared(world, "minutes").await?;
+    let (round_robin_ms, round_robin_wasted) = run_compared(world, "minutes-plain").await?;
+    let (prefix_ms, prefix_wasted) = run_compared(world, "minutes").await?;
     Ok(format!(
-        "routing round_robin_ms={naive_ms} prefix_ms={ms} ratio={:.2} \
-         round_robin_wasted_tokens={naive_wasted} prefix_wasted_tokens={wasted}",
-        ms as f64 / naive_ms.max(1) as f64
+        "routing round_robin_ms={round_robin_ms} prefix_ms={prefix_ms} ratio={:.2} \
+         round_robin_wasted_tokens={round_robin_wasted} prefix_wasted_tokens={prefix_wasted}",
+        prefix_ms as f64 / round_robin_ms.max(1) as f64
     ))
 }
 
-/// Runs programs of several turns under an agent program's routing; returns the
-/// time and the prompt tokens that were computed again.
-async fn compared(world: &World, agent: &str) -> eyre::Result<(u128, u64)> {
-    let began = Instant::now();
-    let programs = (0..COMPARED).map(|number| turns(world, agent, number));
+/// Runs programs of several turns under the routing policy of `agent`; returns the elapsed
+/// time in milliseconds and the number of prompt tokens processed more than once.
+async fn run_compared(world: &World, agent: &str) -> eyre::Result<(u128, u64)> {
+    let started_at = Instant::now();
+    let programs = (0..COMPARED_PROGRAMS).map(|number| run_turns(world, agent, number));
     let mut wasted = 0;
     for program in futures_util::future::join_all(programs).await {
-        wasted += wasted_by(world, &program?);
+        wasted += wasted_tokens(world, &program?);
     }
-    Ok((began.elapsed().as_millis(), wasted))
+    Ok((started_at.elapsed().as_millis(), wasted))
 }
 
-async fn turns(world: &World, agent: &str, number: usize) -> eyre::Result<String> {
+async fn run_turns(world: &World, agent: &str, number: usize) -> eyre::Result<String> {
     let caller = world.kestrel();
     let entry = world.entry(number);
-    let opened = format!("{agent}-compared-{number}");
-    let program = caller.open(entry, agent, None, None, &opened).await?;
-    // Each program has a transcript of its own, so that none warms another's
-    // cache.
+    let open_request = format!("{agent}-compared-{number}");
+    let program = caller.open(entry, agent, None, None, &open_request).await?;
+    // Each program has a different transcript, so that programs don't share cached prefixes.
     let transcript = format!(
         "{agent} {number} {}",
         "Item four was discussed. ".repeat(150)
@@ -238,16 +237,16 @@
     Ok(program)
 }
 
-/// Prompt tokens of a program that an engine computed although some engine had
-/// computed them before, by the engines' records. The longest prompt holds
-/// every shorter one, so its length is what had to be computed.
-fn wasted_by(world: &World, program: &str) -> u64 {
-    let attempt = format!("{program}:");
+/// Returns the number of prompt tokens of a program that engines processed more than once,
+/// according to the engines' records. Each prompt extends the one before, so only the
+/// length of the longest prompt had to be processed.
+fn wasted_tokens(world: &World, program: &str) -> u64 {
+    let attempt_prefix = format!("{program}:");
     let runs = world.engines.iter().flat_map(|engine| engine.runs());
     let runs: Vec<_> = runs
-        .filter(|run| run.attempt.starts_with(&attempt))
+        .filter(|run| run.attempt.starts_with(&attempt_prefix))
         .collect();
-    let computed: u64 = runs.iter().map(|r| r.prompt_tokens - r.cached_tokens).sum();
+    let processed: u64 = runs.iter().map(|r| r.prompt_tokens - r.cached_tokens).sum();
     let needed = runs.iter().map(|r| r.prompt_tokens).max().unwrap_or(0);
-    computed.saturating_sub(needed)
+    processed.saturating_sub(needed)
 }
--- a/crates/gradedyke-cli/src/demo/mod.rs
+++ b/crates/gradedyke-cli/src/demo/mod.rs
@@ -1,40 +1,40 @@
-//! `gradedyke demo`: everything in one process, through the real HTTP path.
+//! `gradedyke demo`: runs a whole deployment in one process; all calls go over HTTP.
 
 mod agents;
-mod tally;
+mod stats;
 
 use std::time::{Duration, Instant};
 
 use eyre::WrapErr;
 use gradedyke_world::{Config, KESTREL, MODEL, OPERATOR, World};
 
-use crate::{Failure, logs, no_more, runtime};
-use agents::Journeys;
+use crate::{Failure, build_runtime, expect_no_more_args, logs};
+use agents::History;
 
-/// Longest time for the instances to get ready.
-const READY: Duration = Duration::from_secs(30);
+/// Timeout for the instances to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Runs the demo.
+/// Runs `gradedyke demo`.
 pub fn command(args: &mut pico_args::Arguments) -> Result<(), Failure> {
-    let stay = args.contains("--stay");
+    let keep_running = args.contains("--stay");
     let instances = args.opt_value_from_str("--instances")?.unwrap_or(3);
-    no_more(args)?;
+    expect_no_more_args(args)?;
     if instances == 0 {
         return Err(Failure::Usage("--instances 0: use 1 or more".to_owned()));
     }
     logs::start("error");
-    runtime()?.block_on(show(instances, stay))
+    build_runtime()?.block_on(run_demo(instances, keep_running))
 }
 
-async fn show(instances: usize, stay: bool) -> Result<(), Failure> {
-    let began = Instant::now();
+async fn run_demo(instances: usize, keep_running: bool) -> Result<(), Failure> {
+    let started_at = Instant::now();
     println!("starting a platform, 3 model engines, 2 plain services and {instances} instances");
     let config = Config {
         instances,
         ..Config::default()
     };
-    let world = tokio::time::timeout(READY, World::start(config)).await;
-    let world = world.wrap_err("the instances did not get ready in time")??;
+    let world = tokio::time::timeout(READY_TIMEOUT, World::start(config)).await;
+    let world = world.wrap_err("the instances did not become ready within the timeout")??;
     for process in world.processes.iter().flatten() {
         let addresses = process.addresses();
         println!(
@@ -46,30 +46,30 @@
             addresses.admin
         );
     }
-    let ready_ms = began.elapsed().as_millis();
+    let ready_ms = started_at.elapsed().as_millis();
     println!("ready after {ready_ms} ms");
-    let journeys = Journeys::run(&world).await?;
-    let figures = tally::count(&world, &journeys).await;
-    let gain = agents::compare_routing(&world).await?;
-    println!("{gain}");
-    println!("{figures}");
-    if stay {
+    let history = History::run(&world).await?;
+    let stats = stats::collect(&world, &history).await;
+    let comparison = agents::compare_routing(&world).await?;
+    println!("{comparison}");
+    println!("{stats}");
+    if keep_running {
         print_curl(&world);
         tokio::signal::ctrl_c()
             .await
             .wrap_err("cannot wait for a signal")?;
     }
-    let right = figures.right();
+    let is_ok = stats.is_ok();
     world.stop().await;
-    if right {
+    if is_ok {
         return Ok(());
     }
     Err(Failure::Failed(eyre::eyre!(
-        "a figure is not right, see above"
+        "a figure is not as expected; see the last line of the output"
     )))
 }
 
-/// Prints curl lines to try.
+/// Prints curl commands to try.
 fn print_curl(world: &World) {
     let entry = world.entry(0);
     let admin = world.processes.iter().flatten().next();
--- a/crates/gradedyke-cli/src/help.rs
+++ b/crates/gradedyke-cli/src/help.rs
@@ -1,6 +1,6 @@
-//! Help texts.
+//! Help texts of the commands.
 
-const GENERAL: &str = "\
+const GENERAL_HELP: &str = "\
 gradedyke: a shared scheduling service for agent programs
 
 usage: gradedyke COMMAND [OPTIONS]
@@ -22,7 +22,7 @@
 exit codes: 0 ok, 1 failed, 2 wrong usage or settings
 ";
 
-const DEMO: &str = "\
+const DEMO_HELP: &str = "\
 usage: gradedyke demo [--stay] [--instances N]
 
 Starts stand-ins for the platform, model engines and plain services, and N
@@ -34,7 +34,7 @@
   --instances N  number of instances
 ";
 
-const EVACUATE: &str = "\
+const EVACUATE_HELP: &str = "\
 usage: gradedyke evacuate DATA_CENTRE --admin ADDRESS --key KEY [--withdraw]
 
 Puts the tree in force again with DATA_CENTRE among those that are evacuated, and
@@ -42,7 +42,7 @@
 they have in progress ends there. --withdraw takes that back.
 ";
 
-const RUN: &str = "\
+const RUN_HELP: &str = "\
 usage: gradedyke run --settings FILE
 
 Runs the roles that FILE names until SIGTERM or SIGINT, which drain: new work
@@ -51,7 +51,7 @@
 once callers may be sent here. See docs/OPERATING.md for the settings.
 ";
 
-const SERVE: &str = "\
+const SERVE_HELP: &str = "\
 usage: gradedyke serve entry [--settings FILE]
        gradedyke serve keeper [--settings FILE]
 
@@ -63,7 +63,7 @@
 Logs go to standard output, metrics to listen.metrics. See docs/OPERATIONS.md.
 ";
 
-const EXPLAIN: &str = "\
+const EXPLAIN_HELP: &str = "\
 usage: gradedyke explain [--program ID] [FILE]
 
 Reads the log lines of all instances from FILE or standard input. With --program,
@@ -78,7 +78,7 @@
   between_ms  none of the program's requests was in progress
 ";
 
-const SETTINGS: &str = "\
+const SETTINGS_HELP: &str = "\
 usage: gradedyke settings check FILE [--instance | --serve]
        gradedyke settings apply FILE --admin ADDRESS --key KEY [--if-revision N]
 
@@ -88,14 +88,14 @@
         force now) and prints the new revision
 ";
 
-const STATUS: &str = "\
+const STATUS_HELP: &str = "\
 usage: gradedyke status --admin ADDRESS --key KEY [--json]
 
 Tells of the instance whose admin listener is at ADDRESS, and for each member
 it sees the revision of the settings in force there.
 ";
 
-const STANDIN: &str = "\
+const STANDIN_HELP: &str = "\
 usage: gradedyke standin platform|engine|service --listen ADDRESS
 
 Runs a small stand-in for the platform, a model engine or a plain service until
@@ -103,25 +103,25 @@
 in memory. Engines and services tell what they ran at /records.
 ";
 
-const KEY: &str = "\
+const KEY_HELP: &str = "\
 usage: gradedyke key [KEY]
 
-Makes a random key, or takes KEY, and prints it with the hash that settings
+Makes a random key, or takes KEY_HELP, and prints it with the hash that settings
 keep of it.
 ";
 
-/// The help for a command, or the general one.
+/// Returns the help text of a command, or the general help text if `topic` is no command.
 pub fn text(topic: &str) -> &'static str {
     match topic {
-        "demo" => DEMO,
-        "evacuate" => EVACUATE,
-        "run" => RUN,
-        "explain" => EXPLAIN,
-        "serve" => SERVE,
-        "settings" => SETTINGS,
-        "status" => STATUS,
-        "standin" => STANDIN,
-        "key" => KEY,
-        _ => GENERAL,
+        "demo" => DEMO_HELP,
+        "evacuate" => EVACUATE_HELP,
+        "run" => RUN_HELP,
+        "explain" => EXPLAIN_HELP,
+        "serve" => SERVE_HELP,
+        "settings" => SETTINGS_HELP,
+        "status" => STATUS_HELP,
+        "standin" => STANDIN_HELP,
+        "key" => KEY_HELP,
+        _ => GENERAL_HELP,
     }
 }
--- a/crates/gradedyke-cli/src/main.rs
+++ b/crates/gradedyke-cli/src/main.rs
@@ -11,18 +11,18 @@
 
 use std::process::ExitCode;
 
-/// Ended well.
-const OK: u8 = 0;
-/// Failed.
-const FAILED: u8 = 1;
-/// The words of the command or the settings are wrong.
-const USAGE: u8 = 2;
+/// Exit code of success.
+const EXIT_OK: u8 = 0;
+/// Exit code if the command failed.
+const EXIT_FAILED: u8 = 1;
+/// Exit code if the arguments or the settings are invalid.
+const EXIT_USAGE: u8 = 2;
 
-/// How a command ended, other than well.
+/// Why a command did not succeed.
 enum Failure {
-    /// What was tried failed.
+    /// The command failed.
     Failed(eyre::Report),
-    /// The words of the command or the settings are wrong.
+    /// The arguments or the settings are invalid.
     Usage(String),
 }
 
@@ -41,24 +41,24 @@
 fn main() -> ExitCode {
     let mut args = pico_args::Arguments::from_env();
     let code = match dispatch(&mut args) {
-        Ok(()) => OK,
+        Ok(()) => EXIT_OK,
         Err(Failure::Failed(report)) => {
             eprintln!("gradedyke: {report:#}");
-            FAILED
+            EXIT_FAILED
         }
         Err(Failure::Usage(message)) => {
             eprintln!("gradedyke: {message}");
-            USAGE
+            EXIT_USAGE
         }
     };
     ExitCode::from(code)
 }
 
 fn dispatch(args: &mut pico_args::Arguments) -> Result<(), Failure> {
-    let wants_help = args.contains(["-h", "--help"]);
+    let is_help_requested = args.contains(["-h", "--help"]);
     let command = args.subcommand()?;
     let command = command.as_deref().unwrap_or("help");
-    if wants_help || command == "help" {
+    if is_help_requested || command == "help" {
         let topic = if command == "help" { "" } else { command };
         print!("{}", help::text(topic));
         return Ok(());
@@ -70,29 +70,29 @@
         "run" => run::command(args),
         "serve" => serve::command(args),
         "settings" => settings::command(args),
-        "standin" => run::standin(args),
+        "standin" => run::run_stand_in(args),
         "status" => admin::status(args),
-        "key" => settings::key(args),
+        "key" => settings::generate_key(args),
         other => Err(Failure::Usage(format!(
             "no command {other}; see gradedyke --help"
         ))),
     }
 }
 
-/// Refuses words that are left over.
-fn no_more(args: &pico_args::Arguments) -> Result<(), Failure> {
-    let left = args.clone().finish();
-    match left.first() {
+/// Rejects remaining arguments.
+fn expect_no_more_args(args: &pico_args::Arguments) -> Result<(), Failure> {
+    let remaining = args.clone().finish();
+    match remaining.first() {
         None => Ok(()),
-        Some(word) => Err(Failure::Usage(format!(
+        Some(arg) => Err(Failure::Usage(format!(
             "{} is not understood here; see --help",
-            word.to_string_lossy()
+            arg.to_string_lossy()
         ))),
     }
 }
 
-/// A tokio runtime with a thread for each core.
-fn runtime() -> Result<tokio::runtime::Runtime, Failure> {
+/// Builds a tokio runtime with one worker thread per core.
+fn build_runtime() -> Result<tokio::runtime::Runtime, Failure> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build();
--- a/crates/gradedyke-cli/src/serve.rs
+++ b/crates/gradedyke-cli/src/serve.rs
@@ -1,4 +1,4 @@
-//! `gradedyke serve`: one role on the users' platform.
+//! `gradedyke serve`: runs one role on the users' platform.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -10,27 +10,26 @@
 use gradedyke_site::{SETTINGS_VARIABLE, Wire};
 use tokio::signal::unix::{SignalKind, signal};
 
-use crate::{Failure, logs, no_more};
+use crate::{Failure, expect_no_more_args, logs};
 
-/// How often the settings file is looked at: it may change without a signal.
-const LOOK: Duration = Duration::from_secs(2);
+/// Interval at which the settings file is checked for changes.
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Runs a role until a signal. The settings file is named by `--settings`, or
-/// by the platform's variable.
+/// Runs a role until SIGTERM or SIGINT. The path of the settings file is taken from
+/// `--settings`, else from the environment variable that the platform sets.
 pub fn command(args: &mut pico_args::Arguments) -> Result<(), Failure> {
     let role = args.subcommand()?.unwrap_or_default();
     let file: Option<PathBuf> = args.opt_value_from_str("--settings")?;
-    no_more(args)?;
-    let named = || std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from);
-    let file = file.or_else(named).ok_or_else(|| {
+    expect_no_more_args(args)?;
+    let path_from_env = || std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from);
+    let file = file.or_else(path_from_env).ok_or_else(|| {
         Failure::Usage(format!(
             "no settings file; give --settings or set {SETTINGS_VARIABLE}"
         ))
     })?;
-    let settings = read(&file).map_err(Failure::Usage)?;
+    let settings = read_settings(&file).map_err(Failure::Usage)?;
     let mut log = logs::start_bounded("info");
-    // One core is what an instance has; a second thread would only be switched
-    // to and fro.
+    // Instances have one core, where more threads would only add context switches.
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -38,7 +37,7 @@
     runtime.block_on(run(&role, &file, settings, &mut log))
 }
 
-fn read(file: &Path) -> Result<Settings, String> {
+fn read_settings(file: &Path) -> Result<Settings, String> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file);
     let text = text.map_err(|e| format!("{name}: cannot be read ({e}); check the path"))?;
@@ -51,44 +50,44 @@
     settings: Settings,
     log: &mut logs::Queue,
 ) -> Result<(), Failure> {
-    let io = |e: std::io::Error| Failure::Failed(e.into());
-    let mut term = signal(SignalKind::terminate()).map_err(io)?;
-    let mut int = signal(SignalKind::interrupt()).map_err(io)?;
-    let mut hup = signal(SignalKind::hangup()).map_err(io)?;
-    let world = World {
+    let to_failure = |e: std::io::Error| Failure::Failed(e.into());
+    let mut term = signal(SignalKind::terminate()).map_err(to_failure)?;
+    let mut int = signal(SignalKind::interrupt()).map_err(to_failure)?;
+    let mut hup = signal(SignalKind::hangup()).map_err(to_failure)?;
+    let environment = World {
         dialect: Arc::new(Wire),
         kv: Arc::new(Store::new(settings.platform)),
     };
     let process = match role {
-        "entry" => Process::entry(settings, world).await?,
-        "keeper" => Process::keeper(settings, world).await?,
+        "entry" => Process::entry(settings, environment).await?,
+        "keeper" => Process::keeper(settings, environment).await?,
         other => {
             return Err(Failure::Usage(format!(
                 "no role {other}; serve entry or keeper"
             )));
         }
     };
-    let mut changed = modified(file);
+    let mut last_modified = modification_time(file);
     loop {
         tokio::select! {
             _ = term.recv() => break,
             _ = int.recv() => break,
             () = process.failed() => {
                 return Err(Failure::Failed(eyre::eyre!(
-                    "the process stopped by itself; its log says why"
+                    "the process failed; see its log for the cause"
                 )));
             }
             _ = hup.recv() => {}
-            () = tokio::time::sleep(LOOK) => {
-                log.tell();
-                let now = modified(file);
-                if now == changed {
+            () = tokio::time::sleep(SETTINGS_POLL_INTERVAL) => {
+                log.log_dropped_lines();
+                let modified = modification_time(file);
+                if modified == last_modified {
                     continue;
                 }
-                changed = now;
+                last_modified = modified;
             }
         }
-        match read(file) {
+        match read_settings(file) {
             Ok(settings) => process.reload(settings),
             Err(error) => tracing::warn!(event = "not_reloaded", error),
         }
@@ -97,6 +96,6 @@
     Ok(())
 }
 
-fn modified(file: &Path) -> Option<SystemTime> {
+fn modification_time(file: &Path) -> Option<SystemTime> {
     std::fs::metadata(file).and_then(|m| m.modified()).ok()
 }
--- a/crates/gradedyke-cli/tests/processes.rs
+++ b/crates/gradedyke-cli/tests/processes.rs
@@ -1,5 +1,5 @@
-//! Real processes: stand-ins, three instances with every role, callers that go
-//! through different entries, a kill in the middle of a stream, a drain.
+//! Test with separate processes: stand-in servers, and three instances with every role.
+//! One instance is killed while it streams, another is shut down gracefully.
 
 mod support;
 
@@ -18,9 +18,9 @@
 use serde_json::{Value, json};
 use support::gradedyke;
 
-const TIME: Duration = Duration::from_secs(60);
-/// Tokens after which the engine stands still until it is let go on.
-const HELD_AT: u64 = 5;
+const TIMEOUT: Duration = Duration::from_secs(60);
+/// Number of tokens after which the engine pauses until the test releases it.
+const HOLD_AFTER_TOKENS: u64 = 5;
 
 /// A process that is killed when the test ends.
 struct Process {
@@ -36,9 +36,9 @@
 }
 
 impl Process {
-    fn start(words: &[&str]) -> Self {
+    fn start(args: &[&str]) -> Self {
         let mut child = Command::new(env!("CARGO_BIN_EXE_gradedyke"))
-            .args(words)
+            .args(args)
             .env("GRADEDYKE_LOG", "error")
             .stdout(Stdio::piped())
             .spawn()
@@ -47,21 +47,25 @@
         Self { child, lines }
     }
 
-    /// The value of `key` in the next line that has one.
-    fn value(&mut self, key: &str) -> String {
+    /// Reads lines until one has `key`; returns its value.
+    fn read_value(&mut self, key: &str) -> String {
         let key = format!("{key}=");
         loop {
-            let line = self.lines.next().expect("it has ended").unwrap();
-            let words = line.split(' ');
-            if let Some(value) = words.filter_map(|w| w.strip_prefix(&key)).next() {
+            let line = self
+                .lines
+                .next()
+                .expect("the process ended before it printed the key")
+                .unwrap();
+            let pairs = line.split(' ');
+            if let Some(value) = pairs.filter_map(|w| w.strip_prefix(&key)).next() {
                 return value.to_owned();
             }
         }
     }
 
-    fn standin(kind: &str) -> (Self, SocketAddr) {
+    fn start_stand_in(kind: &str) -> (Self, SocketAddr) {
         let mut process = Self::start(&["standin", kind, "--listen", "127.0.0.1:0"]);
-        let address = process.value("listening").parse().unwrap();
+        let address = process.read_value("listening").parse().unwrap();
         (process, address)
     }
 }
@@ -72,7 +76,7 @@
     admin: SocketAddr,
 }
 
-fn instance(number: usize, platform: SocketAddr, folder: &Path) -> Instance {
+fn start_instance(number: usize, platform: SocketAddr, folder: &Path) -> Instance {
     let settings = json!({
         "id": format!("i-{number}"),
         "deployment": "processes",
@@ -92,8 +96,8 @@
     let mut process = Process::start(&["run", "--settings", file.to_str().unwrap()]);
     let line = process.lines.next().unwrap().unwrap();
     let address = |key: &str| {
-        let mut words = line.split(' ').filter_map(|w| w.strip_prefix(key));
-        words.next().unwrap().parse().unwrap()
+        let mut values = line.split(' ').filter_map(|w| w.strip_prefix(key));
+        values.next().unwrap().parse().unwrap()
     };
     Instance {
         caller: address("caller="),
@@ -102,7 +106,7 @@
     }
 }
 
-fn tree(engine: SocketAddr, orders: SocketAddr) -> Value {
+fn settings_tree(engine: SocketAddr, orders: SocketAddr) -> Value {
     let account =
         |key: &str, agents: Value| json!({ "keys": [{ "hash": hash_key(key) }], "agents": agents });
     json!({
@@ -122,15 +126,19 @@
     })
 }
 
-async fn ask<T: serde::de::DeserializeOwned>(at: SocketAddr, path: &str, body: Option<Value>) -> T {
+async fn request_json<T: serde::de::DeserializeOwned>(
+    address: SocketAddr,
+    path: &str,
+    body: Option<Value>,
+) -> T {
     let client = Client::new(&client::Config::default());
     let method = if body.is_some() {
         Method::POST
     } else {
         Method::GET
     };
-    let answer = client.json(method, at, path, body.as_ref(), TIME);
-    answer.await.unwrap()
+    let response = client.json(method, address, path, body.as_ref(), TIMEOUT);
+    response.await.unwrap()
 }
 
 #[derive(serde::Deserialize)]
@@ -138,41 +146,41 @@
     runs: Vec<engine::Run>,
 }
 
-/// Evacuates a data centre and takes that back, each twice.
-fn evacuate_and_take_back(admin: &str) {
-    let evacuate = |data_centre, more: &[&str]| {
-        let words = ["evacuate", data_centre, "--admin", admin, "--key", OPERATOR];
-        gradedyke(&[&words, more].concat())
+/// Evacuates a data centre and withdraws that, each twice.
+fn evacuate_and_withdraw(admin: &str) {
+    let evacuate = |data_centre, extra_args: &[&str]| {
+        let args = ["evacuate", data_centre, "--admin", admin, "--key", OPERATOR];
+        gradedyke(&[&args, extra_args].concat())
     };
     let (code, _, error) = evacuate("nowhere", &[]);
     assert_eq!(code, 1);
     assert!(error.contains("no backend server stands in"), "{error}");
-    for (more, revision) in [
+    for (extra_args, revision) in [
         (&[][..], 2),
         (&[], 2),
         (&["--withdraw"], 3),
         (&["--withdraw"], 3),
     ] {
-        let (code, said, error) = evacuate("dc-1", more);
+        let (code, stdout, error) = evacuate("dc-1", extra_args);
         assert_eq!((code, error.as_str()), (0, ""));
-        assert_eq!(said, format!("revision={revision}\n"));
+        assert_eq!(stdout, format!("revision={revision}\n"));
     }
 }
 
 #[test]
-fn programs_survive_a_kill_and_a_drain_of_real_processes() {
+fn programs_survive_a_killed_and_a_drained_process() {
     let folder = tempfile::tempdir().unwrap();
-    let (_platform, platform) = Process::standin("platform");
-    let (_engine, engine) = Process::standin("engine");
-    let (_orders, orders) = Process::standin("service");
+    let (_platform, platform) = Process::start_stand_in("platform");
+    let (_engine, engine) = Process::start_stand_in("engine");
+    let (_orders, orders) = Process::start_stand_in("service");
     let mut instances: Vec<_> = (1..=3)
-        .map(|n| instance(n, platform, folder.path()))
+        .map(|n| start_instance(n, platform, folder.path()))
         .collect();
 
     let file = folder.path().join("tree.jsonc");
-    std::fs::write(&file, tree(engine, orders).to_string()).unwrap();
+    std::fs::write(&file, settings_tree(engine, orders).to_string()).unwrap();
     let admin = instances[0].admin.to_string();
-    let words = [
+    let args = [
         "settings",
         "apply",
         file.to_str().unwrap(),
@@ -182,14 +190,14 @@
         OPERATOR,
     ];
     assert_eq!(
-        gradedyke(&words),
+        gradedyke(&args),
         (0, "revision=1\n".to_owned(), String::new())
     );
     for instance in &mut instances {
-        assert_eq!(instance.process.value("ready"), "true");
+        assert_eq!(instance.process.read_value("ready"), "true");
     }
-    let words = ["status", "--admin", &admin, "--key", OPERATOR];
-    let (code, status, _) = gradedyke(&words);
+    let args = ["status", "--admin", &admin, "--key", OPERATOR];
+    let (code, status, _) = gradedyke(&args);
     assert_eq!(code, 0);
     assert_eq!(
         status.matches("draining=false revision=1").count(),
@@ -197,77 +205,80 @@
         "{status}"
     );
 
-    evacuate_and_take_back(&admin);
+    evacuate_and_withdraw(&admin);
 
     let runtime = tokio::runtime::Runtime::new().unwrap();
     runtime.block_on(async {
-        let jordan = Caller::new(JORDAN, TIME);
+        let jordan = Caller::new(JORDAN, TIMEOUT);
         let opening = jordan.open(instances[0].caller, "valuation", None, None, "open");
         let program = opening.await.unwrap();
         for turn in 0..6 {
-            // Each order twice, through different entries.
-            for way in 0..2 {
-                let at = instances[(turn + way) % 3].caller;
+            // Sends each order twice, through different entries.
+            for repetition in 0..2 {
+                let entry = instances[(turn + repetition) % 3].caller;
                 let options = Options::request(format!("order-{turn}"));
-                let call = jordan.service(at, &program, "orders/place", "{}", options);
+                let call = jordan.service(entry, &program, "orders/place", "{}", options);
                 call.await.unwrap();
             }
         }
-        let runs: Vec<service::Run> = ask(orders, "/records", None).await;
+        let runs: Vec<service::Run> = request_json(orders, "/records", None).await;
         assert_eq!(runs.len(), 6, "{runs:?}");
 
-        let kestrel = Caller::new(KESTREL, TIME);
+        let kestrel = Caller::new(KESTREL, TIMEOUT);
         let mut streams = Vec::new();
-        let _: Value = ask(engine, "/hold", Some(json!(HELD_AT))).await;
+        let _: Value = request_json(engine, "/hold", Some(json!(HOLD_AFTER_TOKENS))).await;
         for number in 0..6 {
-            let at = instances[number % 3].caller;
-            let opened = format!("open-{number}");
-            let opening = kestrel.open(at, "minutes", None, None, &opened);
+            let entry = instances[number % 3].caller;
+            let request = format!("open-{number}");
+            let opening = kestrel.open(entry, "minutes", None, None, &request);
             let program = opening.await.unwrap();
             let body = chat(&[user(&format!("Draft number {number}."))]);
-            let stream = kestrel.stream(at, &program, &body, Options::request("draft"));
+            let stream = kestrel.stream(entry, &program, &body, Options::request("draft"));
             let mut stream = stream.await.unwrap();
             let first = stream.next().await.unwrap().unwrap();
             streams.push((program, stream, first));
         }
-        // A third of the streams and of the owners go at once.
+        // Kills one of three instances, and with it a third of the streams and programs.
         instances[2].process.child.kill().unwrap();
-        let _: Value = ask(engine, "/hold", Some(json!(null))).await;
+        let _: Value = request_json(engine, "/hold", Some(json!(null))).await;
         for (number, (program, stream, first)) in streams.into_iter().enumerate() {
             let offset = stream.offset;
             let streamed = stream.rest().await;
-            let at = instances[number % 2].caller;
-            let whole = kestrel.fetch(at, &program, "draft").await.unwrap();
-            let text = text_of(&whole);
+            let entry = instances[number % 2].caller;
+            let completed = kestrel.fetch(entry, &program, "draft").await.unwrap();
+            let text = text_of(&completed);
             if number % 3 == 2 {
-                assert!(streamed.is_err(), "its entry was killed");
-                let rest = kestrel.resume(at, &program, "draft", offset).await.unwrap();
-                let rest = rest.rest().await.unwrap();
-                assert_eq!(format!("{first}{rest}"), text);
+                assert!(streamed.is_err(), "the entry of this stream was killed");
+                let resumed = kestrel
+                    .resume(entry, &program, "draft", offset)
+                    .await
+                    .unwrap();
+                let resumed = resumed.rest().await.unwrap();
+                assert_eq!(format!("{first}{resumed}"), text);
             } else {
                 assert_eq!(
                     streamed.unwrap(),
                     text,
-                    "a stream through a living entry was cut"
+                    "a stream through a running entry was interrupted"
                 );
             }
-            let records: Records = ask(engine, "/records", None).await;
-            let attempt = format!("{program}:draft:");
+            let records: Records = request_json(engine, "/records", None).await;
+            let attempt_prefix = format!("{program}:draft:");
             let runs = records
                 .runs
                 .iter()
-                .filter(|r| r.attempt.starts_with(&attempt));
+                .filter(|r| r.attempt.starts_with(&attempt_prefix));
             let runs: Vec<_> = runs.filter(|r| r.whole).collect();
             assert!(runs.iter().all(|r| r.text == text), "{runs:?}");
         }
 
-        // A planned stop: the exit code says that nothing was cut.
+        // After a graceful shutdown that interrupts no stream, the exit code is 0.
         let pid = instances[1].process.child.id().to_string();
         Command::new("kill").args(["-TERM", &pid]).status().unwrap();
         let status = instances[1].process.child.wait().unwrap();
         assert_eq!(status.code(), Some(0));
-        let at = instances[0].caller;
-        let history = jordan.program(at, &program, "").await.unwrap();
+        let entry = instances[0].caller;
+        let history = jordan.program(entry, &program, "").await.unwrap();
         assert_eq!(history["calls"], 6);
     });
 }
--- a/crates/gradedyke-cli/tests/soak.rs
+++ b/crates/gradedyke-cli/tests/soak.rs
@@ -1,18 +1,18 @@
-//! A short soak of the real daemon from a fixed seed; longer ones are run by
-//! hand (`gradedyke-site-soak --help`).
+//! A short soak test of the `gradedyke` binary. Longer ones are run manually; see
+//! `gradedyke-site-soak --help`.
 
 use std::path::PathBuf;
 use std::time::Duration;
 
 use gradedyke_site_soak::run::{Config, run};
 
-/// Seeds whose faults come in every run of the tests. None has failed yet; one
-/// that does is added with a line on its cause.
-const SEEDS: [u64; 1] = [7];
+/// Seeds that determine the injected faults. Add a seed that finds a bug, with a comment
+/// on the cause.
+const FAULT_SEEDS: [u64; 1] = [7];
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn promises_hold_through_faults_from_outside() {
-    for seed in SEEDS {
+async fn guarantees_hold_under_injected_faults() {
+    for seed in FAULT_SEEDS {
         let folder = tempfile::tempdir().unwrap();
         let config = Config {
             binary: PathBuf::from(env!("CARGO_BIN_EXE_gradedyke")),
--- a/crates/gradedyke-cli/tests/support/mod.rs
+++ b/crates/gradedyke-cli/tests/support/mod.rs
@@ -1,11 +1,11 @@
-//! What the tests of the command line share.
+//! Helpers for the tests of the command line.
 
 use std::process::Command;
 
-/// Runs the command line to its end; returns exit code, output and errors.
-pub fn gradedyke(words: &[&str]) -> (i32, String, String) {
+/// Runs the `gradedyke` binary; returns exit code, standard output and standard error.
+pub fn gradedyke(args: &[&str]) -> (i32, String, String) {
     let output = Command::new(env!("CARGO_BIN_EXE_gradedyke"))
-        .args(words)
+        .args(args)
         .output();
     let output = output.unwrap();
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
--- a/crates/gradedyke-client/src/lib.rs
+++ b/crates/gradedyke-client/src/lib.rs
@@ -1,9 +1,8 @@
 //! A client for callers of gradedyke.
 //!
-//! Agent programs need no special client: any client of the chat-completions
-//! format works with another base URL and a header. This one adds what such
-//! clients lack: programs, plain services, and taking an answer up again at the
-//! place where a stream broke off.
+//! Agent programs can use any client of the chat-completions format, with gradedyke's
+//! base URL and a header that names the program. This client adds calls to open and end
+//! programs, to call plain services and to resume interrupted streams.
 
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -20,44 +19,44 @@
 use http_body_util::BodyDataStream;
 use serde_json::{Value, json};
 
-/// Names the program of a call.
-pub const PROGRAM: &str = "gradedyke-program";
-/// Names the request; the same again gives the same answer.
-pub const REQUEST: &str = "idempotency-key";
-/// Says how the messages relate to the history.
-pub const HISTORY: &str = "gradedyke-history";
-/// Gives the call's place in its program.
-pub const SEQUENCE: &str = "gradedyke-sequence";
-/// Says whether a call to a plain service may run more than once.
-pub const REPEATABLE: &str = "gradedyke-repeatable";
-/// Says how much of a stream the caller has.
-pub const LAST_EVENT: &str = "last-event-id";
+/// The header that has the program ID of a call.
+pub const PROGRAM_HEADER: &str = "gradedyke-program";
+/// The header that has the request ID. A retry with the same ID returns the same response.
+pub const REQUEST_HEADER: &str = "idempotency-key";
+/// The header that says how the messages relate to the history.
+pub const HISTORY_HEADER: &str = "gradedyke-history";
+/// The header that has the sequence number of the call in its program.
+pub const SEQUENCE_HEADER: &str = "gradedyke-sequence";
+/// The header that says whether a call to a plain service may run more than once.
+pub const REPEATABLE_HEADER: &str = "gradedyke-repeatable";
+/// The header that has the offset from which to resume a stream.
+pub const LAST_EVENT_ID_HEADER: &str = "last-event-id";
 
-/// A caller with its key. Each call names the entry to go through.
+/// A caller with its API key. Each method takes the address of the entry to use.
 #[derive(Clone, Debug)]
 pub struct Caller {
     http: Client,
     key: String,
-    time: Duration,
+    timeout: Duration,
 }
 
-/// What a request carries besides its body.
+/// The options of a call.
 #[derive(Clone, Debug, Default)]
 pub struct Options {
-    /// The request's id; a fresh one where there is none.
+    /// The request ID; generated if `None`.
     pub request: Option<String>,
-    /// The call's place in its program, from 1.
+    /// The sequence number of the call in its program, from 1.
     pub sequence: Option<u64>,
-    /// Whether the messages are only what is new.
+    /// Whether the messages are to be appended to the program's history.
     pub append: bool,
-    /// Bytes of the answer's text that the caller has.
+    /// The offset in the response's text, in bytes, from which to stream.
     pub offset: Option<u64>,
     /// Whether a call to a plain service may run more than once.
     pub repeatable: Option<bool>,
 }
 
 impl Options {
-    /// Options with a request id.
+    /// Creates options with a request ID.
     pub fn request(id: impl Into<String>) -> Self {
         Self {
             request: Some(id.into()),
@@ -66,7 +65,7 @@
     }
 }
 
-/// The problem stated in an error reply, if there is one.
+/// Returns the problem in an error response, if there is one.
 pub fn problem(error: &Error) -> Option<&Problem> {
     match error {
         Error::Status { problem, .. } => problem.as_deref(),
@@ -75,12 +74,13 @@
 }
 
 impl Caller {
-    /// A caller with `key`; a whole call takes at most `time`.
-    pub fn new(key: &str, time: Duration) -> Self {
+    /// Creates a caller that authenticates with `key`. `timeout` applies to each call that
+    /// isn't streamed.
+    pub fn new(key: &str, timeout: Duration) -> Self {
         Self {
             http: Client::new(&client::Config::default()),
             key: key.to_owned(),
-            time,
+            timeout,
         }
     }
 
@@ -93,15 +93,15 @@
         body: impl Into<Bytes>,
     ) -> Result<Request<body::Body>, Error> {
         let mut request = client::build(method, entry, path, body::full(body))?;
-        let invalid = |e: &dyn std::fmt::Display| Error::NotSent {
+        let not_sent = |e: &dyn std::fmt::Display| Error::NotSent {
             address: entry,
             cause: e.to_string(),
         };
         let bearer = HeaderValue::from_str(&format!("Bearer {}", self.key));
-        let bearer = bearer.map_err(|e| invalid(&e))?;
+        let bearer = bearer.map_err(|e| not_sent(&e))?;
         request.headers_mut().insert(header::AUTHORIZATION, bearer);
         for (name, value) in headers {
-            let value = HeaderValue::from_str(value).map_err(|e| invalid(&e))?;
+            let value = HeaderValue::from_str(value).map_err(|e| not_sent(&e))?;
             request.headers_mut().insert(*name, value);
         }
         Ok(request)
@@ -120,18 +120,18 @@
             value => value.to_string(),
         };
         let request = self.request(method, entry, path, headers, body)?;
-        let (_, bytes) = self.http.whole(entry, request, self.time).await?;
+        let (_, bytes) = self.http.whole(entry, request, self.timeout).await?;
         serde_json::from_slice(&bytes).map_err(|e| Error::Broken {
             address: entry,
             cause: e.to_string(),
         })
     }
 
-    /// Opens a program, under `parent` if one is named, and returns its id.
+    /// Opens a program, or a sub-agent of `parent`, and returns its ID.
     ///
     /// # Errors
     ///
-    /// Any [`Error`]; opening it again with the same request is harmless.
+    /// Any [`Error`]; a retry with the same `request` is safe.
     pub async fn open(
         &self,
         entry: SocketAddr,
@@ -145,18 +145,19 @@
             None => "/v1/programs".to_owned(),
         };
         let body = json!({ "agent": agent, "budget_tokens": budget });
-        let headers = [(REQUEST, request.to_owned())];
-        let opened = self
+        let headers = [(REQUEST_HEADER, request.to_owned())];
+        let response = self
             .json(Method::POST, entry, &path, &headers, &body)
             .await?;
-        Ok(opened["id"].as_str().unwrap_or_default().to_owned())
+        Ok(response["id"].as_str().unwrap_or_default().to_owned())
     }
 
-    /// Tells of a program: `what` is empty, `history`, `end` or `cancel`.
+    /// Returns a program's state if `what` is empty or its history if it is `history`; ends
+    /// or cancels the program if it is `end` or `cancel`.
     ///
     /// # Errors
     ///
-    /// Any [`Error`]; repeating it is harmless.
+    /// Any [`Error`]; a retry is safe.
     pub async fn program(&self, entry: SocketAddr, id: &str, what: &str) -> Result<Value, Error> {
         let method = match what {
             "end" | "cancel" => Method::POST,
@@ -167,11 +168,11 @@
         self.json(method, entry, path, &[], &Value::Null).await
     }
 
-    /// Issues a model call and returns the whole answer.
+    /// Makes a model call and returns the complete response.
     ///
     /// # Errors
     ///
-    /// Any [`Error`]; the same request id gives the same answer later.
+    /// Any [`Error`]; a retry with the same request ID is safe and returns the same response.
     pub async fn chat(
         &self,
         entry: SocketAddr,
@@ -179,36 +180,36 @@
         body: &Value,
         options: Options,
     ) -> Result<Value, Error> {
-        let headers = headers(program, options);
+        let headers = build_headers(program, options);
         self.json(Method::POST, entry, "/v1/chat/completions", &headers, body)
             .await
     }
 
-    /// Issues a model call and streams the answer.
+    /// Makes a model call and streams the response.
     ///
     /// # Errors
     ///
-    /// Any [`Error`]; the same request id gives the same answer later.
+    /// Any [`Error`]; a retry with the same request ID is safe and returns the same response.
     pub async fn stream(
         &self,
         entry: SocketAddr,
         program: &str,
         body: &Value,
         options: Options,
-    ) -> Result<Answer, Error> {
+    ) -> Result<ResponseStream, Error> {
         let mut body = body.clone();
         body["stream"] = true.into();
-        let headers = headers(program, options);
+        let headers = build_headers(program, options);
         let path = "/v1/chat/completions";
         let request = self.request(Method::POST, entry, path, &headers, body.to_string())?;
-        self.events(entry, request).await
+        self.start_stream(entry, request).await
     }
 
-    /// Fetches the answer of an earlier request, whole.
+    /// Fetches the complete response of an earlier request.
     ///
     /// # Errors
     ///
-    /// Any [`Error`]; repeating it is harmless.
+    /// Any [`Error`]; a retry is safe.
     pub async fn fetch(
         &self,
         entry: SocketAddr,
@@ -220,32 +221,32 @@
             .await
     }
 
-    /// Streams the answer of an earlier request from `offset` on.
+    /// Streams the response of an earlier request from `offset` on, in bytes of its text.
     ///
     /// # Errors
     ///
-    /// Any [`Error`]; repeating it is harmless.
+    /// Any [`Error`]; a retry is safe.
     pub async fn resume(
         &self,
         entry: SocketAddr,
         program: &str,
         request: &str,
         offset: u64,
-    ) -> Result<Answer, Error> {
+    ) -> Result<ResponseStream, Error> {
         let path = format!("/v1/programs/{program}/requests/{request}");
         let headers = [
-            (LAST_EVENT, offset.to_string()),
+            (LAST_EVENT_ID_HEADER, offset.to_string()),
             ("accept", "text/event-stream".to_owned()),
         ];
         let request = self.request(Method::GET, entry, &path, &headers, "")?;
-        self.events(entry, request).await
+        self.start_stream(entry, request).await
     }
 
-    /// Issues a call to a plain service and returns the body of its reply.
+    /// Calls a plain service and returns the body of the response.
     ///
     /// # Errors
     ///
-    /// Any [`Error`]; the same request id gives the same answer later.
+    /// Any [`Error`]; a retry with the same request ID is safe and returns the same response.
     pub async fn service(
         &self,
         entry: SocketAddr,
@@ -255,26 +256,26 @@
         options: Options,
     ) -> Result<String, Error> {
         let path = format!("/v1/services/{path}");
-        let headers = headers(program, options);
+        let headers = build_headers(program, options);
         let request = self.request(Method::POST, entry, &path, &headers, body.to_owned())?;
-        let (_, bytes) = self.http.whole(entry, request, self.time).await?;
+        let (_, bytes) = self.http.whole(entry, request, self.timeout).await?;
         Ok(String::from_utf8_lossy(&bytes).into_owned())
     }
 
-    async fn events(
+    async fn start_stream(
         &self,
         entry: SocketAddr,
         request: Request<body::Body>,
-    ) -> Result<Answer, Error> {
-        let reply = self.http.send(entry, request).await?;
-        let status = reply.status();
+    ) -> Result<ResponseStream, Error> {
+        let response = self.http.send(entry, request).await?;
+        let status = response.status();
         if !status.is_success() {
-            let bytes = client::collect(entry, reply.into_body()).await?;
+            let bytes = client::collect(entry, response.into_body()).await?;
             return Err(client::status(entry, status, &bytes));
         }
-        let headers = reply.headers().clone();
-        let events = BodyDataStream::new(reply.into_body()).eventsource();
-        Ok(Answer {
+        let headers = response.headers().clone();
+        let events = BodyDataStream::new(response.into_body()).eventsource();
+        Ok(ResponseStream {
             entry,
             headers,
             events: Box::pin(events),
@@ -285,59 +286,62 @@
     }
 }
 
-fn headers(program: &str, options: Options) -> Vec<(&'static str, String)> {
+fn build_headers(program: &str, options: Options) -> Vec<(&'static str, String)> {
     let request = options.request;
     let request = request.unwrap_or_else(|| id::Request::fresh().to_string());
-    let mut headers = vec![(PROGRAM, program.to_owned()), (REQUEST, request)];
+    let mut headers = vec![
+        (PROGRAM_HEADER, program.to_owned()),
+        (REQUEST_HEADER, request),
+    ];
     if let Some(sequence) = options.sequence {
-        headers.push((SEQUENCE, sequence.to_string()));
+        headers.push((SEQUENCE_HEADER, sequence.to_string()));
     }
     if options.append {
-        headers.push((HISTORY, "append".to_owned()));
+        headers.push((HISTORY_HEADER, "append".to_owned()));
     }
     if let Some(offset) = options.offset {
-        headers.push((LAST_EVENT, offset.to_string()));
+        headers.push((LAST_EVENT_ID_HEADER, offset.to_string()));
     }
     if let Some(repeatable) = options.repeatable {
-        let word = if repeatable { "yes" } else { "no" };
-        headers.push((REPEATABLE, word.to_owned()));
+        let value = if repeatable { "yes" } else { "no" };
+        headers.push((REPEATABLE_HEADER, value.to_owned()));
     }
     headers
 }
 
 type Events = dyn Stream<Item = Result<Event, EventStreamError<hyper::Error>>> + Send;
 
-/// A streamed answer.
-pub struct Answer {
+/// A streamed response.
+pub struct ResponseStream {
     entry: SocketAddr,
-    /// The headers of the reply.
+    /// The headers of the response.
     pub headers: HeaderMap,
     events: Pin<Box<Events>>,
-    /// The text that has come through this stream.
+    /// The text received through this stream.
     pub text: String,
-    /// The id of the last event: where to go on.
+    /// The ID of the last event: the offset from which to resume.
     pub offset: u64,
-    /// Whether the end mark has come.
+    /// Whether the end of the response was received.
     pub whole: bool,
 }
 
-impl Answer {
-    /// Waits for the next piece of text; `None` at the end.
+impl ResponseStream {
+    /// Waits for the next chunk of text; returns `None` at the end of the response.
     ///
     /// # Errors
     ///
-    /// The stream broke off, or the call failed.
+    /// Returns an error if the stream was interrupted or the call failed.
     pub async fn next(&mut self) -> Result<Option<String>, Error> {
         loop {
-            let broken = |cause: String| Error::Broken {
+            let interrupted = |cause: String| Error::Broken {
                 address: self.entry,
                 cause,
             };
             let event = match self.events.next().await {
                 Some(Ok(event)) => event,
-                Some(Err(e)) => return Err(broken(e.to_string())),
+                Some(Err(e)) => return Err(interrupted(e.to_string())),
                 None if self.whole => return Ok(None),
-                None => return Err(broken("the stream ended before its end mark".to_owned())),
+                None => return Err(interrupted("the stream ended without [DONE]".to_owned())),
             };
             if event.data == "[DONE]" {
                 self.whole = true;
@@ -357,11 +361,11 @@
         }
     }
 
-    /// Reads to the end and returns all text that came through this stream.
+    /// Reads to the end and returns all text received through this stream.
     ///
     /// # Errors
     ///
-    /// The stream broke off, or the call failed.
+    /// Returns an error if the stream was interrupted or the call failed.
     pub async fn rest(mut self) -> Result<String, Error> {
         while self.next().await?.is_some() {}
         Ok(self.text)
--- a/crates/gradedyke-world/src/lib.rs
+++ b/crates/gradedyke-world/src/lib.rs
@@ -1,6 +1,6 @@
-//! A whole deployment on loopback ports in one process: stand-ins for what
-//! surrounds gradedyke, and instances with every role. The demo, the tests and
-//! the load tool run on it.
+//! A whole deployment in one process, on loopback ports: stand-in servers for the
+//! platform, engines and services, and instances with every role. Used by the demo,
+//! tests and the load tool.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,29 +19,29 @@
 use serde_json::{Value, json};
 use tokio_util::sync::CancellationToken;
 
-/// The operator's key.
+/// API key of the operator.
 pub const OPERATOR: &str = "demo-operator";
-/// The key of Kestrel Minutes.
+/// API key of the client account Kestrel Minutes.
 pub const KESTREL: &str = "demo-kestrel";
-/// The key of Jordan.
+/// API key of the client account Jordan.
 pub const JORDAN: &str = "demo-jordan";
-/// The model that both users' programs call.
+/// The model that the programs of both client accounts call.
 pub const MODEL: &str = "demo-7b";
-/// Longest time for one call of a caller.
-const CALL: Duration = Duration::from_secs(60);
+/// Timeout of a caller's request.
+const CALL_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What a world consists of.
+/// Configuration of a [`World`].
 #[derive(Clone, Debug)]
 pub struct Config {
     /// Number of instances, each with every role.
     pub instances: usize,
-    /// The engines.
+    /// Configurations of the stand-in engines, one per engine.
     pub engines: Vec<engine::Config>,
-    /// Length of the instances' leases, in milliseconds.
+    /// Duration of the instances' leases, in milliseconds.
     pub lease_ms: u64,
-    /// Limits towards callers, as in an instance's settings.
+    /// The value of `limits` in the instances' settings.
     pub limits: Value,
-    /// Values for all programs, as in the tree's `defaults`.
+    /// The value of `defaults` in the settings tree.
     pub defaults: Value,
 }
 
@@ -57,37 +57,37 @@
     }
 }
 
-/// Stand-ins and instances.
+/// A running deployment: stand-in servers and instances.
 pub struct World {
-    /// The platform.
+    /// The stand-in platform.
     pub platform: Arc<Platform>,
-    /// Where the platform listens.
+    /// The address of the platform.
     pub platform_address: SocketAddr,
-    /// The instances; one that was taken out leaves its place empty.
+    /// The instances; `None` for one that was removed.
     pub processes: Vec<Option<Process>>,
-    /// The model engines.
+    /// The stand-in engines.
     pub engines: Vec<Arc<Engine>>,
-    /// The records service of Kestrel Minutes.
+    /// The stand-in service `records`, used by Kestrel Minutes.
     pub records: Service,
-    /// The orders service of Jordan.
+    /// The stand-in service `orders`, used by Jordan.
     pub orders: Service,
-    /// The tree in force.
+    /// The settings tree that [`World::apply`] applies.
     pub tree: Value,
     config: Config,
     stop: CancellationToken,
 }
 
-/// A loopback address with a free port.
+/// Returns the IPv4 loopback address with port 0, so that a free port is selected.
 pub fn loopback() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
 impl World {
-    /// Starts the stand-ins alone, with a tree that knows them.
+    /// Starts only the stand-in servers, and builds a settings tree that lists them.
     ///
     /// # Errors
     ///
-    /// A listener cannot be bound.
+    /// Fails if a listener can't be bound.
     pub async fn surroundings(config: Config) -> eyre::Result<Self> {
         let stop = CancellationToken::new();
         let platform = Platform::start();
@@ -124,22 +124,22 @@
             engines,
             records,
             orders,
-            tree: tree(&config.defaults, &backends),
+            tree: settings_tree(&config.defaults, &backends),
             config,
             stop,
         })
     }
 
-    /// Starts everything and waits until callers may come.
+    /// Starts everything and waits until all instances are ready.
     ///
     /// # Errors
     ///
-    /// A listener cannot be bound, or the settings cannot be applied.
+    /// Fails if a listener can't be bound or the settings can't be applied.
     pub async fn start(config: Config) -> eyre::Result<Self> {
         let instances = config.instances;
         let mut world = Self::surroundings(config).await?;
         for _ in 0..instances {
-            world.add().await?;
+            world.add_instance().await?;
         }
         world.apply().await?;
         for process in world.processes.iter().flatten() {
@@ -148,25 +148,25 @@
         Ok(world)
     }
 
-    /// Starts one more instance.
+    /// Starts another instance.
     ///
     /// # Errors
     ///
-    /// A listener cannot be bound.
-    pub async fn add(&mut self) -> eyre::Result<()> {
-        let settings = self.instance(self.processes.len())?;
+    /// Fails if a listener can't be bound.
+    pub async fn add_instance(&mut self) -> eyre::Result<()> {
+        let settings = self.instance_settings(self.processes.len())?;
         let process = Process::start(settings).await;
-        let process = process.wrap_err("an instance cannot start")?;
+        let process = process.wrap_err("failed to start an instance")?;
         self.processes.push(Some(process));
         Ok(())
     }
 
-    /// The settings of instance `number`.
+    /// Returns the settings of instance `number`, counted from 0.
     ///
     /// # Errors
     ///
-    /// The limits of the world's configuration are no limits.
-    pub fn instance(&self, number: usize) -> eyre::Result<Instance> {
+    /// Fails if the configuration has invalid limits.
+    pub fn instance_settings(&self, number: usize) -> eyre::Result<Instance> {
         let settings = json!({
             "id": format!("demo-{}", number + 1),
             "deployment": "demo",
@@ -182,18 +182,18 @@
         Ok(Instance::read("world", &settings.to_string())?)
     }
 
-    /// Puts the tree in force after the revision that is.
+    /// Applies the settings tree and waits until all instances use it; returns its revision.
     ///
     /// # Errors
     ///
-    /// The tree has a fault, or the platform does not take it.
+    /// Fails if the tree is invalid or the platform rejects it.
     pub async fn apply(&self) -> eyre::Result<u64> {
         let process = self.processes.iter().flatten().next();
-        let kv = &process.ok_or_eyre("no instance runs")?.kernel().kv;
+        let kv = &process.ok_or_eyre("no instance is running")?.kernel().kv;
         let tree = check::read("world", &self.tree.to_string());
         let tree = tree.map_err(|errors| eyre::eyre!("{errors:?}"))?;
-        let (present, _) = current::read(&**kv).await?;
-        let applied = current::apply(&**kv, tree, present.revision).await?;
+        let (active, _) = current::read(&**kv).await?;
+        let applied = current::apply(&**kv, tree, active.revision).await?;
         for process in self.processes.iter().flatten() {
             let mut revision = process.kernel().current.subscribe();
             revision.wait_for(|r| *r >= applied.revision).await?;
@@ -201,48 +201,49 @@
         Ok(applied.revision)
     }
 
-    /// The callers' address of an instance, counted round over those that run.
+    /// Returns the caller address of running instance `number`, modulo their number.
     pub fn entry(&self, number: usize) -> SocketAddr {
         let running: Vec<_> = self.processes.iter().flatten().collect();
         let process = running[number % running.len()];
         process.addresses().caller.unwrap_or_else(loopback)
     }
 
-    /// A caller of Kestrel Minutes.
+    /// Creates a caller of the client account Kestrel Minutes.
     pub fn kestrel(&self) -> Caller {
-        Caller::new(KESTREL, CALL)
+        Caller::new(KESTREL, CALL_TIMEOUT)
     }
 
-    /// A caller of Jordan.
+    /// Creates a caller of the client account Jordan.
     pub fn jordan(&self) -> Caller {
-        Caller::new(JORDAN, CALL)
+        Caller::new(JORDAN, CALL_TIMEOUT)
     }
 
-    /// Waits until no engine holds memory for any program.
+    /// Waits until no engine has pins of any program.
     pub async fn released(&self) {
         for engine in &self.engines {
             engine.until(|e| e.pins().is_empty()).await;
         }
     }
 
-    /// Ends everything at once, so that no instance takes another's slots over
-    /// meanwhile.
+    /// Stops everything. All instances are killed concurrently, so that none takes over
+    /// slots of another.
     pub async fn stop(self) {
         let processes = self.processes.into_iter().flatten();
-        let ending: Vec<_> = processes.map(|p| tokio::spawn(p.kill())).collect();
-        for process in ending {
-            // It has ended either way.
-            let _ = process.await;
+        let kills: Vec<_> = processes.map(|p| tokio::spawn(p.kill())).collect();
+        for kill in kills {
+            // A task that failed has ended, too.
+            let _ = kill.await;
         }
         self.stop.cancel();
     }
 }
 
+/// Returns the data centre of instance or engine `number`; there are three.
 fn data_centre(number: usize) -> String {
     format!("demo-{}", number % 3 + 1)
 }
 
-fn tree(defaults: &Value, backends: &BTreeMap<String, Value>) -> Value {
+fn settings_tree(defaults: &Value, backends: &BTreeMap<String, Value>) -> Value {
     json!({
         "defaults": defaults,
         "operators": [{ "hash": hash_key(OPERATOR) }],
@@ -267,18 +268,18 @@
     })
 }
 
-/// A user's message.
+/// Returns a chat message with the role `user`.
 pub fn user(content: &str) -> Value {
     json!({ "role": "user", "content": content })
 }
 
-/// The body of a model call.
+/// Returns the body of a model call.
 pub fn chat(messages: &[Value]) -> Value {
     json!({ "model": MODEL, "messages": messages })
 }
 
-/// The text of a whole answer.
-pub fn text_of(answer: &Value) -> String {
-    let content = answer["choices"][0]["message"]["content"].as_str();
+/// Returns the text of a complete response.
+pub fn text_of(response: &Value) -> String {
+    let content = response["choices"][0]["message"]["content"].as_str();
     content.unwrap_or_default().to_owned()
 }
