--- a/crates/gradedyke-backend/src/chat.rs
+++ b/crates/gradedyke-backend/src/chat.rs
@@ -114,7 +114,7 @@
 
 impl Usage {
     /// Returns the number of prompt tokens that were in the engine's cache.
-    pub fn cached(&self) -> u64 {
+    pub fn cached_tokens(&self) -> u64 {
         self.prompt_tokens_details.map_or(0, |d| d.cached_tokens)
     }
 }
--- a/crates/gradedyke-backend/src/prefix.rs
+++ b/crates/gradedyke-backend/src/prefix.rs
@@ -46,7 +46,7 @@
 
 /// Returns the salt of `account`, which separates its cache entries from those of other
 /// client accounts.
-pub fn salt(account: &id::Account) -> String {
+pub fn account_salt(account: &id::Account) -> String {
     let hash = blake3::derive_key("gradedyke cache salt v1", account.as_str().as_bytes());
     hash[..16].iter().map(|b| format!("{b:02x}")).collect()
 }
@@ -63,7 +63,7 @@
     /// Creates the chain of an empty conversation of `account` with `model`.
     pub fn new(account: &id::Account, model: &str) -> Self {
         Self {
-            salt: salt(account),
+            salt: account_salt(account),
             model: model.to_owned(),
             keys: Vec::new(),
         }
--- a/crates/gradedyke-base/src/settings/instance.rs
+++ b/crates/gradedyke-base/src/settings/instance.rs
@@ -101,7 +101,7 @@
 pub struct Instance {
     /// The instance's name, unique within the deployment.
     pub id: id::Instance,
-    /// The deployment's name. Instances of other deployments are ignored.
+    /// The name of the deployment that the instance belongs to.
     pub deployment: String,
     /// The data centre of the instance.
     pub data_centre: String,
--- a/crates/gradedyke-base/src/settings/tree.rs
+++ b/crates/gradedyke-base/src/settings/tree.rs
@@ -41,7 +41,7 @@
 pub struct Policy {
     /// Token budget of one program and its sub-agents.
     pub budget_tokens: Option<u64>,
-    /// Maximum of tokens that a model call may generate, unless the caller sets one.
+    /// Maximum number of tokens that a model call may generate, unless the caller sets one.
     pub max_tokens: Option<u64>,
     /// Maximum number of calls of one program.
     pub max_turns: Option<u32>,
@@ -170,7 +170,7 @@
 
 /// Default token budget of a program.
 pub const DEFAULT_BUDGET_TOKENS: u64 = 1_000_000;
-/// Default maximum of tokens that a model call may generate.
+/// Default maximum number of tokens that a model call may generate.
 pub const DEFAULT_MAX_TOKENS: u64 = 1_024;
 /// Default maximum number of calls of a program.
 pub const DEFAULT_MAX_TURNS: u32 = 170;
@@ -190,7 +190,7 @@
     pub services: Vec<String>,
     /// Token budget of one program and its sub-agents.
     pub budget_tokens: u64,
-    /// Maximum of tokens that a model call may generate, unless the caller sets one.
+    /// Maximum number of tokens that a model call may generate, unless the caller sets one.
     pub max_tokens: u64,
     /// Maximum number of calls of one program.
     pub max_turns: u32,
--- a/crates/gradedyke-cli/src/admin.rs
+++ b/crates/gradedyke-cli/src/admin.rs
@@ -75,8 +75,8 @@
             .await
     }
 
-    /// Applies the settings tree in `text` if the active revision is `revision`, or
-    /// whatever the active revision if that is `None`. Returns the new revision.
+    /// Applies the settings tree in `text` if the active revision is still `revision`;
+    /// `None` stands for the revision that is active now. Returns the new revision.
     pub async fn apply(&self, text: String, revision: Option<u64>) -> eyre::Result<u64> {
         let revision = match revision {
             Some(revision) => revision,
--- a/crates/gradedyke-cli/src/explain.rs
+++ b/crates/gradedyke-cli/src/explain.rs
@@ -20,7 +20,7 @@
     pub id: String,
     /// The program ID.
     pub program: String,
-    /// Number of attempts, each at a backend server.
+    /// Number of attempts at backend servers.
     pub attempts: u32,
     /// The outcome.
     pub end: String,
@@ -30,7 +30,7 @@
     pub total_ms: f64,
     /// Time before the first attempt, in milliseconds.
     pub keepers_ms: f64,
-    /// Time to the first event, in milliseconds.
+    /// Time from placement to the first event, in milliseconds.
     pub first_ms: f64,
     /// Time from the first event to the last, in milliseconds.
     pub events_ms: f64,
--- a/crates/gradedyke-cli/src/help.rs
+++ b/crates/gradedyke-cli/src/help.rs
@@ -106,7 +106,7 @@
 const KEY_HELP: &str = "\
 usage: gradedyke key [KEY]
 
-Makes a random key, or takes KEY_HELP, and prints it with the hash that settings
+Makes a random key, or takes KEY, and prints it with the hash that settings
 keep of it.
 ";
 
--- a/crates/gradedyke-cli/src/run.rs
+++ b/crates/gradedyke-cli/src/run.rs
@@ -71,9 +71,9 @@
             ))
         })?;
         let stop = CancellationToken::new();
-        let bound_address = gradedyke_standin::serve(handler, address, &stop).await;
-        let bound_address = bound_address.map_err(|e| Failure::Failed(e.into()))?;
-        println!("listening={bound_address}");
+        let bound = gradedyke_standin::serve(handler, address, &stop).await;
+        let bound = bound.map_err(|e| Failure::Failed(e.into()))?;
+        println!("listening={bound}");
         std::future::pending().await
     })
 }
--- a/crates/gradedyke-cli/tests/explain.rs
+++ b/crates/gradedyke-cli/tests/explain.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_programs_time_is_told_by_what_it_went_to() {
+fn the_latency_of_a_program_is_broken_down() {
     insta::assert_snapshot!(stdout(&explain(&["--program", "p1"])), @r"
     program=p1 requests=3 failed=0 keepers_ms=11 first_ms=70 events_ms=500 rest_ms=224 calls_ms=80 between_ms=115
       request=a1 end=whole attempts=1 total_ms=300 keepers_ms=6 first_ms=40 events_ms=240
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn all_requests_are_told_by_the_second() {
+fn all_requests_are_summarized_per_second() {
     insta::assert_snapshot!(stdout(&explain(&[])), @r"
     second=0 requests=4 failed=1 keepers_ms=3 first_ms=18 events_ms=125 rest_ms=56 calls_ms=96
     ");
--- a/crates/gradedyke-client/src/lib.rs
+++ b/crates/gradedyke-client/src/lib.rs
@@ -281,7 +281,7 @@
             events: Box::pin(events),
             text: String::new(),
             offset: 0,
-            whole: false,
+            is_complete: false,
         })
     }
 }
@@ -322,7 +322,7 @@
     /// The ID of the last event: the offset from which to resume.
     pub offset: u64,
     /// Whether the end of the response was received.
-    pub whole: bool,
+    pub is_complete: bool,
 }
 
 impl ResponseStream {
@@ -340,11 +340,11 @@
             let event = match self.events.next().await {
                 Some(Ok(event)) => event,
                 Some(Err(e)) => return Err(interrupted(e.to_string())),
-                None if self.whole => return Ok(None),
+                None if self.is_complete => return Ok(None),
                 None => return Err(interrupted("the stream ended without [DONE]".to_owned())),
             };
             if event.data == "[DONE]" {
-                self.whole = true;
+                self.is_complete = true;
                 continue;
             }
             if event.event == "error" {
