--- a/crates/gradedyke-gateway/src/account.rs
+++ b/crates/gradedyke-gateway/src/account.rs
@@ -73,7 +73,7 @@
     /// assert_ne!(account("a").scope(&turn), account("b").scope(&turn));
     /// ```
     pub fn scope(&self, id: &Id) -> Id {
-        id.within(&self.name)
+        id.scoped_to(&self.name)
     }
 }
 
--- a/crates/gradedyke-gateway/src/allowance.rs
+++ b/crates/gradedyke-gateway/src/allowance.rs
@@ -16,7 +16,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use gradedyke_turns::usage::{self, PARTS, Report, Row, Tally, Total};
+use gradedyke_turns::usage::{self, BUCKETS_PER_WINDOW, Counter, Report, Row, Total};
 use tokio::time::Instant;
 
 use crate::account::{Account, Allowance};
@@ -55,7 +55,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Counted {
     /// The request's account.
-    pub account: usage::Account,
+    pub account: usage::AccountHash,
     /// Maximum number of requests of the account in a window.
     pub limit: u32,
     /// What the request adds to the usage of the account.
@@ -122,7 +122,7 @@
 /// An account's usage, as one entry knows it.
 #[derive(Debug, Default)]
 struct AccountUsage {
-    tally: Tally,
+    tally: Counter,
     /// Everything that this entry has admitted since it started; the counts wrap around.
     admitted: Total,
     known: Option<KnownSum>,
@@ -170,7 +170,7 @@
     entry: u64,
     window: Duration,
     start: Instant,
-    accounts: Mutex<HashMap<usage::Account, AccountUsage>>,
+    accounts: Mutex<HashMap<usage::AccountHash, AccountUsage>>,
 }
 
 impl Register {
@@ -185,12 +185,12 @@
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, HashMap<usage::Account, AccountUsage>> {
+    fn lock(&self) -> MutexGuard<'_, HashMap<usage::AccountHash, AccountUsage>> {
         self.accounts.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn bucket_len(&self) -> Duration {
-        self.window / PARTS
+        self.window / BUCKETS_PER_WINDOW
     }
 
     /// The number of the bucket that contains `now`.
@@ -208,7 +208,7 @@
     pub fn count(&self, account: &Account, planned: u32, now: Instant) -> Option<Counted> {
         let limit = limit(account.allowance.as_ref()?, self.window);
         let counted = Counted {
-            account: usage::account(&account.name),
+            account: usage::account_hash(&account.name),
             limit,
             amount: Total {
                 requests: 1,
@@ -232,7 +232,7 @@
             return;
         };
         let amount = counted.amount;
-        account_usage.tally.undo(counted.bucket, amount);
+        account_usage.tally.subtract(counted.bucket, amount);
         account_usage.admitted.requests = account_usage
             .admitted
             .requests
@@ -280,7 +280,7 @@
             if !account_usage.changed && !overdue && *account != counted.account {
                 continue;
             }
-            let parts = account_usage.tally.told(bucket);
+            let parts = account_usage.tally.window_buckets(bucket);
             if parts.is_empty() && !account_usage.changed {
                 continue;
             }
--- a/crates/gradedyke-gateway/src/demand.rs
+++ b/crates/gradedyke-gateway/src/demand.rs
@@ -4,7 +4,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use gradedyke_turns::decay::Count;
+use gradedyke_turns::decay::Counter;
 use tokio::time::Instant;
 
 /// Half-life of the counts: several times the duration of a program, and short enough to
@@ -16,17 +16,17 @@
 #[derive(Debug, Default)]
 struct RouteCounts {
     /// Programs that started.
-    started: Count,
-    turns: Count,
+    started: Counter,
+    turns: Counter,
 }
 
 #[derive(Debug, Default)]
 struct Counts {
     routes: HashMap<String, RouteCounts>,
     /// Turns of all routes.
-    turns: Count,
+    turns: Counter,
     /// Tool calls of all programs.
-    calls: Count,
+    calls: Counter,
 }
 
 /// Recent turns and tool calls, from which the requests of a program are estimated.
@@ -41,7 +41,7 @@
     /// Records a turn. `begins` says whether it is the first of its program.
     pub fn turn(&self, route: &str, begins: bool, now: Instant) {
         let mut counts = self.lock();
-        counts.turns.add(HALF_LIFE, now);
+        counts.turns.increment(HALF_LIFE, now);
         if !counts.routes.contains_key(route) {
             counts
                 .routes
@@ -50,15 +50,15 @@
         let Some(route) = counts.routes.get_mut(route) else {
             return;
         };
-        route.turns.add(HALF_LIFE, now);
+        route.turns.increment(HALF_LIFE, now);
         if begins {
-            route.started.add(HALF_LIFE, now);
+            route.started.increment(HALF_LIFE, now);
         }
     }
 
     /// Records a tool call of a program.
     pub fn call(&self, now: Instant) {
-        self.lock().calls.add(HALF_LIFE, now);
+        self.lock().calls.increment(HALF_LIFE, now);
     }
 
     /// Expected number of requests of a program on a route, including its tool calls; 1 if
@@ -82,13 +82,13 @@
         let Some(route) = counts.routes.get(route) else {
             return 1;
         };
-        let started = route.started.at(HALF_LIFE, now);
-        let turns = counts.turns.at(HALF_LIFE, now);
+        let started = route.started.value_at(HALF_LIFE, now);
+        let turns = counts.turns.value_at(HALF_LIFE, now);
         if started < MIN_COUNT || turns < MIN_COUNT {
             return 1;
         }
-        let calls_per_turn = counts.calls.at(HALF_LIFE, now) / turns;
-        let requests = route.turns.at(HALF_LIFE, now) / started * (1.0 + calls_per_turn);
+        let calls_per_turn = counts.calls.value_at(HALF_LIFE, now) / turns;
+        let requests = route.turns.value_at(HALF_LIFE, now) / started * (1.0 + calls_per_turn);
         requests.round().clamp(1.0, f64::from(u32::MAX)) as u32
     }
 }
--- a/crates/gradedyke-gateway/src/dialect.rs
+++ b/crates/gradedyke-gateway/src/dialect.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use gradedyke_turns::membership::Removal;
+use gradedyke_turns::membership::Retirement;
 use gradedyke_turns::record::Id;
 use http::{HeaderMap, StatusCode};
 
@@ -97,7 +97,7 @@
 }
 
 /// Decodes and encodes the formats of callers, backend servers and the platform.
-pub trait Dialect: Removal {
+pub trait Dialect: Retirement {
     /// Decodes the headers of a caller's request.
     fn meta(&self, headers: &HeaderMap) -> Meta;
 
--- a/crates/gradedyke-gateway/src/entry/admission.rs
+++ b/crates/gradedyke-gateway/src/entry/admission.rs
@@ -96,7 +96,7 @@
             metrics::counter!("gradedyke_usage_asked_total").increment(1);
             let (report, mark) = self.register.report(counted, Instant::now());
             let query_deadline = deadline.min(Instant::now() + USAGE_QUERY_TIMEOUT);
-            if let Ok(Some(total)) = self.quorum.used(&report, query_deadline).await {
+            if let Ok(Some(total)) = self.quorum.report_usage(&report, query_deadline).await {
                 let within = self.record_usage(call, mark, total);
                 return within.then_some(()).ok_or(Refusal::Exceeded);
             }
--- a/crates/gradedyke-gateway/src/entry/budget.rs
+++ b/crates/gradedyke-gateway/src/entry/budget.rs
@@ -34,7 +34,7 @@
         };
         entry.quorum.settle(Settled {
             tokens,
-            ..Settled::unused(reserved)
+            ..Settled::release(reserved)
         });
     }
 }
--- a/crates/gradedyke-gateway/src/entry/mod.rs
+++ b/crates/gradedyke-gateway/src/entry/mod.rs
@@ -111,7 +111,7 @@
         let started = self.config.load().is_some() && self.fleet.listed() > 0;
         let draining = self.drain.is_cancelled();
         let can_use_keys = self.can_use_keys(self.config_age(Instant::now()));
-        started && !draining && self.quorum.reachable() && can_use_keys
+        started && !draining && self.quorum.is_majority_reachable() && can_use_keys
     }
 
     /// Whether keys may be accepted when the local data has this `age`. A key may be revoked
@@ -129,7 +129,7 @@
     /// platform first confirmed it. The age counts from when the platform was asked, not from when it answered, so
     /// that network delay cannot make the data look newer than it is.
     fn config_age(&self, now: Instant) -> Option<Duration> {
-        let confirmed = self.mirror.vouched()?;
+        let confirmed = self.mirror.complete_as_of()?;
         Some(now.saturating_duration_since(confirmed))
     }
 
@@ -153,7 +153,7 @@
     pub fn refresh(&self) {
         self.apply_config();
         let mut cursor = self.applied.lock().unwrap_or_else(PoisonError::into_inner);
-        let (items, next) = self.mirror.since(*cursor);
+        let (items, next) = self.mirror.changed_since(*cursor);
         self.fleet.apply_all(&items, &*self.dialect);
         *cursor = next;
     }
@@ -250,7 +250,7 @@
     /// and the first backend servers are known, for at most a second; then returns the
     /// configuration without servers, or `None` if there is none.
     pub async fn started(&self, now: Instant) -> Option<Arc<Config>> {
-        let mut changed = self.mirror.watch();
+        let mut changed = self.mirror.subscribe();
         let deadline = now + INITIAL_CONFIG_TIMEOUT;
         loop {
             let config = self.config.load_full();
--- a/crates/gradedyke-gateway/src/entry/relay.rs
+++ b/crates/gradedyke-gateway/src/entry/relay.rs
@@ -357,7 +357,7 @@
         let result = self
             .entry
             .quorum
-            .keep(&record, usage.as_ref(), deadline)
+            .store(&record, usage.as_ref(), deadline)
             .await;
         if let (Some(mark), Ok(Some(total))) = (mark, &result) {
             register.learn(mark, *total, Instant::now());
--- a/crates/gradedyke-gateway/src/entry/turn.rs
+++ b/crates/gradedyke-gateway/src/entry/turn.rs
@@ -11,8 +11,8 @@
 
 use bytes::{Bytes, BytesMut};
 use gradedyke_http::Body;
-use gradedyke_turns::conversation::Chain;
-use gradedyke_turns::quorum::{self, Ask};
+use gradedyke_turns::conversation::Transcript;
+use gradedyke_turns::quorum::{self, BeginParams};
 use gradedyke_turns::record::Reserved;
 use http::Response;
 use tokio::time::Instant;
@@ -66,7 +66,7 @@
 async fn begin_turn(
     entry: &Arc<Entry>,
     call: &Call,
-) -> Result<(Option<Chain>, Reservation), Refusal> {
+) -> Result<(Option<Transcript>, Reservation), Refusal> {
     let started = Instant::now();
     if !is_admitted(entry, call, started) {
         return Err(Refusal::Overload);
@@ -77,14 +77,14 @@
     let parent = parent.map(|p| call.scope_id(p));
     let usage_report = call.counted.map(|c| entry.register.report(&c, started));
     let (usage, mark) = usage_report.unzip();
-    let request = Ask {
-        reserve,
+    let request = BeginParams {
+        reservation: reserve,
         parent,
-        first: Call::is_program_start(&call.route, &call.meta),
+        is_first_turn: Call::is_program_start(&call.route, &call.meta),
         load: entry.fleet.report(started),
         usage,
-        time: BEGIN_TIMEOUT,
-        until: call.deadline.min(started + QUORUM_RECOVERY_TIMEOUT),
+        try_timeout: BEGIN_TIMEOUT,
+        deadline: call.deadline.min(started + QUORUM_RECOVERY_TIMEOUT),
     };
     let result = entry.quorum.begin(&request).await;
     if let Some((pressure, at)) = entry.quorum.pressure() {
@@ -93,7 +93,7 @@
     metrics::histogram!("gradedyke_begin_seconds").record(started.elapsed().as_secs_f64());
     match result {
         Ok(begun) => {
-            entry.throttle.let_in(begun.took, Instant::now());
+            entry.throttle.let_in(begun.elapsed, Instant::now());
             if let Some(load) = begun.load {
                 entry.fleet.learn(&load, Instant::now());
             }
@@ -116,20 +116,20 @@
                 waited_ms = started.elapsed().as_millis(), %error);
             // Keepers that are unreachable or starting are not overloaded.
             let is_overload = match error {
-                quorum::Refusal::Busy => true,
-                quorum::Refusal::NoQuorum { .. } => entry.quorum.reachable(),
+                quorum::Error::Busy => true,
+                quorum::Error::NoQuorum { .. } => entry.quorum.is_majority_reachable(),
                 _ => false,
             };
             if is_overload {
                 entry.throttle.refused(Instant::now());
             }
             Err(match error {
-                quorum::Refusal::NoTurn => Refusal::NoTurn,
-                quorum::Refusal::Spent { .. } => Refusal::Spent,
-                quorum::Refusal::Unsure
-                | quorum::Refusal::Starting
-                | quorum::Refusal::Busy
-                | quorum::Refusal::NoQuorum { .. } => Refusal::NoKeepers,
+                quorum::Error::TurnNotFound => Refusal::NoTurn,
+                quorum::Error::BudgetExceeded { .. } => Refusal::Spent,
+                quorum::Error::Indeterminate
+                | quorum::Error::Starting
+                | quorum::Error::Busy
+                | quorum::Error::NoQuorum { .. } => Refusal::NoKeepers,
             })
         }
     }
--- a/crates/gradedyke-gateway/src/entry/upstream.rs
+++ b/crates/gradedyke-gateway/src/entry/upstream.rs
@@ -1,7 +1,7 @@
 //! Opens a stream at a backend server, and resumes it at another.
 
 use bytes::Bytes;
-use gradedyke_turns::conversation::Chain;
+use gradedyke_turns::conversation::Transcript;
 use tokio::time::Instant;
 
 use super::Entry;
@@ -12,7 +12,7 @@
 
 /// The request for a stream, with the servers it was sent to.
 pub(super) struct Upstream {
-    chain: Option<Chain>,
+    chain: Option<Transcript>,
     body: Bytes,
     attempts: Attempts,
 }
@@ -20,7 +20,7 @@
 impl Upstream {
     /// Creates the request with this complete `body`. `chain` is the stored conversation that
     /// it continues.
-    pub(super) fn new(chain: Option<Chain>, body: Bytes) -> Self {
+    pub(super) fn new(chain: Option<Transcript>, body: Bytes) -> Self {
         Self {
             chain,
             body,
@@ -59,7 +59,7 @@
 
 /// Estimates how many prompt tokens belong to the stored conversation, by its share of the
 /// bytes. The server that ran its last turn has them in its cache.
-fn cached_tokens(call: &Call, chain: &Chain) -> u64 {
+fn cached_tokens(call: &Call, chain: &Transcript) -> u64 {
     let prompt = call.meta.usage.map_or(0, |u| u.prompt);
     let (stored_bytes, new_bytes) = (chain.body.len() as u64, call.body.len() as u64);
     (prompt * stored_bytes)
@@ -68,7 +68,7 @@
 }
 
 /// Builds the query by which the fleet chooses a server for the request.
-fn server_query<'a>(call: &'a Call, chain: Option<&'a Chain>) -> Question<'a> {
+fn server_query<'a>(call: &'a Call, chain: Option<&'a Transcript>) -> Question<'a> {
     Question {
         service: &call.service,
         request: &call.id,
--- a/crates/gradedyke-gateway/src/fleet/mod.rs
+++ b/crates/gradedyke-gateway/src/fleet/mod.rs
@@ -19,7 +19,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use gradedyke_turns::load::{Busy, Report};
+use gradedyke_turns::load::{Report, ServerLoad};
 use gradedyke_turns::mirror::Item;
 use gradedyke_turns::record::Id;
 use slotmap::new_key_type;
@@ -310,7 +310,7 @@
     }
 
     /// Replaces the load reported by other instances.
-    pub fn learn(&self, load: &[Busy], now: Instant) {
+    pub fn learn(&self, load: &[ServerLoad], now: Instant) {
         if self.enabled.has(Mechanism::SharedLoad) {
             self.lock().set_peer_load(load, now);
         }
--- a/crates/gradedyke-gateway/src/fleet/registry.rs
+++ b/crates/gradedyke-gateway/src/fleet/registry.rs
@@ -3,7 +3,7 @@
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
 
-use gradedyke_turns::load::{self, Busy};
+use gradedyke_turns::load::{self, ServerLoad};
 use gradedyke_turns::mirror::Item;
 use gradedyke_turns::record::Id;
 use slotmap::SlotMap;
@@ -42,7 +42,7 @@
     pub(super) by_service: HashMap<String, Vec<Key>>,
     by_incarnation: HashMap<Id, Key>,
     /// By the hashed ID that load reports use.
-    by_load_id: HashMap<load::Server, Key>,
+    by_load_id: HashMap<load::ServerHash, Key>,
     /// Recently used servers of each service.
     recent: HashMap<String, RecentServers>,
     /// Servers that may have to be included in this instance's load report.
@@ -76,13 +76,13 @@
         self.peer_load_received = None;
         for key in std::mem::take(&mut self.with_peer_load) {
             if let Some(state) = self.servers.get_mut(key) {
-                state.peer_load = Busy::default();
+                state.peer_load = ServerLoad::default();
             }
         }
     }
 
     /// Replaces the load reported by other instances.
-    pub(super) fn set_peer_load(&mut self, load: &[Busy], now: Instant) {
+    pub(super) fn set_peer_load(&mut self, load: &[ServerLoad], now: Instant) {
         self.clear_peer_load();
         self.peer_load_received = Some(now);
         for busy in load {
@@ -96,7 +96,7 @@
     }
 
     /// The load that this instance reports to others.
-    pub(super) fn report(&mut self, now: Instant) -> Vec<Busy> {
+    pub(super) fn report(&mut self, now: Instant) -> Vec<ServerLoad> {
         let mut report = Vec::new();
         let servers = &self.servers;
         self.reportable.retain(|key| {
@@ -137,7 +137,7 @@
         let service = state.server.service.clone();
         let key = self.servers.insert(state);
         self.by_id.insert(id, key);
-        self.by_load_id.insert(load::server(&incarnation), key);
+        self.by_load_id.insert(load::server_hash(&incarnation), key);
         self.by_incarnation.insert(incarnation, key);
         self.by_service.entry(service).or_default().push(key);
     }
@@ -147,7 +147,7 @@
         let state = self.servers.remove(key)?;
         state.pool.clear();
         self.by_incarnation.remove(&state.incarnation);
-        let load_id = load::server(&state.incarnation);
+        let load_id = load::server_hash(&state.incarnation);
         // Hashed IDs may collide, so the index may point to another server.
         if self.by_load_id.get(&load_id) == Some(&key) {
             self.by_load_id.remove(&load_id);
--- a/crates/gradedyke-gateway/src/fleet/server_state.rs
+++ b/crates/gradedyke-gateway/src/fleet/server_state.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use gradedyke_turns::load::{self, Busy};
+use gradedyke_turns::load::{self, ServerLoad};
 use gradedyke_turns::record::Id;
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
@@ -56,7 +56,7 @@
     /// Requests in flight from this instance.
     pub(super) in_flight: u32,
     /// Load from other instances, as last reported.
-    pub(super) peer_load: Busy,
+    pub(super) peer_load: ServerLoad,
     pub(super) health: Health,
     /// Recent latencies relative to those expected for the service.
     pub(super) latency: Window<LatencyRatioSum>,
@@ -78,7 +78,7 @@
             is_unreadable: false,
             pool: Arc::new(Pool::new(server.address)),
             in_flight: 0,
-            peer_load: Busy::default(),
+            peer_load: ServerLoad::default(),
             health: Health::default(),
             latency: Window::default(),
             cache: Cache::default(),
@@ -145,11 +145,11 @@
     }
 
     /// The load and failures that this instance reports to others.
-    pub(super) fn report(&self, now: Instant) -> Busy {
+    pub(super) fn report(&self, now: Instant) -> ServerLoad {
         let health = self.health.report(now);
         let latency = self.latency.sum(now);
-        Busy {
-            server: load::server(&self.incarnation),
+        ServerLoad {
+            server: load::server_hash(&self.incarnation),
             requests: self.in_flight,
             failures: health.counts.failures,
             ended: health.counts.requests,
--- a/crates/gradedyke-gateway/src/news.rs
+++ b/crates/gradedyke-gateway/src/news.rs
@@ -11,7 +11,7 @@
 use gradedyke_turns::feed;
 use gradedyke_turns::mirror::{self, Mirror, Need};
 use gradedyke_turns::quorum::Quorum;
-use gradedyke_turns::view::Disk;
+use gradedyke_turns::view::DiskId;
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
@@ -21,20 +21,20 @@
 const HEDGE_DELAY: Duration = Duration::from_millis(400);
 
 /// Poll and retry intervals of a keeper that reads the service.
-pub const KEEPER_PACE: mirror::Pace = mirror::Pace {
-    look: Duration::from_millis(100),
-    beside: Some(HEDGE_DELAY),
-    first: Duration::from_millis(50),
-    patience: Duration::from_millis(800),
-    unhurried: Duration::from_millis(800),
+pub const KEEPER_PACE: mirror::Timing = mirror::Timing {
+    poll_interval: Duration::from_millis(100),
+    hedge_delay: Some(HEDGE_DELAY),
+    initial_max_delay: Duration::from_millis(50),
+    max_delay: Duration::from_millis(800),
+    low_need_max_delay: Duration::from_millis(800),
 };
 
 /// Poll and retry intervals of an entry. They are longer than those of a keeper, because
 /// many entries retry at the same time in an outage of the service.
-const ENTRY_PACE: mirror::Pace = mirror::Pace {
-    beside: None,
-    first: Duration::from_millis(400),
-    unhurried: Duration::from_millis(2_500),
+const ENTRY_PACE: mirror::Timing = mirror::Timing {
+    hedge_delay: None,
+    initial_max_delay: Duration::from_millis(400),
+    low_need_max_delay: Duration::from_millis(2_500),
     ..KEEPER_PACE
 };
 
@@ -44,7 +44,7 @@
     mirror: &Arc<Mirror>,
     kv: &Arc<dyn KeyValue>,
     need: impl Fn() -> Need + Clone + Send + Sync + 'static,
-    pace: mirror::Pace,
+    pace: mirror::Timing,
     stop: &CancellationToken,
 ) {
     for prefix in mirror.prefixes().to_vec() {
@@ -81,7 +81,11 @@
         now: Instant,
         stop: &CancellationToken,
     ) {
-        let reader = Arc::new(feed::Reader::new(now, feed::ENTRY_START, self.in_force));
+        let reader = Arc::new(feed::Policy::new(
+            now,
+            feed::ENTRY_START_GRACE,
+            self.in_force,
+        ));
         tasks.spawn(feed::run(
             self.mirror.clone(),
             self.peers,
@@ -103,7 +107,7 @@
     /// The address at which other processes reach this keeper.
     pub(crate) own_address: SocketAddr,
     /// Identity of the keeper's disk.
-    pub(crate) disk: Disk,
+    pub(crate) disk: DiskId,
     /// Keepers that read the service while the view has no members yet.
     pub(crate) seeds: Vec<SocketAddr>,
     /// The keeper's copy of the platform's data.
@@ -111,7 +115,7 @@
     /// Client for the other keepers.
     pub(crate) quorum: Arc<Quorum>,
     /// Decides when a keeper that is not a watcher reads the service.
-    pub(crate) reader: Arc<feed::Reader>,
+    pub(crate) reader: Arc<feed::Policy>,
     /// Decides when another watcher reads the service in place of the first one.
     pub(crate) standby: feed::Standby,
 }
@@ -141,7 +145,7 @@
         let view = self.quorum.view();
         let mut sources = match view.find(self.disk) {
             Some(_) => view.watchers().map(|m| m.address).collect(),
-            None => self.quorum.by_distance(),
+            None => self.quorum.addresses_by_distance(),
         };
         if sources.is_empty() {
             sources.clone_from(&self.seeds);
--- a/crates/gradedyke-gateway/src/process.rs
+++ b/crates/gradedyke-gateway/src/process.rs
@@ -10,7 +10,7 @@
 use gradedyke_http::Server;
 use gradedyke_http::server::{Config, Protocol};
 use gradedyke_platform::kv::KeyValue;
-use gradedyke_turns::desk::Desk;
+use gradedyke_turns::desk::Dispatcher;
 use gradedyke_turns::detour::Forwarder;
 use gradedyke_turns::membership::{self, Membership};
 use gradedyke_turns::mirror::Mirror;
@@ -90,7 +90,7 @@
     if settings.seeds.is_empty() {
         return Duration::ZERO;
     }
-    membership::turn(settings.first_start)
+    membership::draw_join_delay(settings.first_start)
 }
 
 fn prefixes(dialect: &dyn Dialect) -> Vec<&str> {
@@ -232,25 +232,29 @@
             data_centres: settings.data_centres.clone(),
             first_start: settings.first_start,
             tolerate: settings.tolerate,
-            turn: join_delay(&settings),
+            join_delay: join_delay(&settings),
         };
         let seeds = settings.seeds.clone();
         let in_force = settings.in_force();
         let mut process = Self::new(settings, None, stop.clone());
         process.addresses.peer = Some(peer);
         let (replica_sender, replica) = watch::channel(None);
-        let handler = Arc::new(Desk::new(mirror.clone(), replica));
+        let handler = Arc::new(Dispatcher::new(mirror.clone(), replica));
         let tasks = &mut process.tasks;
         tasks.spawn(gradedyke_peer::server::serve(
             listener,
             handler,
             stop.clone(),
         ));
-        snapshot::load(&mirror, &folder, Instant::now());
-        tasks.spawn(snapshot::keep(mirror.clone(), folder.clone(), stop.clone()));
+        snapshot::load_mirror(&mirror, &folder, Instant::now());
+        tasks.spawn(snapshot::save_mirror_on_change(
+            mirror.clone(),
+            folder.clone(),
+            stop.clone(),
+        ));
         // Entries can read the mirror from this keeper while it still opens its disk.
-        let disk = replica::identity(&folder)?;
-        let reader = feed::Reader::new(Instant::now(), feed::KEEPER_START, in_force);
+        let disk = replica::load_or_create_disk_id(&folder)?;
+        let reader = feed::Policy::new(Instant::now(), feed::KEEPER_START_GRACE, in_force);
         let follower = news::KeeperFollower {
             own_address: peer,
             disk,
@@ -271,10 +275,14 @@
         let replica = tokio::task::spawn_blocking(open).await??;
         replica_sender.send_replace(Some(replica.clone()));
         let membership = Membership::new(config, replica.clone(), world.kv, world.dialect);
-        tasks.spawn(snapshot::keep_usage(replica.clone(), folder, stop.clone()));
+        tasks.spawn(snapshot::save_usage_periodically(
+            replica.clone(),
+            folder,
+            stop.clone(),
+        ));
         tasks.spawn(membership.run(stop));
         tasks.spawn(replica.clone().recover());
-        tasks.spawn(replica.expire());
+        tasks.spawn(replica.run_expiry());
         process.log_started("keeper");
         Ok(process)
     }
@@ -357,7 +365,7 @@
     quorum: Arc<Quorum>,
 ) -> impl Fn() -> Vec<SocketAddr> {
     move || {
-        let mut sources = quorum.by_distance();
+        let mut sources = quorum.addresses_by_distance();
         let settings = settings.load();
         let seeds = settings.seeds.iter().copied();
         let others: Vec<_> = seeds.filter(|s| !sources.contains(s)).collect();
@@ -368,15 +376,17 @@
 
 /// Applies changes of the mirror to the configuration and the fleet until `stop`.
 async fn refresh(entry: Arc<Entry>, stop: CancellationToken) {
-    let mut changed = entry.mirror.watch();
+    let mut changed = entry.mirror.subscribe();
     loop {
         tokio::select! {
             _ = changed.changed() => entry.refresh(),
-            () = tokio::time::sleep(REFRESH_INTERVAL) => entry.quorum.mend(),
+            () = tokio::time::sleep(REFRESH_INTERVAL) => entry.quorum.probe_unreachable(),
             () = stop.cancelled() => return,
         }
         let now = Instant::now();
         entry.gauge(now);
-        entry.fleet.expire(entry.mirror.steady(), now);
+        entry
+            .fleet
+            .expire(entry.mirror.service_available_since(), now);
     }
 }
--- a/crates/gradedyke-gateway/src/throttle.rs
+++ b/crates/gradedyke-gateway/src/throttle.rs
@@ -10,7 +10,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use gradedyke_turns::decay::Count;
+use gradedyke_turns::decay::Counter;
 use gradedyke_turns::pressure::Pressure;
 use gradedyke_turns::record::Id;
 use tokio::time::Instant;
@@ -38,8 +38,8 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Counts {
-    admitted: Count,
-    refused: Count,
+    admitted: Counter,
+    refused: Counter,
     reported: Option<(Pressure, Instant)>,
 }
 
@@ -53,8 +53,8 @@
         {
             return pressure.share();
         }
-        let refused = self.refused.at(COUNT_HALF_LIFE, now);
-        refused / (self.admitted.at(COUNT_HALF_LIFE, now) + PRIOR_ADMITTED_TURNS + refused)
+        let refused = self.refused.value_at(COUNT_HALF_LIFE, now);
+        refused / (self.admitted.value_at(COUNT_HALF_LIFE, now) + PRIOR_ADMITTED_TURNS + refused)
     }
 }
 
@@ -90,12 +90,12 @@
         if took > SLOW_EXCHANGE {
             return self.refused(now);
         }
-        self.lock().admitted.add(COUNT_HALF_LIFE, now);
+        self.lock().admitted.increment(COUNT_HALF_LIFE, now);
     }
 
     /// Records that keepers were reachable but refused a turn because of overload.
     pub fn refused(&self, now: Instant) {
-        self.lock().refused.add(COUNT_HALF_LIFE, now);
+        self.lock().refused.increment(COUNT_HALF_LIFE, now);
     }
 
     /// Records the pressure that keepers reported at `at`. Keepers see the turns of all
--- a/crates/gradedyke-gateway/tests/allowance.rs
+++ b/crates/gradedyke-gateway/tests/allowance.rs
@@ -7,7 +7,7 @@
 use gradedyke_gateway::account::{Account, Allowance};
 use gradedyke_gateway::allowance::{Counted, Mark, Register, Verdict};
 use gradedyke_turns::record::Id;
-use gradedyke_turns::usage::{self, Board, Report, Total};
+use gradedyke_turns::usage::{self, Aggregator, Report, Total};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use tokio::time::Instant;
@@ -68,7 +68,7 @@
     start: Instant,
     accounts: Vec<Account>,
     registers: Vec<Register>,
-    boards: Vec<Board>,
+    boards: Vec<Aggregator>,
     pending: VecDeque<PendingReport>,
     programs: Vec<Program>,
     outcomes: Vec<Outcome>,
@@ -110,7 +110,7 @@
             start,
             accounts: accounts.map(|n| account(n, load.per_second)).collect(),
             registers: entries.map(|n| Register::new(n, WINDOW, start)).collect(),
-            boards: (0..5).map(|_| Board::default()).collect(),
+            boards: (0..5).map(|_| Aggregator::default()).collect(),
             pending: VecDeque::new(),
             programs: Vec::new(),
             outcomes: vec![Outcome::default(); load.accounts],
@@ -210,7 +210,7 @@
             let now = self.at(ms);
             let mut sum = Total::default();
             for board in &mut self.boards {
-                board.put(pending.report.clone(), now);
+                board.record_report(pending.report.clone(), now);
                 sum = sum.max(board.total(pending.counted.account, now));
             }
             let register = &self.registers[pending.entry];
@@ -364,13 +364,13 @@
     // Without planned requests, running programs reach the limit.
     let mut simulation = Simulation::new(&load, 0, seed);
     simulation.run(&load, 0, 2_750);
-    let saved = simulation.boards[0].written(simulation.at(2_750));
+    let saved = simulation.boards[0].export(simulation.at(2_750));
     simulation.run(&load, 2_750, 3_000);
     let now = simulation.at(3_300);
     let entries = 0..load.entries as u64;
     let entries = entries.map(|n| Register::new(1_000 + n, WINDOW, now));
     simulation.registers = entries.collect();
-    simulation.boards = (0..5).map(|_| Board::default()).collect();
+    simulation.boards = (0..5).map(|_| Aggregator::default()).collect();
     if restored {
         for board in &mut simulation.boards {
             board.restore(saved.clone(), now);
@@ -405,32 +405,32 @@
     }
     let counted = counted.unwrap();
     let (report, _) = register.report(&counted, now);
-    let (mut intact, mut empty) = (Board::default(), Board::default());
-    intact.put(report, now);
+    let (mut intact, mut empty) = (Aggregator::default(), Aggregator::default());
+    intact.record_report(report, now);
     let (asked, later) = (counted.account, now + Duration::from_millis(1_100));
     let sum = intact.total(asked, later).max(empty.total(asked, later));
     assert_eq!(sum.requests, 30);
     // The report for another account's turn includes the usage again.
     let other = register.count(&account(1, 10.0), 0, later).unwrap();
-    empty.put(register.report(&other, later).0, later);
+    empty.record_report(register.report(&other, later).0, later);
     assert_eq!(empty.total(asked, later).requests, 30);
 }
 
 #[test]
 fn usage_expires_after_the_window_and_not_before() {
-    let mut tally = usage::Tally::default();
+    let mut tally = usage::Counter::default();
     let one = Total {
         requests: 1,
         planned: 0,
     };
     tally.add(3, one);
     tally.add(4, one);
-    assert_eq!(tally.told(4), [one, one]);
-    assert_eq!(tally.told(23).len(), 21);
-    assert_eq!(tally.told(24).len(), 21);
-    assert_eq!(tally.told(25), []);
-    tally.undo(3, one);
-    assert_eq!(tally.told(26), []);
+    assert_eq!(tally.window_buckets(4), [one, one]);
+    assert_eq!(tally.window_buckets(23).len(), 21);
+    assert_eq!(tally.window_buckets(24).len(), 21);
+    assert_eq!(tally.window_buckets(25), []);
+    tally.subtract(3, one);
+    assert_eq!(tally.window_buckets(26), []);
 }
 
 #[tokio::test]
@@ -439,11 +439,11 @@
     let register = Register::new(1, WINDOW, now);
     // The limit is 10 requests per window, and a program needs 16.
     let limited = account(0, 2.0);
-    let mut board = Board::default();
+    let mut board = Aggregator::default();
     let mut try_start = |at: Instant| {
         let counted = register.count(&limited, REQUESTS_PER_PROGRAM, at).unwrap();
         let (report, mark) = register.report(&counted, at);
-        board.put(report, at);
+        board.record_report(report, at);
         let sum = board.total(counted.account, at);
         register.learn(mark, sum, at);
         let within = counted.within(sum);
--- a/crates/gradedyke-gateway/tests/news/main.rs
+++ b/crates/gradedyke-gateway/tests/news/main.rs
@@ -111,7 +111,7 @@
     /// and returns how long that took.
     async fn time_until_vouched(&self) -> Duration {
         let since = Instant::now();
-        let vouched = |m: &Arc<Mirror>| m.vouched().is_some_and(|at| at >= since);
+        let vouched = |m: &Arc<Mirror>| m.complete_as_of().is_some_and(|at| at >= since);
         while !self.entries.iter().all(vouched) {
             tokio::time::sleep(POLL_INTERVAL).await;
         }
--- a/crates/gradedyke-gateway/tests/news/network.rs
+++ b/crates/gradedyke-gateway/tests/news/network.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use async_trait::async_trait;
-use gradedyke_turns::feed::{self, Peers, Unanswered};
+use gradedyke_turns::feed::{self, Error, Peers};
 use gradedyke_turns::message::{Reply, Request};
 use gradedyke_turns::mirror::Mirror;
 use tokio::time::Instant;
@@ -86,14 +86,14 @@
             (node.mirror.clone(), node.is_keeper)
         };
         match request {
-            Request::Age => feed::tell_age(&mirror, Instant::now()),
+            Request::Age => feed::age_reply(&mirror, Instant::now()),
             Request::Follow {
                 cursor,
                 wait_ms,
                 address: caller,
             } => {
                 let wait = Duration::from_millis((*wait_ms).into());
-                let mut news = feed::tell(&mirror, cursor, wait).await;
+                let mut news = feed::long_poll(&mirror, cursor, wait).await;
                 if let Some(caller) = caller.filter(|_| is_keeper) {
                     news.neighbours = self.neighbours(caller);
                 }
@@ -125,7 +125,7 @@
         peer: SocketAddr,
         request: &Request,
         timeout: Duration,
-    ) -> Result<Reply, Unanswered> {
+    ) -> Result<Reply, Error> {
         let reply = tokio::time::timeout(timeout, async {
             tokio::time::sleep(ROUND_TRIP_TIME).await;
             match self.network.lost(peer) {
@@ -142,20 +142,20 @@
 
 #[async_trait]
 impl Peers for PeerClient {
-    fn own(&self) -> Option<SocketAddr> {
+    fn forwarding_address(&self) -> Option<SocketAddr> {
         Some(self.own_address)
     }
 
-    fn cut_off(&self) -> bool {
+    fn is_isolated(&self) -> bool {
         self.cut_off.load(Ordering::Relaxed)
     }
 
-    async fn ask(
+    async fn call(
         &self,
         peer: SocketAddr,
         request: &Request,
         timeout: Duration,
-    ) -> Result<Reply, Unanswered> {
+    ) -> Result<Reply, Error> {
         let reply = self.exchange(peer, request, timeout).await;
         // A process that was lost during the call does not answer it.
         let reply = match (reply, self.network.lost(peer)) {
--- a/crates/gradedyke-gateway/tests/overload.rs
+++ b/crates/gradedyke-gateway/tests/overload.rs
@@ -10,7 +10,7 @@
 
 use gradedyke_gateway::throttle::Throttle;
 use gradedyke_turns::backlog;
-use gradedyke_turns::pressure::Gauge;
+use gradedyke_turns::pressure::Meter;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use tokio::time::Instant;
@@ -103,7 +103,7 @@
 fn is_full(first: bool, queue_ms: f64) -> bool {
     let active = (queue_ms / 1e3 * CAPACITY_PER_S) as usize;
     let age = Duration::from_secs_f64(queue_ms / 1e3);
-    backlog::full(active, age, first)
+    backlog::is_full(active, age, first)
 }
 
 struct Simulation {
@@ -116,7 +116,7 @@
     throttles: Vec<Throttle>,
     /// Time at which the keepers have finished all work in their queue.
     busy_until_ms: f64,
-    gauge: Gauge,
+    gauge: Meter,
     /// Whether overload protection is on: keepers refuse turns while their queue is too long,
     /// and entries let fewer programs begin.
     protected: bool,
@@ -134,7 +134,7 @@
             programs: Vec::new(),
             throttles: (0..entries).map(|_| Throttle::default()).collect(),
             busy_until_ms: 0.0,
-            gauge: Gauge::default(),
+            gauge: Meter::default(),
             protected,
             load,
             outcome: Outcome::default(),
@@ -206,7 +206,7 @@
         let queue_ms = (self.busy_until_ms - ms).max(0.0);
         let now = self.instant(ms);
         let refused = self.protected && is_full(first, queue_ms);
-        self.gauge.count(refused, now);
+        self.gauge.record_attempt(refused, now);
         if refused {
             return Err(queue_ms + self.add_work(REFUSAL_COST, ms));
         }
--- a/crates/gradedyke-load/src/listing.rs
+++ b/crates/gradedyke-load/src/listing.rs
@@ -52,7 +52,7 @@
     loop {
         let now = Instant::now();
         let began = std::time::Instant::now();
-        let reply = message::encode(&Reply::News(source.news(&cursor, now, now)));
+        let reply = message::encode(&Reply::News(source.update_since(&cursor, now, now)));
         costs.telling_us += began.elapsed().as_secs_f64() * 1e6;
         costs.bytes += reply.len();
         costs.pages += 1;
@@ -60,11 +60,11 @@
         let Some(Reply::News(news)) = message::decode(&reply) else {
             eyre::bail!("the reply is not understood");
         };
-        items.append(&mut news.items.unpack()?);
+        items.append(&mut news.items.decode()?);
         (cursor.boot, cursor.change, cursor.listing) = (news.boot, news.next, news.more);
         let more = news.more;
         if !more {
-            mirror.learn(news, std::mem::take(&mut items), now, now);
+            mirror.apply_update(news, std::mem::take(&mut items), now, now);
         }
         costs.hearing_us += began.elapsed().as_secs_f64() * 1e6;
         if !more {
@@ -76,7 +76,7 @@
 fn measure_one(keys: usize, rounds: u32) -> eyre::Result<Value> {
     let source = Mirror::new(&[""]);
     let items = (0..keys).map(item).collect();
-    source.replace("", items, keys as u64, Instant::now());
+    source.apply_listing("", items, keys as u64, Instant::now());
     let first = follow(&source)?;
     let mut least = first;
     for _ in 0..rounds {
--- a/crates/gradedyke-load/src/recovery.rs
+++ b/crates/gradedyke-load/src/recovery.rs
@@ -10,7 +10,7 @@
 use eyre::eyre;
 use futures_util::future::join_all;
 use gradedyke_peer::Handler;
-use gradedyke_turns::desk::Desk;
+use gradedyke_turns::desk::Dispatcher;
 use gradedyke_turns::load::Report;
 use gradedyke_turns::log::Log;
 use gradedyke_turns::message::{self, Begin, Found, Reply, Request};
@@ -105,7 +105,7 @@
 }
 
 /// Asks for a turn, and tells whether the conversation it continues was told.
-async fn begin(desk: &Desk, program: Id, parent: Option<Id>) -> eyre::Result<bool> {
+async fn begin(desk: &Dispatcher, program: Id, parent: Option<Id>) -> eyre::Result<bool> {
     let reserve = Reserved {
         program,
         request: id("new")?,
@@ -144,7 +144,7 @@
     let replica = Replica::open(folder.path(), mirror.clone(), stop)?;
     let opened_ms = ms(began);
     let (_ready, receiver) = watch::channel(Some(replica));
-    let desk = Arc::new(Desk::new(mirror, receiver));
+    let desk = Arc::new(Dispatcher::new(mirror, receiver));
     begin(&desk, id("unheard-of")?, None).await?;
     let new_ms = ms(began);
     let last = request(programs / 2, TURNS - 1)?;
--- a/crates/gradedyke-load/src/usage.rs
+++ b/crates/gradedyke-load/src/usage.rs
@@ -8,7 +8,7 @@
 use gradedyke_gateway::allowance::Register;
 use gradedyke_turns::message;
 use gradedyke_turns::record::Id;
-use gradedyke_turns::usage::Board;
+use gradedyke_turns::usage::Aggregator;
 use serde_json::{Value, json};
 use tokio::time::Instant;
 
@@ -42,13 +42,13 @@
 
 /// An entry's request of an account: what it tells a keeper, and the sum that answers it.
 /// Returns the bytes of the report.
-fn exchange(register: &Register, board: &mut Board, account: &Account, now: Instant) -> usize {
+fn exchange(register: &Register, board: &mut Aggregator, account: &Account, now: Instant) -> usize {
     let Some(counted) = register.count(account, 0, now) else {
         return 0;
     };
     let (report, mark) = register.report(&counted, now);
     let bytes = message::encode(&report).len();
-    board.put(report, now);
+    board.record_report(report, now);
     let sum = board.total(counted.account, now);
     register.learn(mark, sum, now);
     bytes
@@ -59,11 +59,11 @@
     let start = Instant::now();
     let registers = (0..entries).map(|n| Register::new(n, WINDOW, start));
     let registers: Vec<Register> = registers.collect();
-    let mut board = Board::default();
+    let mut board = Aggregator::default();
     let mut least = f64::INFINITY;
     let mut bytes = 0;
     let mut number = 0;
-    let mut play = |exchanges: u64, board: &mut Board| {
+    let mut play = |exchanges: u64, board: &mut Aggregator| {
         let mut bytes = 0;
         for _ in 0..exchanges {
             number += 1;
--- a/crates/gradedyke-model/src/world.rs
+++ b/crates/gradedyke-model/src/world.rs
@@ -10,7 +10,7 @@
 use gradedyke_gateway::fleet::{Choice, Fleet, Question, Server};
 use gradedyke_gateway::mechanism::{Enabled, Mechanism};
 use gradedyke_gateway::placement;
-use gradedyke_turns::load::{Board, Busy};
+use gradedyke_turns::load::{Aggregator, ServerLoad};
 use gradedyke_turns::record::Id;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -110,7 +110,7 @@
     /// A program's next turn comes to its entry.
     Turn(usize),
     /// The exchange is over.
-    Place(usize, Vec<Busy>),
+    Place(usize, Vec<ServerLoad>),
     /// The request is at the engine.
     Arrive(usize),
     /// A step of an engine ends.
@@ -143,7 +143,7 @@
     random: StdRng,
     engines: Vec<Engine>,
     entries: Vec<Entry>,
-    board: Board,
+    board: Aggregator,
     programs: Vec<Program>,
     turns: Vec<Option<Turn>>,
     /// The engine of each program's last turn.
@@ -223,7 +223,7 @@
         random: StdRng::seed_from_u64(seed),
         engines: vec![Engine::new(setup.figures); setup.engines],
         entries: entries.collect(),
-        board: Board::default(),
+        board: Aggregator::default(),
         programs: Vec::new(),
         turns: Vec::new(),
         last: Vec::new(),
@@ -308,12 +308,12 @@
         let entry = &self.entries[self.programs[program].entry];
         let mut report = entry.fleet.report(now);
         report.entry = entry.number;
-        self.board.put(report, now);
-        let load = self.board.others(entry.number, now);
+        self.board.record_report(report, now);
+        let load = self.board.total_excluding(entry.number, now);
         self.after(EXCHANGE_MS, Event::Place(program, load));
     }
 
-    fn place(&mut self, program: usize, load: &[Busy]) {
+    fn place(&mut self, program: usize, load: &[ServerLoad]) {
         let now = self.now();
         let answer = self.programs[program].ask();
         let state = &self.programs[program];
--- a/crates/gradedyke-turns/src/archive.rs
+++ b/crates/gradedyke-turns/src/archive.rs
@@ -6,19 +6,19 @@
 
 use std::collections::HashSet;
 
-use crate::log::{Place, Segment, Table};
+use crate::log::{Location, Segment, Table};
 use crate::record::Id;
 
 /// Tables of the segments that are not in the index yet.
 #[derive(Debug, Default)]
-pub struct Archive {
+pub struct Segments {
     /// Sorted by segment, oldest first.
     tables: Vec<(Segment, Table)>,
     /// Programs whose records are all in the index.
     indexed_programs: HashSet<Id>,
 }
 
-impl Archive {
+impl Segments {
     /// Creates an archive from the tables of all segments, oldest first.
     ///
     /// ```
@@ -44,13 +44,13 @@
 
     /// Returns the newest segment that is not indexed yet. Recovery starts with it because
     /// active programs have their records there.
-    pub fn newest(&self) -> Option<Segment> {
+    pub fn newest_segment(&self) -> Option<Segment> {
         self.tables.last().map(|(segment, _)| *segment)
     }
 
     /// Removes a segment whose records are all in the index. Removing the last one also
     /// clears the set of indexed programs.
-    pub fn remove(&mut self, segment: Segment) {
+    pub fn remove_segment(&mut self, segment: Segment) {
         self.tables.retain(|(s, _)| *s != segment);
         if self.tables.is_empty() {
             self.indexed_programs = HashSet::new();
@@ -58,13 +58,13 @@
     }
 
     /// Marks a program as fully indexed: all its records are in the index.
-    pub fn note(&mut self, program: &Id) {
+    pub fn mark_indexed(&mut self, program: &Id) {
         self.indexed_programs.insert(program.clone());
     }
 
     /// Returns the candidate locations of a program's records, or none if they are all in
     /// the index. Records of other programs may be among them.
-    pub fn program(&self, program: &Id) -> Vec<Place> {
+    pub fn find_program(&self, program: &Id) -> Vec<Location> {
         if self.indexed_programs.contains(program) {
             return Vec::new();
         }
@@ -75,7 +75,7 @@
 
     /// Returns the candidate locations of a request's turn. Records of other requests may
     /// be among them.
-    pub fn turn(&self, request: &Id) -> Vec<Place> {
+    pub fn find_turn(&self, request: &Id) -> Vec<Location> {
         let tables = self.tables.iter();
         let locations = tables.flat_map(|(segment, table)| table.find_turn(*segment, request));
         locations.collect()
--- a/crates/gradedyke-turns/src/backlog.rs
+++ b/crates/gradedyke-turns/src/backlog.rs
@@ -31,7 +31,7 @@
 /// assert!(!backlog::full(40, age, false));
 /// assert!(!backlog::full(10, age, true));
 /// ```
-pub fn full(active: usize, age: Duration, first: bool) -> bool {
+pub fn is_full(active: usize, age: Duration, first: bool) -> bool {
     let max_age = if first {
         MAX_OLDEST_AGE_FIRST_TURN
     } else {
@@ -90,7 +90,7 @@
         let mut requests = self.lock();
         let oldest = requests.started.values().next();
         let age = oldest.map(|at| now.saturating_duration_since(*at));
-        if full(requests.started.len(), age.unwrap_or_default(), first) {
+        if is_full(requests.started.len(), age.unwrap_or_default(), first) {
             return None;
         }
         let number = requests.next_number;
--- a/crates/gradedyke-turns/src/conversation.rs
+++ b/crates/gradedyke-turns/src/conversation.rs
@@ -7,12 +7,12 @@
 use serde::{Deserialize, Serialize};
 
 use crate::body::Body;
-use crate::log::Place;
+use crate::log::Location;
 use crate::record::Id;
 
 /// The text of the conversation up to and including a turn.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Chain {
+pub struct Transcript {
     /// Inputs and outputs, oldest first.
     pub body: Bytes,
     /// The backend server that ran the last turn.
@@ -23,9 +23,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Part {
     /// The turn is in memory.
-    Held(Body),
+    InMemory(Body),
     /// The turn is on disk only, at this location.
-    Stored(Place),
+    OnDisk(Location),
 }
 
 /// The conversation up to and including a turn, with the locations of the parts that are not
@@ -40,28 +40,28 @@
 
 impl Conversation {
     /// Returns the locations of the turns that have to be read from disk, oldest first.
-    pub fn stored(&self) -> Vec<Place> {
+    pub fn disk_locations(&self) -> Vec<Location> {
         let locations = self.parts.iter().filter_map(|(_, part)| match part {
-            Part::Held(_) => None,
-            Part::Stored(place) => Some(*place),
+            Part::InMemory(_) => None,
+            Part::OnDisk(place) => Some(*place),
         });
         locations.collect()
     }
 
     /// Returns the whole conversation. `bodies` are the turns of [`Self::stored`], in that
     /// order; `None` if one is missing.
-    pub fn chain(&self, bodies: &[Body]) -> Option<Chain> {
+    pub fn transcript(&self, bodies: &[Body]) -> Option<Transcript> {
         let mut bodies = bodies.iter();
         let mut body = BytesMut::new();
         for (_, part) in &self.parts {
             let turn = match part {
-                Part::Held(in_memory) => in_memory,
-                Part::Stored(_) => bodies.next()?,
+                Part::InMemory(in_memory) => in_memory,
+                Part::OnDisk(_) => bodies.next()?,
             };
             body.extend_from_slice(&turn.input);
             body.extend_from_slice(&turn.output);
         }
-        Some(Chain {
+        Some(Transcript {
             body: body.freeze(),
             server: self.server.clone(),
         })
--- a/crates/gradedyke-turns/src/decay.rs
+++ b/crates/gradedyke-turns/src/decay.rs
@@ -6,13 +6,13 @@
 
 /// A counter whose value halves with each half-life that passes.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Count {
+pub struct Counter {
     value: f64,
     /// When `value` was last updated.
     as_of: Option<Instant>,
 }
 
-impl Count {
+impl Counter {
     /// Returns the value at `now`, for a half-life of `half_life`.
     ///
     /// ```
@@ -24,7 +24,7 @@
     /// count.add(half_life, now);
     /// assert_eq!(count.at(half_life, now + half_life), 0.5);
     /// ```
-    pub fn at(&self, half_life: Duration, now: Instant) -> f64 {
+    pub fn value_at(&self, half_life: Duration, now: Instant) -> f64 {
         let Some(as_of) = self.as_of else { return 0.0 };
         let half_lives =
             now.saturating_duration_since(as_of).as_secs_f64() / half_life.as_secs_f64();
@@ -32,8 +32,8 @@
     }
 
     /// Adds one to the value at `now`.
-    pub fn add(&mut self, half_life: Duration, now: Instant) {
-        self.value = self.at(half_life, now) + 1.0;
+    pub fn increment(&mut self, half_life: Duration, now: Instant) {
+        self.value = self.value_at(half_life, now) + 1.0;
         self.as_of = Some(now);
     }
 }
--- a/crates/gradedyke-turns/src/desk.rs
+++ b/crates/gradedyke-turns/src/desk.rs
@@ -15,7 +15,7 @@
 use crate::feed;
 use crate::message::{self, Begin, Reply, Request};
 use crate::mirror::Mirror;
-use crate::pressure::{Gauge, Pressure};
+use crate::pressure::{Meter, Pressure};
 use crate::replica::Replica;
 use crate::tally::{RequestKind, RequestStats};
 
@@ -48,17 +48,17 @@
 
 /// Handles requests from other processes. Changes of the mirror are served at once; requests
 /// for records wait until the replica has opened its disk.
-pub struct Desk {
+pub struct Dispatcher {
     mirror: Arc<Mirror>,
     replica: watch::Receiver<Option<Arc<Replica>>>,
     begins_in_flight: AtomicUsize,
     others_in_flight: AtomicUsize,
     backlog: Backlog,
-    gauge: Mutex<Gauge>,
+    gauge: Mutex<Meter>,
     stats: Mutex<RequestStats>,
 }
 
-impl Desk {
+impl Dispatcher {
     /// Creates a handler that serves changes of `mirror`, and passes requests for records to
     /// `replica` once it is available.
     pub fn new(mirror: Arc<Mirror>, replica: watch::Receiver<Option<Arc<Replica>>>) -> Self {
@@ -122,17 +122,19 @@
         } = request
         {
             if let Some(replica) = &*self.replica.borrow() {
-                replica.board().note(address, Instant::now());
+                replica
+                    .load_reports()
+                    .record_address(address, Instant::now());
             }
             let wait = Duration::from_millis(wait_ms.into());
-            let mut news = feed::tell(&self.mirror, &cursor, wait).await;
+            let mut news = feed::long_poll(&self.mirror, &cursor, wait).await;
             if let Some(replica) = &*self.replica.borrow() {
-                news.neighbours = replica.board().neighbours(Instant::now());
+                news.neighbours = replica.load_reports().sample_neighbours(Instant::now());
             }
             return Reply::News(news);
         }
         if matches!(request, Request::Age) {
-            return feed::tell_age(&self.mirror, Instant::now());
+            return feed::age_reply(&self.mirror, Instant::now());
         }
         let is_begin = matches!(request, Request::Begin(_));
         let Some(_permit) = self.admit(&request, queue_delay) else {
@@ -154,7 +156,7 @@
     fn record_attempt(&self, rejected: bool) -> Pressure {
         let now = Instant::now();
         let mut gauge = self.gauge.lock().unwrap_or_else(PoisonError::into_inner);
-        gauge.count(rejected, now);
+        gauge.record_attempt(rejected, now);
         gauge.pressure(now)
     }
 
@@ -170,11 +172,11 @@
             Request::Begin(begin) => self.begin(replica, begin).await,
             Request::Keep { .. } | Request::KeepAll { .. } => {
                 let started = Instant::now();
-                let reply = replica.answer(request).await;
+                let reply = replica.handle(request).await;
                 self.lock_stats().record_response_time(started.elapsed());
                 reply
             }
-            _ => replica.answer(request).await,
+            _ => replica.handle(request).await,
         }
     }
 
@@ -184,7 +186,7 @@
             return self.reject(true);
         };
         let current = self.record_attempt(false);
-        let mut reply = replica.answer(Request::Begin(begin)).await;
+        let mut reply = replica.handle(Request::Begin(begin)).await;
         self.lock_stats().record_response_time(started.elapsed());
         if let Reply::Began { pressure, .. } = &mut reply {
             *pressure = current;
@@ -194,7 +196,7 @@
 }
 
 #[async_trait]
-impl Handler for Desk {
+impl Handler for Dispatcher {
     async fn handle(&self, request: Bytes, arrived: Instant) -> Bytes {
         let reply = match message::decode(&request) {
             Some(request) => {
--- a/crates/gradedyke-turns/src/detour.rs
+++ b/crates/gradedyke-turns/src/detour.rs
@@ -47,12 +47,12 @@
         let (to, body) = match request {
             Request::Hello => return Reply::Hello,
             Request::Via { to, body } => (to, body),
-            Request::Age => return feed::tell_age(self.quorum.mirror(), Instant::now()),
+            Request::Age => return feed::age_reply(self.quorum.mirror(), Instant::now()),
             Request::Follow {
                 cursor, wait_ms, ..
             } => {
                 let wait = Duration::from_millis(wait_ms.into());
-                return Reply::News(feed::tell(self.quorum.mirror(), &cursor, wait).await);
+                return Reply::News(feed::long_poll(self.quorum.mirror(), &cursor, wait).await);
             }
             _ => return Reply::Failed("a gateway stores no records; ask a replica".to_owned()),
         };
--- a/crates/gradedyke-turns/src/feed.rs
+++ b/crates/gradedyke-turns/src/feed.rs
@@ -17,10 +17,10 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::message::{self, Reply, Request};
-use crate::mirror::{Cursor, Item, Mirror, News};
+use crate::mirror::{Cursor, Item, Mirror, Update};
 use crate::quorum::Quorum;
 
-pub use reader::{ENTRY_START, KEEPER_START, Reader, Standby};
+pub use reader::{ENTRY_START_GRACE, KEEPER_START_GRACE, Policy, Standby};
 
 /// How long a source may hold a request while it has no changes (long polling).
 const LONG_POLL_WAIT: Duration = Duration::from_millis(300);
@@ -45,20 +45,20 @@
 
 /// Returns what changed in `mirror` after `cursor`, waiting up to `wait` for a change. If
 /// nothing changed, the result still holds the age of the copy.
-pub async fn tell(mirror: &Mirror, cursor: &Cursor, wait: Duration) -> News {
+pub async fn long_poll(mirror: &Mirror, cursor: &Cursor, wait: Duration) -> Update {
     let received_at = Instant::now();
-    let mut changed = mirror.watch();
-    let update = mirror.news(cursor, received_at, received_at);
+    let mut changed = mirror.subscribe();
+    let update = mirror.update_since(cursor, received_at, received_at);
     if !update.items.is_empty() || update.listing {
         return update;
     }
     let change = changed.wait_for(|change| *change > cursor.change);
     let _ = tokio::time::timeout(wait.min(MAX_LONG_POLL_WAIT), change).await;
-    mirror.news(cursor, received_at, Instant::now())
+    mirror.update_since(cursor, received_at, Instant::now())
 }
 
 /// Returns the reply to [`Request::Age`]: how old the copy in `mirror` is.
-pub fn tell_age(mirror: &Mirror, now: Instant) -> Reply {
+pub fn age_reply(mirror: &Mirror, now: Instant) -> Reply {
     let age = mirror.age(now);
     Reply::Age(age.map(|a| u64::try_from(a.as_millis()).unwrap_or(u64::MAX)))
 }
@@ -67,10 +67,10 @@
 #[async_trait]
 pub trait Peers: Send + Sync {
     /// The address where this process forwards requests of other gateways, if it does.
-    fn own(&self) -> Option<SocketAddr>;
+    fn forwarding_address(&self) -> Option<SocketAddr>;
 
     /// Whether no replica could be reached at the last try.
-    fn cut_off(&self) -> bool;
+    fn is_isolated(&self) -> bool;
 
     /// Sends `request` to the process at `peer` and waits for its reply for at most
     /// `timeout`.
@@ -78,17 +78,17 @@
     /// # Errors
     ///
     /// [`Unanswered`] when the call fails or the reply cannot be decoded.
-    async fn ask(
+    async fn call(
         &self,
         peer: SocketAddr,
         request: &Request,
         timeout: Duration,
-    ) -> Result<Reply, Unanswered>;
+    ) -> Result<Reply, Error>;
 }
 
 /// Failure of a call to another process.
 #[derive(Debug, thiserror::Error)]
-pub enum Unanswered {
+pub enum Error {
     /// The call failed.
     #[error(transparent)]
     Failed(#[from] gradedyke_peer::Error),
@@ -99,23 +99,23 @@
 
 #[async_trait]
 impl Peers for Quorum {
-    fn own(&self) -> Option<SocketAddr> {
-        Quorum::own(self)
+    fn forwarding_address(&self) -> Option<SocketAddr> {
+        Quorum::forwarding_address(self)
     }
 
-    fn cut_off(&self) -> bool {
-        Quorum::cut_off(self)
+    fn is_isolated(&self) -> bool {
+        Quorum::is_isolated(self)
     }
 
-    async fn ask(
+    async fn call(
         &self,
         peer: SocketAddr,
         request: &Request,
         timeout: Duration,
-    ) -> Result<Reply, Unanswered> {
+    ) -> Result<Reply, Error> {
         let client = self.client(peer);
         let reply = client.call(message::encode(request), timeout).await?;
-        message::decode(&reply).ok_or(Unanswered::InvalidReply)
+        message::decode(&reply).ok_or(Error::InvalidReply)
     }
 }
 
@@ -124,7 +124,7 @@
 pub async fn run(
     mirror: Arc<Mirror>,
     peers: Arc<dyn Peers>,
-    reader: Arc<Reader>,
+    reader: Arc<Policy>,
     sources: impl Fn() -> Vec<SocketAddr>,
     stop: CancellationToken,
 ) {
@@ -164,7 +164,7 @@
 /// otherwise. Turns continue through forwarded requests then, but API keys are accepted only
 /// while the platform's service confirms them, so the copy has to stay fresh.
 fn neighbours(mirror: &Mirror, peers: &dyn Peers) -> Vec<SocketAddr> {
-    let Some(own) = peers.own().filter(|_| peers.cut_off()) else {
+    let Some(own) = peers.forwarding_address().filter(|_| peers.is_isolated()) else {
         return Vec::new();
     };
     let mut neighbours = mirror.neighbours();
@@ -231,7 +231,7 @@
 /// A process of `neighbours` is returned only if its copy is fresh.
 async fn select_source(
     peers: &dyn Peers,
-    reader: &Reader,
+    reader: &Policy,
     sources: &[SocketAddr],
     neighbours: &[SocketAddr],
 ) -> Option<SocketAddr> {
@@ -265,7 +265,7 @@
 async fn fetch_age(peers: &dyn Peers, source: SocketAddr) -> Option<Duration> {
     let mut wait = RETRY_DELAY;
     loop {
-        let reply = peers.ask(source, &Request::Age, CALL_TIMEOUT).await;
+        let reply = peers.call(source, &Request::Age, CALL_TIMEOUT).await;
         if let Ok(Reply::Age(age)) = reply {
             return age.map(Duration::from_millis);
         }
@@ -279,7 +279,7 @@
 async fn follow(
     mirror: &Mirror,
     peers: &dyn Peers,
-    reader: &Reader,
+    reader: &Policy,
     session: &mut Session<'_>,
 ) -> EndReason {
     let source = session.source;
@@ -287,21 +287,21 @@
     let started = Instant::now();
     loop {
         let cursor = Cursor {
-            through: mirror.complete_revision(),
+            complete_revision: mirror.complete_revision(),
             ..session.position.cursor
         };
         let request = Request::Follow {
             cursor,
             wait_ms,
-            address: peers.own(),
+            address: peers.forwarding_address(),
         };
         let sent = Instant::now();
-        let update = match peers.ask(source, &request, CALL_TIMEOUT).await {
+        let update = match peers.call(source, &request, CALL_TIMEOUT).await {
             Ok(Reply::News(update)) => update,
-            Ok(_) | Err(Unanswered::InvalidReply) => return EndReason::InvalidReply,
-            Err(Unanswered::Failed(_)) => return EndReason::NoReply,
+            Ok(_) | Err(Error::InvalidReply) => return EndReason::InvalidReply,
+            Err(Error::Failed(_)) => return EndReason::NoReply,
         };
-        let items = match update.items.unpack() {
+        let items = match update.items.decode() {
             Ok(items) => items,
             Err(error) => {
                 tracing::warn!(event = "news_not_read", %source, %error);
@@ -318,7 +318,7 @@
         let Some(items) = session.position.advance(&update, items) else {
             continue;
         };
-        mirror.learn(update, items, sent, now);
+        mirror.apply_update(update, items, sent, now);
         if !std::mem::replace(&mut session.is_logged, true) {
             tracing::info!(
                 event = "feed_joined",
@@ -346,7 +346,7 @@
 
     /// Moves the cursor past `update`, which holds `items`. Returns the items that can be
     /// applied: changes, or a complete listing with its last page.
-    fn advance(&mut self, update: &News, mut items: Vec<Item>) -> Option<Vec<Item>> {
+    fn advance(&mut self, update: &Update, mut items: Vec<Item>) -> Option<Vec<Item>> {
         if update.boot != self.cursor.boot || !update.listing {
             self.partial_listing.clear();
         }
--- a/crates/gradedyke-turns/src/feed/reader.rs
+++ b/crates/gradedyke-turns/src/feed/reader.rs
@@ -29,9 +29,9 @@
 
 /// Grace period of a gateway after its start, in which replicas, which may be starting
 /// too, read the service.
-pub const ENTRY_START: Duration = Duration::from_secs(2);
+pub const ENTRY_START_GRACE: Duration = Duration::from_secs(2);
 /// Grace period of a replica after its start, in which the seed replicas read the service.
-pub const KEEPER_START: Duration = Duration::from_millis(400);
+pub const KEEPER_START_GRACE: Duration = Duration::from_millis(400);
 
 /// Age of the copy above which a standby reads the service itself.
 const STANDBY_MAX_AGE: Duration = Duration::from_millis(1_100);
@@ -41,7 +41,7 @@
 
 /// Decides for a process that follows replicas.
 #[derive(Debug)]
-pub struct Reader {
+pub struct Policy {
     /// The time in which a change must be in force.
     in_force: Duration,
     state: Mutex<State>,
@@ -55,7 +55,7 @@
     answered_at: Instant,
 }
 
-impl Reader {
+impl Policy {
     /// Creates the reader of a process that starts at `now` and waits `grace` for the
     /// first update. A change must be in force after `in_force`.
     pub fn new(now: Instant, grace: Duration, in_force: Duration) -> Self {
--- a/crates/gradedyke-turns/src/index.rs
+++ b/crates/gradedyke-turns/src/index.rs
@@ -25,11 +25,11 @@
 
 use crate::body::{Body, Cache};
 use crate::conversation::{Conversation, Part};
-use crate::log::{Place, Segment};
+use crate::log::{Location, Segment};
 use crate::record::{Id, Key, Kind, Record, Turn};
 use request::{Program, Request, TurnEntry, WriteState};
 
-pub use answer::Answer;
+pub use answer::Lookup;
 
 /// Added to the requested retention time: the caller measures it from the last byte
 /// it receives, the replica from when the record is applied.
@@ -57,7 +57,7 @@
 
 /// Limit for the turn bodies that a replica caches in memory, in bytes. Older bodies
 /// are read from disk.
-pub const BODIES: usize = 12 << 20;
+pub const MAX_CACHED_BODY_BYTES: usize = 12 << 20;
 
 /// Index of a replica's records by request and program.
 pub struct Index {
@@ -102,7 +102,7 @@
     }
 
     /// Returns whether the record with `key` is stored on this replica's disk.
-    pub fn stored(&self, key: &Key) -> bool {
+    pub fn is_stored(&self, key: &Key) -> bool {
         let request = self.find(&key.request);
         let state = request.and_then(|r| r.write_states[key.kind as usize]);
         state.is_some_and(|s| s.location().is_some())
@@ -128,17 +128,17 @@
     }
 
     /// Applies a record that is on disk at `location`. Caches the body of a turn only if
-    /// `cache_body` is set. Returns whether the record is new.
-    pub fn recover(
+    /// `cache_turn_body` is set. Returns whether the record is new.
+    pub fn apply_stored(
         &mut self,
         record: &Record,
-        location: Place,
-        cache_body: bool,
+        location: Location,
+        cache_turn_body: bool,
         now: Instant,
     ) -> bool {
-        let new = self.insert_record(record, location.segment, cache_body, now);
+        let new = self.insert_record(record, location.segment, cache_turn_body, now);
         if new {
-            self.place(&record.key(), location);
+            self.set_location(&record.key(), location);
         }
         new
     }
@@ -147,7 +147,7 @@
         &mut self,
         record: &Record,
         segment: Segment,
-        cache_body: bool,
+        cache_turn_body: bool,
         now: Instant,
     ) -> bool {
         let Key { kind, request } = record.key();
@@ -155,7 +155,7 @@
         if self.requests[key].has_record(kind) {
             return false;
         }
-        let expires_at = now + record.keep() + RETENTION_MARGIN;
+        let expires_at = now + record.retention() + RETENTION_MARGIN;
         match record {
             Record::Reserved(reserved) => {
                 self.add_attempt(&reserved.program, key, expires_at);
@@ -167,8 +167,8 @@
             }
             Record::Turn(turn) => {
                 self.insert_turn(key, turn, expires_at, now);
-                if cache_body {
-                    self.cache_body(key, turn);
+                if cache_turn_body {
+                    self.cache_turn_body(key, turn);
                 }
             }
         }
@@ -200,7 +200,7 @@
     }
 
     /// Caches the body of a turn in memory.
-    fn cache_body(&mut self, key: RequestKey, turn: &Turn) {
+    fn cache_turn_body(&mut self, key: RequestKey, turn: &Turn) {
         let body = Body {
             input: turn.input.clone(),
             output: turn.output.clone(),
@@ -219,7 +219,7 @@
 
     /// Sets the location of a record that has been written to disk. The body of a turn
     /// may be evicted from memory from then on.
-    pub fn place(&mut self, key: &Key, location: Place) {
+    pub fn set_location(&mut self, key: &Key, location: Location) {
         let request = self.request_keys.get(&key.request).copied();
         let request = request.and_then(|r| self.requests.get_mut(r));
         let state = request.and_then(|r| r.write_states[key.kind as usize].as_mut());
@@ -235,7 +235,7 @@
     }
 
     /// Caches a turn's body that was read from disk.
-    pub fn restore(&mut self, request: &Id, body: Body) {
+    pub fn cache_body(&mut self, request: &Id, body: Body) {
         let Some(key) = self.request_keys.get(request).copied() else {
             return;
         };
@@ -311,12 +311,12 @@
 
     /// Returns whether the index contains a turn and all its ancestors.
     pub fn has_chain(&self, id: &Id) -> bool {
-        self.missing(id).is_none()
+        self.first_missing_ancestor(id).is_none()
     }
 
     /// Returns the first of a turn and its ancestors, newest first, that the index does
     /// not contain.
-    pub fn missing(&self, id: &Id) -> Option<Id> {
+    pub fn first_missing_ancestor(&self, id: &Id) -> Option<Id> {
         let Some(mut key) = self.request_keys.get(id).copied() else {
             return Some(id.clone());
         };
@@ -347,22 +347,22 @@
 
     fn part(&mut self, key: RequestKey) -> Option<Part> {
         if let Some(body) = self.bodies.get(key) {
-            return Some(Part::Held(body));
+            return Some(Part::InMemory(body));
         }
         let state = self.requests[key].write_states[Kind::Turn as usize]?;
-        state.location().map(Part::Stored)
+        state.location().map(Part::OnDisk)
     }
 
     /// Returns the position after the last applied record.
-    pub fn end(&self) -> Position {
+    pub fn end_position(&self) -> Position {
         self.first_position + self.arrivals.len() as u64
     }
 
     /// Returns the keys of up to `limit` records from position `from` on, without those
     /// that have expired, and the position after them. A `from` before the first known
     /// position starts at that one: all records before it have expired.
-    pub fn arrived(&self, from: Position, limit: usize) -> (Vec<Key>, Position) {
-        let from = from.clamp(self.first_position, self.end());
+    pub fn keys_since(&self, from: Position, limit: usize) -> (Vec<Key>, Position) {
+        let from = from.clamp(self.first_position, self.end_position());
         let skip = usize::try_from(from - self.first_position).unwrap_or(usize::MAX);
         let page = self.arrivals.iter().skip(skip).take(limit);
         let next = from + page.len() as u64;
@@ -378,12 +378,12 @@
     }
 
     /// Stops tracking a segment that was removed from disk.
-    pub fn removed(&mut self, segment: Segment) {
+    pub fn forget_segment(&mut self, segment: Segment) {
         self.live_records.remove(&segment);
     }
 
     /// Returns the number of turns and the number of programs in the index.
-    pub fn sizes(&self) -> (usize, usize) {
+    pub fn counts(&self) -> (usize, usize) {
         (self.turn_count, self.programs.len())
     }
 }
--- a/crates/gradedyke-turns/src/index/answer.rs
+++ b/crates/gradedyke-turns/src/index/answer.rs
@@ -5,40 +5,40 @@
 use super::request::Request;
 use super::{Index, RequestKey};
 use crate::conversation::Part;
-use crate::log::Place;
+use crate::log::Location;
 use crate::record::{Id, Key, Kind, Record, Reserved, Settled, Turn};
 
 /// A record found in the index.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum Lookup {
     /// The record, rebuilt from memory.
-    Held(Record),
+    InMemory(Record),
     /// The location of a record that is only on disk.
-    Stored(Place),
+    OnDisk(Location),
 }
 
 impl Index {
     /// Returns the record with `key`, or `None` if the index does not contain it. The
     /// retention time of a reservation or settlement is what is left of it at `now`.
-    pub fn record(&mut self, key: &Key, now: Instant) -> Option<Answer> {
+    pub fn record(&mut self, key: &Key, now: Instant) -> Option<Lookup> {
         let request = *self.request_keys.get(&key.request)?;
         match key.kind {
             Kind::Turn => self.turn_record(request),
-            Kind::Reserved => self.reserved_record(request, now).map(Answer::Held),
-            Kind::Settled => self.settled_record(request, now).map(Answer::Held),
+            Kind::Reserved => self.reserved_record(request, now).map(Lookup::InMemory),
+            Kind::Settled => self.settled_record(request, now).map(Lookup::InMemory),
         }
     }
 
-    fn turn_record(&mut self, key: RequestKey) -> Option<Answer> {
+    fn turn_record(&mut self, key: RequestKey) -> Option<Lookup> {
         let part = self.part(key)?;
         let request = &self.requests[key];
         let turn = request.turn.as_ref()?;
         let body = match part {
-            Part::Held(body) => body,
-            Part::Stored(location) => return Some(Answer::Stored(location)),
+            Part::InMemory(body) => body,
+            Part::OnDisk(location) => return Some(Lookup::OnDisk(location)),
         };
         let parent = turn.parent.map(|key| self.requests[key].id.clone());
-        Some(Answer::Held(Record::Turn(Turn {
+        Some(Lookup::InMemory(Record::Turn(Turn {
             request: request.id.clone(),
             parent,
             input: body.input,
--- a/crates/gradedyke-turns/src/index/request.rs
+++ b/crates/gradedyke-turns/src/index/request.rs
@@ -3,7 +3,7 @@
 use tokio::time::Instant;
 
 use super::{ProgramKey, RequestKey};
-use crate::log::{Place, Segment};
+use crate::log::{Location, Segment};
 use crate::record::{Id, Kind};
 
 /// Whether a record has been written to disk, and where.
@@ -12,7 +12,7 @@
     /// The record is being written to this segment.
     Pending(Segment),
     /// The record is on disk at this location.
-    Stored(Place),
+    Stored(Location),
 }
 
 impl WriteState {
@@ -23,7 +23,7 @@
         }
     }
 
-    pub(super) fn location(self) -> Option<Place> {
+    pub(super) fn location(self) -> Option<Location> {
         match self {
             Self::Pending(_) => None,
             Self::Stored(location) => Some(location),
--- a/crates/gradedyke-turns/src/load.rs
+++ b/crates/gradedyke-turns/src/load.rs
@@ -17,10 +17,10 @@
 use crate::record::Id;
 
 /// A 32-bit hash of a backend server's name, to keep messages small.
-pub type Server = u32;
+pub type ServerHash = u32;
 
 /// Returns the hash of a backend server's name.
-pub fn server(id: &Id) -> Server {
+pub fn server_hash(id: &Id) -> ServerHash {
     let mut hasher = DefaultHasher::new();
     id.as_str().hash(&mut hasher);
     // On a collision both servers only seem busier than they are.
@@ -29,9 +29,9 @@
 
 /// Load and recent results of one backend server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Busy {
+pub struct ServerLoad {
     /// Hash of the server's name.
-    pub server: Server,
+    pub server: ServerHash,
     /// Requests in flight.
     pub requests: u32,
     /// Recent requests that failed because of the server.
@@ -54,7 +54,7 @@
     /// Where it forwards requests of other gateways, if it does.
     pub address: Option<SocketAddr>,
     /// Load and recent results of the servers that it uses.
-    pub busy: Vec<Busy>,
+    pub busy: Vec<ServerLoad>,
 }
 
 /// How long a report is counted. Gateways with requests in flight report more often than this.
@@ -68,29 +68,29 @@
 
 /// The latest reports of all gateways.
 #[derive(Debug, Default)]
-pub struct Board {
-    reports: HashMap<u64, (Instant, Vec<Busy>)>,
+pub struct Aggregator {
+    reports: HashMap<u64, (Instant, Vec<ServerLoad>)>,
     addresses: HashMap<SocketAddr, Instant>,
 }
 
-impl Board {
+impl Aggregator {
     /// Stores a gateway's report, replacing its previous one.
-    pub fn put(&mut self, report: Report, now: Instant) {
+    pub fn record_report(&mut self, report: Report, now: Instant) {
         self.reports
             .retain(|_, (at, _)| now.saturating_duration_since(*at) < REPORT_TTL);
         self.reports.insert(report.entry, (now, report.busy));
-        self.note(report.address, now);
+        self.record_address(report.address, now);
     }
 
     /// Records that the gateway at `address` is running.
-    pub fn note(&mut self, address: Option<SocketAddr>, now: Instant) {
+    pub fn record_address(&mut self, address: Option<SocketAddr>, now: Instant) {
         if let Some(address) = address {
             self.addresses.insert(address, now);
         }
     }
 
     /// Returns the addresses of some running gateways, chosen at random.
-    pub fn neighbours(&mut self, now: Instant) -> Vec<SocketAddr> {
+    pub fn sample_neighbours(&mut self, now: Instant) -> Vec<SocketAddr> {
         self.addresses
             .retain(|_, at| now.saturating_duration_since(*at) < NEIGHBOUR_TTL);
         let mut chosen: Vec<SocketAddr> = self.addresses.keys().copied().collect();
@@ -111,8 +111,8 @@
     /// board.put(Report { entry: 2, address: None, busy: busy(3) }, now);
     /// assert_eq!(board.others(1, now), busy(3));
     /// ```
-    pub fn others(&self, gateway: u64, now: Instant) -> Vec<Busy> {
-        let mut sums: HashMap<Server, Busy> = HashMap::new();
+    pub fn total_excluding(&self, gateway: u64, now: Instant) -> Vec<ServerLoad> {
+        let mut sums: HashMap<ServerHash, ServerLoad> = HashMap::new();
         let is_fresh = |at: Instant| now.saturating_duration_since(at) < REPORT_TTL;
         let others = self
             .reports
--- a/crates/gradedyke-turns/src/log/mod.rs
+++ b/crates/gradedyke-turns/src/log/mod.rs
@@ -33,7 +33,7 @@
 
 /// Location of a record on disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct Location {
     /// Segment that contains the record.
     pub segment: Segment,
     /// Offset of the record's header in the segment, in bytes.
@@ -191,7 +191,7 @@
     }
 
     /// Returns the number of the segment that is being written.
-    pub fn segment(&self) -> Segment {
+    pub fn active_segment(&self) -> Segment {
         self.active_segment.load(Ordering::Acquire)
     }
 
@@ -206,7 +206,7 @@
     /// # Errors
     ///
     /// Returns [`Error::Write`] if the write failed. The record may or may not be on disk.
-    pub async fn append(&self, record: &Record) -> Result<Place, Error> {
+    pub async fn append(&self, record: &Record) -> Result<Location, Error> {
         let (reply, synced) = oneshot::channel();
         let write = PendingWrite {
             bytes: encode_record(record),
@@ -225,7 +225,7 @@
     /// # Errors
     ///
     /// Returns [`Error::Read`] if a record is missing, incomplete or corrupt.
-    pub fn read(&self, locations: &[Place]) -> Result<Vec<Record>, Error> {
+    pub fn read(&self, locations: &[Location]) -> Result<Vec<Record>, Error> {
         let mut records = Vec::with_capacity(locations.len());
         for chunk in locations.chunk_by(|a, b| a.segment == b.segment) {
             let path = segment_path(&self.folder, chunk[0].segment);
@@ -243,7 +243,7 @@
     /// # Errors
     ///
     /// Returns [`Error::Read`] if the segment cannot be read.
-    pub fn records(&self, segment: Segment) -> Result<Vec<(Record, Place)>, Error> {
+    pub fn read_segment(&self, segment: Segment) -> Result<Vec<(Record, Location)>, Error> {
         let mut records = Vec::new();
         scan_segment(&self.folder, segment, |body, location| {
             records.push((decode_record(body)?, location));
@@ -255,8 +255,8 @@
 
     /// Removes a segment and its table from disk, unless the segment is being written.
     /// Returns whether the segment was removed.
-    pub fn remove(&self, segment: Segment) -> bool {
-        if segment >= self.segment() {
+    pub fn remove_segment(&self, segment: Segment) -> bool {
+        if segment >= self.active_segment() {
             return false;
         }
         let removed = fs::remove_file(segment_path(&self.folder, segment));
@@ -273,11 +273,11 @@
 fn scan_segment(
     folder: &Path,
     segment: Segment,
-    mut visit: impl FnMut(&[u8], Place) -> Option<()>,
+    mut visit: impl FnMut(&[u8], Location) -> Option<()>,
 ) -> io::Result<usize> {
     let bytes = fs::read(segment_path(folder, segment))?;
     let whole = parse_records(&bytes, |body, offset, len| {
-        let location = Place {
+        let location = Location {
             segment,
             offset: saturating_u32(offset),
             len: saturating_u32(len),
@@ -316,7 +316,7 @@
     Ok(Some(table))
 }
 
-fn read_record(file: &File, location: Place) -> io::Result<Record> {
+fn read_record(file: &File, location: Location) -> io::Result<Record> {
     let mut bytes = vec![0; location.len as usize];
     file.read_exact_at(&mut bytes, location.offset.into())?;
     let record = parse_record(&bytes).and_then(decode_record);
--- a/crates/gradedyke-turns/src/log/table.rs
+++ b/crates/gradedyke-turns/src/log/table.rs
@@ -7,7 +7,7 @@
 use std::path::{Path, PathBuf};
 use std::{fs, io};
 
-use super::{Outline, Place, Segment};
+use super::{Location, Outline, Segment};
 use crate::record::{Id, Kind};
 
 /// First bytes of a table file. They change with the file format; a table in another
@@ -50,7 +50,7 @@
 
 impl Table {
     /// Inserts the location of a record. Call [`Table::sort`] before the first lookup.
-    pub fn insert(&mut self, outline: &Outline<'_>, location: Place) {
+    pub fn insert(&mut self, outline: &Outline<'_>, location: Location) {
         let entry = |id: &str| Entry {
             id_hash: hash_id(id),
             offset: location.offset,
@@ -84,13 +84,13 @@
 
     /// Returns the candidate locations of a program's records. `segment` is the segment
     /// that this table belongs to.
-    pub fn find_program(&self, segment: Segment, program: &Id) -> Vec<Place> {
+    pub fn find_program(&self, segment: Segment, program: &Id) -> Vec<Location> {
         find_entries(&self.programs, segment, program)
     }
 
     /// Returns the candidate locations of a request's turn. `segment` is the segment that
     /// this table belongs to.
-    pub fn find_turn(&self, segment: Segment, request: &Id) -> Vec<Place> {
+    pub fn find_turn(&self, segment: Segment, request: &Id) -> Vec<Location> {
         find_entries(&self.turns, segment, request)
     }
 
@@ -182,11 +182,11 @@
 }
 
 /// Returns the locations of the entries with the hash of `id`. `entries` must be sorted.
-fn find_entries(entries: &[Entry], segment: Segment, id: &Id) -> Vec<Place> {
+fn find_entries(entries: &[Entry], segment: Segment, id: &Id) -> Vec<Location> {
     let id_hash = hash_id(id.as_str());
     let first = entries.partition_point(|e| e.id_hash < id_hash);
     let matching = entries[first..].iter().take_while(|e| e.id_hash == id_hash);
-    let location = |entry: &Entry| Place {
+    let location = |entry: &Entry| Location {
         segment,
         offset: entry.offset,
         len: entry.len,
--- a/crates/gradedyke-turns/src/log/writer.rs
+++ b/crates/gradedyke-turns/src/log/writer.rs
@@ -9,7 +9,7 @@
 use tokio::sync::{mpsc, oneshot, watch};
 
 use super::{
-    Outline, Place, RECORD_HEADER_BYTES, SEGMENT_ROTATION_BYTES, Segment, Table, create_segment,
+    Location, Outline, RECORD_HEADER_BYTES, SEGMENT_ROTATION_BYTES, Segment, Table, create_segment,
     saturating_u32,
 };
 
@@ -18,7 +18,7 @@
     /// The encoded record with its header.
     pub bytes: Vec<u8>,
     /// Receives the record's location, or `None` if the write failed.
-    pub reply: oneshot::Sender<Option<Place>>,
+    pub reply: oneshot::Sender<Option<Location>>,
 }
 
 /// Writes records to the active segment and starts new segments.
@@ -76,7 +76,7 @@
         let mut next_offset = first_offset.unwrap_or_default();
         let segment = self.active_segment.load(Ordering::Acquire);
         for write in batch {
-            let location = Place {
+            let location = Location {
                 segment,
                 offset: saturating_u32(next_offset),
                 len: saturating_u32(write.bytes.len()),
--- a/crates/gradedyke-turns/src/membership/decide.rs
+++ b/crates/gradedyke-turns/src/membership/decide.rs
@@ -8,7 +8,7 @@
 
 use super::spread::Spread;
 use crate::sync::Progress;
-use crate::view::{Disk, Member, View};
+use crate::view::{DiskId, Member, View};
 
 /// How long a member must be unreachable before a spare may replace it. A killed
 /// process usually restarts within this time.
@@ -56,7 +56,7 @@
     /// How many disks may be lost at the same time without losing records.
     pub tolerate: usize,
     /// Delay before this replica joins where several may, as drawn by [`turn`].
-    pub turn: Duration,
+    pub join_delay: Duration,
 }
 
 fn max_jitter(first_start: bool) -> Duration {
@@ -69,7 +69,7 @@
 
 /// Draws a random delay before a replica joins, so that replicas rarely try to join
 /// at the same time.
-pub fn turn(first_start: bool) -> Duration {
+pub fn draw_join_delay(first_start: bool) -> Duration {
     max_jitter(first_start).mul_f64(rand::random())
 }
 
@@ -79,9 +79,9 @@
     /// The current view.
     pub view: &'a View,
     /// The replica's own disk.
-    pub disk: Disk,
+    pub disk: DiskId,
     /// How far it has synced from each other member.
-    pub progress: &'a HashMap<Disk, Progress>,
+    pub progress: &'a HashMap<DiskId, Progress>,
     /// Since when its own instance is to be retired, if it is.
     pub leave_since: Option<Instant>,
     /// Names of all instances that are to be retired.
@@ -176,7 +176,7 @@
     } else {
         max_jitter(config.first_start) + PRIORITY_WINDOW
     };
-    now - observation.unchanged_since >= priority_delay + config.turn
+    now - observation.unchanged_since >= priority_delay + config.join_delay
 }
 
 /// Whether this replica should join although no place is vacant, so that a member in
@@ -187,7 +187,7 @@
     }
     let spread = Spread::new(&observation.view.members, &config.data_centres);
     spread.is_underrepresented(&config.data_centre)
-        && now - observation.unchanged_since >= REBALANCE_DELAY + config.turn
+        && now - observation.unchanged_since >= REBALANCE_DELAY + config.join_delay
 }
 
 /// Adds this replica to the view. At a first start it is active at once as long as
@@ -244,7 +244,9 @@
             .is_some_and(|at| now - at >= REPLACE_TIMEOUT)
         {
             unreachable.push(member.disk);
-        } else if progress.unreachable_since.is_none() && progress.level >= Some(view.version) {
+        } else if progress.unreachable_since.is_none()
+            && progress.synced_version >= Some(view.version)
+        {
             synced += 1;
         } else {
             return None;
@@ -315,7 +317,7 @@
 }
 
 /// Returns the next view, without the member on `disk`.
-fn remove(view: &View, disk: Disk) -> View {
+fn remove(view: &View, disk: DiskId) -> View {
     let mut members = view.members.clone();
     members.retain(|m| m.disk != disk);
     view.with_members(members)
--- a/crates/gradedyke-turns/src/membership/mod.rs
+++ b/crates/gradedyke-turns/src/membership/mod.rs
@@ -27,12 +27,12 @@
 use tokio::time::Instant;
 use tokio_util::sync::{CancellationToken, DropGuard};
 
-pub use self::decide::{Config, Observation, decide, turn};
+pub use self::decide::{Config, Observation, decide, draw_join_delay};
 use crate::index::Position;
 use crate::mirror::{self, Mirror};
 use crate::replica::Replica;
 use crate::sync::{Follower, Progress};
-use crate::view::{self, Disk, Member, View};
+use crate::view::{self, DiskId, Member, View};
 
 /// How far another replica may lag behind and still be considered caught up. Covers a
 /// follower's delay before it fetches missing records, and one call.
@@ -41,11 +41,11 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Operators' requests to retire an instance, in the platform's format.
-pub trait Removal: Send + Sync {
+pub trait Retirement: Send + Sync {
     /// Returns the names of the instances that are to be retired.
-    fn requested(&self, mirror: &Mirror) -> HashSet<String>;
+    fn retiring_instances(&self, mirror: &Mirror) -> HashSet<String>;
     /// Returns the key and value that report whether the instance `name` has left the view.
-    fn status(&self, name: &str, done: bool) -> (String, Vec<u8>);
+    fn retire_status(&self, name: &str, done: bool) -> (String, Vec<u8>);
 }
 
 /// Keeps the view up to date on behalf of one replica.
@@ -53,8 +53,8 @@
     config: Config,
     replica: Arc<Replica>,
     kv: Arc<dyn KeyValue>,
-    removal: Arc<dyn Removal>,
-    followers: HashMap<(Disk, SocketAddr), FollowerHandle>,
+    removal: Arc<dyn Retirement>,
+    followers: HashMap<(DiskId, SocketAddr), FollowerHandle>,
     tasks: JoinSet<()>,
     /// The retirement status last written for the operator.
     reported_done: Option<bool>,
@@ -72,7 +72,7 @@
     /// The version of the view.
     version: u64,
     /// Unreachable members.
-    unreachable: BTreeSet<Disk>,
+    unreachable: BTreeSet<DiskId>,
     /// Names of the instances that are to be retired.
     retiring: BTreeSet<String>,
 }
@@ -89,7 +89,7 @@
         config: Config,
         replica: Arc<Replica>,
         kv: Arc<dyn KeyValue>,
-        removal: Arc<dyn Removal>,
+        removal: Arc<dyn Retirement>,
     ) -> Self {
         Self {
             config,
@@ -107,7 +107,7 @@
 
     /// Checks and changes the view as needed until `stop` is cancelled.
     pub async fn run(mut self, stop: CancellationToken) {
-        let mut changed = self.replica.mirror().watch();
+        let mut changed = self.replica.mirror().subscribe();
         loop {
             self.update().await;
             tokio::select! {
@@ -122,14 +122,14 @@
     /// due, and reports the retirement status.
     async fn update(&mut self) {
         let mirror = self.replica.mirror().clone();
-        let (view, revision) = read(&mirror).unwrap_or_default();
-        self.replica.learn(&view);
+        let (view, revision) = read_view(&mirror).unwrap_or_default();
+        self.replica.update_view(&view);
         self.update_followers(&view);
         // The view may be outdated until the mirror has been read from the platform.
         if mirror.age(Instant::now()).is_none() {
             return;
         }
-        let retiring = self.removal.requested(&mirror);
+        let retiring = self.removal.retiring_instances(&mirror);
         let now = Instant::now();
         let must_leave = retiring.contains(&self.config.name);
         self.leave_since = must_leave.then(|| self.leave_since.unwrap_or(now));
@@ -162,9 +162,9 @@
     }
 
     /// Returns how far this replica has synced from each other member.
-    fn progress(&self) -> HashMap<Disk, Progress> {
+    fn progress(&self) -> HashMap<DiskId, Progress> {
         let followers = self.followers.iter();
-        let progress = |((disk, _), handle): (&(Disk, SocketAddr), &FollowerHandle)| {
+        let progress = |((disk, _), handle): (&(DiskId, SocketAddr), &FollowerHandle)| {
             let progress: Progress = *handle.progress.borrow();
             (*disk, progress)
         };
@@ -175,7 +175,7 @@
     fn unchanged_since(
         &mut self,
         view: &View,
-        progress: &HashMap<Disk, Progress>,
+        progress: &HashMap<DiskId, Progress>,
         retiring: &HashSet<String>,
         now: Instant,
     ) -> Instant {
@@ -197,7 +197,7 @@
     /// [`MAX_LAG`] ago. Newer records needn't be waited for, because their writer sends
     /// them to all members.
     fn have_others_caught_up(&mut self, view: &View, now: Instant) -> bool {
-        let end = self.replica.index().end();
+        let end = self.replica.index().end_position();
         self.recent_ends.push_back((now, end));
         while self.recent_ends.len() > 1 && now - self.recent_ends[1].0 >= MAX_LAG {
             self.recent_ends.pop_front();
@@ -246,7 +246,7 @@
             }
         };
         let swap = Swap {
-            key: view::KEY.to_owned(),
+            key: view::VIEW_KEY.to_owned(),
             expected,
             value: Some(value.clone()),
             lease: None,
@@ -262,19 +262,19 @@
                     members
                 );
                 let item = mirror::Item {
-                    key: view::KEY.to_owned(),
+                    key: view::VIEW_KEY.to_owned(),
                     value: Some(value.into()),
                     revision,
                 };
-                self.replica.mirror().put(vec![item], Instant::now());
-                self.replica.learn(&view);
+                self.replica.mirror().apply(vec![item], Instant::now());
+                self.replica.update_view(&view);
             }
             Ok(Swapped::Conflict(held)) => {
                 tracing::info!(event = "view_conflict", version = view.version, expected);
                 // Without this, the next attempt could conflict again before the current
                 // value arrives by itself.
                 let items = held.map(mirror::Item::from).into_iter().collect();
-                self.replica.mirror().put(items, Instant::now());
+                self.replica.mirror().apply(items, Instant::now());
             }
             Err(error) => {
                 tracing::warn!(event = "view_not_changed", version = view.version, %error);
@@ -287,7 +287,7 @@
         if self.reported_done == Some(done) {
             return;
         }
-        let (key, value) = self.removal.status(&self.config.name, done);
+        let (key, value) = self.removal.retire_status(&self.config.name, done);
         let written = write(&*self.kv, key, value).await;
         match written {
             Ok(()) => {
@@ -323,8 +323,8 @@
 }
 
 /// Returns the view in `mirror` with its revision.
-pub fn read(mirror: &Mirror) -> Option<(View, u64)> {
-    let (value, revision) = mirror.get(view::KEY)?;
+pub fn read_view(mirror: &Mirror) -> Option<(View, u64)> {
+    let (value, revision) = mirror.get(view::VIEW_KEY)?;
     match serde_json::from_slice(&value) {
         Ok(view) => Some((view, revision)),
         Err(error) => {
--- a/crates/gradedyke-turns/src/message.rs
+++ b/crates/gradedyke-turns/src/message.rs
@@ -6,14 +6,14 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-use crate::conversation::Chain;
+use crate::conversation::Transcript;
 use crate::index::{Attempt, Position};
-use crate::load::{Busy, Report};
-use crate::mirror::{Cursor, News};
+use crate::load::{Report, ServerLoad};
+use crate::mirror::{Cursor, Update};
 use crate::pressure::Pressure;
 use crate::record::{Id, Key, Record, Reserved};
 use crate::usage::{self, Total};
-use crate::view::{Disk, View};
+use crate::view::{DiskId, View};
 
 /// Asks to begin an attempt at a turn.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -70,7 +70,7 @@
     /// Reads the keys of stored records.
     Keys {
         /// Identifier of the sender's disk.
-        disk: Disk,
+        disk: DiskId,
         /// Identifier of the replica's run that `from` belongs to.
         boot: u64,
         /// The position to start from; the sender has all records before it.
@@ -104,7 +104,7 @@
     /// The replica has the turn; the conversation is not included.
     Here,
     /// The replica has the turn; the conversation is included.
-    Whole(Chain),
+    Whole(Transcript),
 }
 
 /// A page of record keys.
@@ -138,7 +138,7 @@
         /// The conversation, if the turn continues one.
         parent: Option<Found>,
         /// The requests that other gateways have in progress, if this replica is the nearest.
-        load: Option<Vec<Busy>>,
+        load: Option<Vec<ServerLoad>>,
         /// The client account's usage, if the request asked for it.
         usage: Option<Total>,
         /// The share of attempts that the replica rejected recently.
@@ -152,13 +152,13 @@
     /// The client account's usage.
     Usage(Total),
     /// The conversation; `None` if the replica does not have it.
-    Chain(Option<Chain>),
+    Chain(Option<Transcript>),
     /// Keys of stored records.
     Keys(Keys),
     /// The requested records that the replica has.
     Records(Vec<Record>),
     /// Changes of the copy.
-    News(News),
+    News(Update),
     /// The sender's view is outdated; this is the replica's view.
     Stale(View),
     /// The request failed, with the reason.
--- a/crates/gradedyke-turns/src/mirror.rs
+++ b/crates/gradedyke-turns/src/mirror.rs
@@ -24,7 +24,7 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-pub use follow::{Need, Pace, follow};
+pub use follow::{Need, Timing, follow};
 pub use packed::Packed;
 use state::State;
 
@@ -60,12 +60,13 @@
     pub listing: bool,
     /// The revision up to which the follower's copy is complete, whatever its source; 0 if
     /// the copy is incomplete.
-    pub through: Revision,
+    #[serde(rename = "through")]
+    pub complete_revision: Revision,
 }
 
 /// The changes after a [`Cursor`], or a page of them.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct News {
+pub struct Update {
     /// Random identifier of the sending process's run.
     pub boot: u64,
     /// Sequence number of the last change covered; the next request starts after it.
@@ -78,7 +79,8 @@
     pub more: bool,
     /// The revision up to which the follower's copy is complete once this is applied;
     /// `None` if it is incomplete.
-    pub through: Option<Revision>,
+    #[serde(rename = "through")]
+    pub complete_revision: Option<Revision>,
     /// Set if the listing holds all keys: a key that is not in it was deleted, unless its
     /// revision is higher than this one.
     pub whole: Option<Revision>,
@@ -124,7 +126,7 @@
     }
 
     /// Returns a receiver of the sequence number of the last change.
-    pub fn watch(&self) -> watch::Receiver<u64> {
+    pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
 
@@ -147,7 +149,7 @@
 
     /// Returns the items that changed after the sequence number `change`, each with the time
     /// at which this process received it, and the sequence number to continue from.
-    pub fn since(&self, change: u64) -> (Vec<(Item, Instant)>, u64) {
+    pub fn changed_since(&self, change: u64) -> (Vec<(Item, Instant)>, u64) {
         let state = self.lock();
         let changed = state.items.changed_after(change);
         let changed = changed
@@ -176,7 +178,7 @@
     /// Returns a time such that all changes made in the service before it are in the copy:
     /// when the last request that the service answered was sent, by this or another process.
     /// `None` if the service never answered.
-    pub fn vouched(&self) -> Option<Instant> {
+    pub fn complete_as_of(&self) -> Option<Instant> {
         self.lock().earliest(&self.prefixes, |p| p.requested_at)
     }
 
@@ -187,7 +189,7 @@
 
     /// Returns since when the service has answered without a failure; `None` during an
     /// outage.
-    pub fn steady(&self) -> Option<Instant> {
+    pub fn service_available_since(&self) -> Option<Instant> {
         self.lock().available_since
     }
 
@@ -205,7 +207,7 @@
     }
 
     /// Applies changes.
-    pub fn put(&self, items: Vec<Item>, now: Instant) {
+    pub fn apply(&self, items: Vec<Item>, now: Instant) {
         let mut state = self.lock();
         let mut changed = false;
         for item in items {
@@ -215,7 +217,7 @@
     }
 
     /// Applies a complete listing of `prefix` as of `revision`.
-    pub fn replace(&self, prefix: &str, items: Vec<Item>, revision: Revision, now: Instant) {
+    pub fn apply_listing(&self, prefix: &str, items: Vec<Item>, revision: Revision, now: Instant) {
         let mut state = self.lock();
         let changed = state.apply_listing(prefix, items, revision, now);
         self.notify(state, changed);
@@ -225,7 +227,7 @@
     /// revision up to which the prefix is complete.
     fn apply_watched(&self, prefix: &str, items: Vec<Item>, now: Instant) {
         let latest = items.iter().map(|i| i.revision).max();
-        self.put(items, now);
+        self.apply(items, now);
         if let Some(state) = self.lock().prefixes.get_mut(prefix) {
             state.revision = latest.unwrap_or_default().max(state.revision);
         }
@@ -258,14 +260,14 @@
     /// A process that follows this one for the first time gets a listing. If its copy is
     /// complete up to a revision after which this process knows of all deletions, the listing
     /// holds only newer items.
-    pub fn news(&self, cursor: &Cursor, received_at: Instant, now: Instant) -> News {
+    pub fn update_since(&self, cursor: &Cursor, received_at: Instant, now: Instant) -> Update {
         let mut state = self.lock();
         let is_valid = cursor.boot == self.boot && cursor.change >= state.listed_at_change;
         let continues_listing = cursor.boot == self.boot && cursor.listing;
         let listing = continues_listing || !is_valid;
-        let covered = state.knows_deletions_since(&self.prefixes, cursor.through);
+        let covered = state.knows_deletions_since(&self.prefixes, cursor.complete_revision);
         let above = if listing && covered {
-            cursor.through
+            cursor.complete_revision
         } else {
             0
         };
@@ -280,13 +282,13 @@
             .filter(|_| !page.more);
         let ms = |d: Duration| u64::try_from(d.as_millis()).unwrap_or(u64::MAX);
         let ms_since = |at: Instant| ms(now.saturating_duration_since(at));
-        News {
+        Update {
             boot: self.boot,
             next: page.next,
             items: page.items,
             listing,
             more: page.more,
-            through,
+            complete_revision: through,
             whole: through.filter(|_| listing && !covered),
             age_ms: state.confirmed_at(&self.prefixes).map(ms_since),
             asked_ms: state
@@ -299,7 +301,7 @@
 
     /// Applies at `now` an update of another process, received in answer to a request sent
     /// at `sent`. `items` holds the items of all pages.
-    pub fn learn(&self, update: News, items: Vec<Item>, sent: Instant, now: Instant) {
+    pub fn apply_update(&self, update: Update, items: Vec<Item>, sent: Instant, now: Instant) {
         let mut state = self.lock();
         let mut changed = false;
         match update.whole {
@@ -318,7 +320,10 @@
         }
         for prefix in &self.prefixes {
             if let Some(state) = state.prefixes.get_mut(prefix) {
-                state.revision = update.through.unwrap_or_default().max(state.revision);
+                state.revision = update
+                    .complete_revision
+                    .unwrap_or_default()
+                    .max(state.revision);
             }
         }
         if !update.neighbours.is_empty() {
--- a/crates/gradedyke-turns/src/mirror/follow.rs
+++ b/crates/gradedyke-turns/src/mirror/follow.rs
@@ -30,33 +30,33 @@
 
 /// Intervals and delays of a process that reads the service.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
+pub struct Timing {
     /// Interval between checks whether it needs to read, with a jitter of 50 %.
-    pub look: Duration,
+    pub poll_interval: Duration,
     /// Time without a reply after which a concurrent call is made (hedging), if any is.
-    pub beside: Option<Duration>,
+    pub hedge_delay: Option<Duration>,
     /// Longest delay after the first failed call.
-    pub first: Duration,
+    pub initial_max_delay: Duration,
     /// Longest delay between failed calls while the need is high.
-    pub patience: Duration,
+    pub max_delay: Duration,
     /// Longest delay between failed calls while the need is low. The delay for a high need
     /// applies if it is longer.
-    pub unhurried: Duration,
+    pub low_need_max_delay: Duration,
 }
 
 /// When to call again after failed calls.
 struct Retry {
-    pace: Pace,
+    pace: Timing,
     backoff: Backoff,
     next_if_high: Option<Instant>,
     next_if_low: Option<Instant>,
 }
 
 impl Retry {
-    fn new(pace: Pace) -> Self {
+    fn new(pace: Timing) -> Self {
         Self {
             pace,
-            backoff: Backoff::endless(pace.first, pace.patience),
+            backoff: Backoff::endless(pace.initial_max_delay, pace.max_delay),
             next_if_high: None,
             next_if_low: None,
         }
@@ -70,7 +70,10 @@
     /// so a call that timed out may be repeated at once.
     fn record_failure(&mut self, started: Instant) {
         let delay = self.backoff.step(rand::random());
-        let low_need_delay = self.pace.unhurried.mul_f64(rand::random_range(0.5..1.0));
+        let low_need_delay = self
+            .pace
+            .low_need_max_delay
+            .mul_f64(rand::random_range(0.5..1.0));
         self.next_if_high = Some(started + delay);
         self.next_if_low = Some(started + delay.max(low_need_delay));
     }
@@ -91,7 +94,7 @@
     kv: Arc<dyn KeyValue>,
     prefix: String,
     need: impl Fn() -> Need,
-    pace: Pace,
+    pace: Timing,
     stop: CancellationToken,
 ) {
     let mut retry = Retry::new(pace);
@@ -110,7 +113,7 @@
                 retry.record_failure(started);
             }
         }
-        let interval = pace.look.mul_f64(rand::random_range(0.5..1.5));
+        let interval = pace.poll_interval.mul_f64(rand::random_range(0.5..1.5));
         tokio::select! {
             () = tokio::time::sleep(interval) => {}
             () = stop.cancelled() => return,
@@ -127,7 +130,8 @@
     retry: &mut Retry,
 ) -> Result<(), Error> {
     let through = mirror.prefix_revision(prefix);
-    let (start, requested_at) = start_with_hedging(kv, prefix, through, retry.pace.beside).await?;
+    let (start, requested_at) =
+        start_with_hedging(kv, prefix, through, retry.pace.hedge_delay).await?;
     if matches!(start, ReadStart::Compacted) && need() != Need::High {
         // A process with a high need lists the prefix; listings by all would overload the
         // service.
@@ -136,7 +140,7 @@
         return Ok(());
     }
     let (start, requested_at) = match start {
-        ReadStart::Compacted => start_with_hedging(kv, prefix, 0, retry.pace.beside).await?,
+        ReadStart::Compacted => start_with_hedging(kv, prefix, 0, retry.pace.hedge_delay).await?,
         start => (start, requested_at),
     };
     let now = Instant::now();
@@ -144,7 +148,7 @@
     let (mut watch, listed) = match start {
         ReadStart::Listed(listing) => {
             let items = listing.entries.into_iter().map(Item::from);
-            mirror.replace(prefix, items.collect(), listing.revision, now);
+            mirror.apply_listing(prefix, items.collect(), listing.revision, now);
             (kv.watch(prefix, listing.revision + 1).await?, true)
         }
         ReadStart::Resumed(events, watch) => {
--- a/crates/gradedyke-turns/src/mirror/packed.rs
+++ b/crates/gradedyke-turns/src/mirror/packed.rs
@@ -80,7 +80,7 @@
     /// # Errors
     ///
     /// [`Error`] if they cannot be decoded, which means that another version encoded them.
-    pub fn unpack(&self) -> Result<Vec<Item>, Error> {
+    pub fn decode(&self) -> Result<Vec<Item>, Error> {
         if self.is_empty() {
             return Ok(Vec::new());
         }
--- a/crates/gradedyke-turns/src/pressure.rs
+++ b/crates/gradedyke-turns/src/pressure.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-use crate::decay::Count;
+use crate::decay::Counter;
 
 /// Half-life of the counts.
 const COUNT_HALF_LIFE: Duration = Duration::from_millis(500);
@@ -44,12 +44,12 @@
 
 /// Measures the pressure on a replica.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Gauge {
-    attempts: Count,
-    rejected: Count,
+pub struct Meter {
+    attempts: Counter,
+    rejected: Counter,
 }
 
-impl Gauge {
+impl Meter {
     /// Counts an attempt and whether it was `rejected`.
     ///
     /// ```
@@ -60,19 +60,19 @@
     /// (0..20).for_each(|number| gauge.count(number % 2 == 0, now));
     /// assert!((gauge.pressure(now).share() - 0.5).abs() < 0.01);
     /// ```
-    pub fn count(&mut self, rejected: bool, now: Instant) {
-        self.attempts.add(COUNT_HALF_LIFE, now);
+    pub fn record_attempt(&mut self, rejected: bool, now: Instant) {
+        self.attempts.increment(COUNT_HALF_LIFE, now);
         if rejected {
-            self.rejected.add(COUNT_HALF_LIFE, now);
+            self.rejected.increment(COUNT_HALF_LIFE, now);
         }
     }
 
     /// Returns the pressure at `now`.
     pub fn pressure(&self, now: Instant) -> Pressure {
-        let attempts = self.attempts.at(COUNT_HALF_LIFE, now);
+        let attempts = self.attempts.value_at(COUNT_HALF_LIFE, now);
         if attempts < MIN_ATTEMPTS {
             return Pressure::default();
         }
-        Pressure::from_share(self.rejected.at(COUNT_HALF_LIFE, now) / attempts)
+        Pressure::from_share(self.rejected.value_at(COUNT_HALF_LIFE, now) / attempts)
     }
 }
--- a/crates/gradedyke-turns/src/quorum.rs
+++ b/crates/gradedyke-turns/src/quorum.rs
@@ -23,16 +23,16 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
-use crate::conversation::Chain;
+use crate::conversation::Transcript;
 use crate::detour::ReplicaClient;
-use crate::load::{Busy, Report};
+use crate::load::{Report, ServerLoad};
 use crate::membership;
 use crate::message::{self, Reply, Request};
 use crate::mirror::Mirror;
 use crate::pressure::Pressure;
 use crate::record::{Id, Reserved};
 use crate::usage::{self, Total};
-use crate::view::{Disk, Member, View};
+use crate::view::{DiskId, Member, View};
 
 /// Timeout of a call to a replica: several disk syncs, even on a slow disk. Replicas that
 /// missed a record get it from each other.
@@ -41,18 +41,18 @@
 /// Why an operation on the replicas failed. An attempt that fails to begin has sent nothing
 /// to a backend server.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refusal {
+pub enum Error {
     /// All replicas answered, and none has the parent turn.
     #[error("no replica has the parent turn; start a new conversation")]
-    NoTurn,
+    TurnNotFound,
     /// The parent turn may exist, but replicas that may have it did not answer.
     #[error("cannot determine whether the parent turn exists; retry soon")]
-    Unsure,
+    Indeterminate,
     /// The program's token budget has no room for the reservation.
     #[error(
         "token budget exceeded: budget {budget}, used {used}, requested {asked}; end the program"
     )]
-    Spent {
+    BudgetExceeded {
         /// The budget, in tokens.
         budget: u64,
         /// Tokens used or reserved by other attempts.
@@ -78,34 +78,34 @@
 
 /// Parameters of [`Quorum::begin`].
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct BeginParams {
     /// The reservation and the program's total budget in tokens; `None` without a budget.
-    pub reserve: Option<(Reserved, u64)>,
+    pub reservation: Option<(Reserved, u64)>,
     /// The turn whose conversation is continued.
     pub parent: Option<Id>,
     /// Whether this is believed to be the program's first turn.
-    pub first: bool,
+    pub is_first_turn: bool,
     /// Requests that this gateway has in flight.
     pub load: Report,
     /// Usage that this gateway admitted for client accounts, if the turn belongs to one.
     pub usage: Option<usage::Report>,
     /// Timeout of one try.
-    pub time: Duration,
+    pub try_timeout: Duration,
     /// Deadline for retries while no majority answers.
-    pub until: Instant,
+    pub deadline: Instant,
 }
 
 /// Result of [`Quorum::begin`].
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct BeginResponse {
     /// The conversation up to the parent turn.
-    pub chain: Option<Chain>,
+    pub chain: Option<Transcript>,
     /// Requests that other gateways have in flight, if the nearest replica reported them.
-    pub load: Option<Vec<Busy>>,
+    pub load: Option<Vec<ServerLoad>>,
     /// Total usage of the client account, if requested.
     pub usage: Option<Total>,
     /// Duration of the successful try, without the retries before it.
-    pub took: Duration,
+    pub elapsed: Duration,
 }
 
 /// A client of all replicas in the current view.
@@ -150,16 +150,16 @@
 /// Load that arrived too late for the attempt that requested it; the next attempt uses it.
 /// Only the nearest replica reports load, and a majority may answer before it does.
 #[derive(Default)]
-struct LateLoad(Mutex<Option<Vec<Busy>>>);
+struct LateLoad(Mutex<Option<Vec<ServerLoad>>>);
 
 impl LateLoad {
-    fn store(&self, load: Option<Vec<Busy>>) {
+    fn store(&self, load: Option<Vec<ServerLoad>>) {
         if load.is_some() {
             *self.0.lock().unwrap_or_else(PoisonError::into_inner) = load;
         }
     }
 
-    fn take(&self) -> Option<Vec<Busy>> {
+    fn take(&self) -> Option<Vec<ServerLoad>> {
         let mut load = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         load.take()
     }
@@ -197,13 +197,13 @@
     }
 
     /// Returns the address where this process forwards requests for other gateways, if it does.
-    pub fn own(&self) -> Option<SocketAddr> {
+    pub fn forwarding_address(&self) -> Option<SocketAddr> {
         self.forwarding_address
     }
 
     /// Returns the latest known view.
     pub fn view(&self) -> View {
-        if let Some((view, _)) = membership::read(&self.mirror) {
+        if let Some((view, _)) = membership::read_view(&self.mirror) {
             self.update_view(&view);
         }
         self.view.borrow().clone()
@@ -223,10 +223,10 @@
 
     /// Returns whether a majority was reachable at the last try, directly or through
     /// neighbours.
-    pub fn reachable(&self) -> bool {
+    pub fn is_majority_reachable(&self) -> bool {
         let view = self.view();
         let is_up = |m: &Member| !self.client(m.address).is_down();
-        view.enough(is_up) || self.last_probe_succeeded.load(Ordering::Relaxed)
+        view.has_quorum(is_up) || self.last_probe_succeeded.load(Ordering::Relaxed)
     }
 
     /// Returns the last known pressure on the replicas and when it was reported.
@@ -247,7 +247,7 @@
     }
 
     /// Returns whether no member was directly reachable at the last try.
-    pub fn cut_off(&self) -> bool {
+    pub fn is_isolated(&self) -> bool {
         let view = self.view();
         view.members
             .iter()
@@ -268,11 +268,11 @@
 
     /// Probes unreachable members in the background. A process that is not ready receives no
     /// requests and would otherwise never notice that members are reachable again.
-    pub fn mend(self: &Arc<Self>) {
+    pub fn probe_unreachable(self: &Arc<Self>) {
         let view = self.view();
         let down = view.members.iter();
         let down = down.filter(|m| self.client(m.address).is_down());
-        let down: Vec<(Disk, ReplicaClient)> = down
+        let down: Vec<(DiskId, ReplicaClient)> = down
             .map(|m| (m.disk, self.replica_client(&view, m.address)))
             .collect();
         if down.is_empty() {
@@ -288,8 +288,8 @@
             let replies = join_all(calls).await;
             let results = down.iter().zip(&replies);
             let silent = results.filter(|(_, reply)| reply.is_none());
-            let unreachable: Vec<Disk> = silent.map(|((disk, _), _)| *disk).collect();
-            let has_quorum = view.enough(|m| !unreachable.contains(&m.disk));
+            let unreachable: Vec<DiskId> = silent.map(|((disk, _), _)| *disk).collect();
+            let has_quorum = view.has_quorum(|m| !unreachable.contains(&m.disk));
             quorum
                 .last_probe_succeeded
                 .store(has_quorum, Ordering::Relaxed);
@@ -349,7 +349,7 @@
     }
 
     /// Returns the addresses of the members, nearest first.
-    pub fn by_distance(&self) -> Vec<SocketAddr> {
+    pub fn addresses_by_distance(&self) -> Vec<SocketAddr> {
         let mut members = self.view().members;
         members.sort_by_key(|m| self.distance(m));
         members.into_iter().map(|m| m.address).collect()
--- a/crates/gradedyke-turns/src/quorum/begin.rs
+++ b/crates/gradedyke-turns/src/quorum/begin.rs
@@ -7,8 +7,8 @@
 use tokio::time::Instant;
 
 use super::gathered::CollectedReplies;
-use super::{Ask, BeginResponse, CALL_TIMEOUT, Quorum, Refusal};
-use crate::conversation::Chain;
+use super::{BeginParams, BeginResponse, CALL_TIMEOUT, Error, Quorum};
+use crate::conversation::Transcript;
 use crate::message::{self, Begin, Reply, Request};
 use crate::record::Settled;
 use crate::view::{Member, View};
@@ -36,14 +36,14 @@
     ///
     /// Any [`Refusal`]. A reservation that replicas may have stored is settled as unused in
     /// the background.
-    pub async fn begin(&self, params: &Ask) -> Result<BeginResponse, Refusal> {
+    pub async fn begin(&self, params: &BeginParams) -> Result<BeginResponse, Error> {
         let mut maybe_reserved = false;
         let result = self.begin_with_retries(params, &mut maybe_reserved).await;
         if result.is_err()
             && maybe_reserved
-            && let Some((reserved, _)) = &params.reserve
+            && let Some((reserved, _)) = &params.reservation
         {
-            self.settle(Settled::unused(reserved));
+            self.settle(Settled::release(reserved));
         }
         result
     }
@@ -51,10 +51,10 @@
     /// Begins with retries; sets `maybe_reserved` if a replica may have stored the reservation.
     async fn begin_with_retries(
         &self,
-        params: &Ask,
+        params: &BeginParams,
         maybe_reserved: &mut bool,
-    ) -> Result<BeginResponse, Refusal> {
-        let try_deadline = params.until.min(Instant::now() + params.time);
+    ) -> Result<BeginResponse, Error> {
+        let try_deadline = params.deadline.min(Instant::now() + params.try_timeout);
         let mut has_retried_busy = false;
         let mut backoff = Backoff::endless(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
         loop {
@@ -63,10 +63,10 @@
             let Some(result) = self.try_begin(&view, params, maybe_reserved).await else {
                 continue;
             };
-            let is_starting = matches!(result, Err(Refusal::Starting));
-            let no_quorum = is_starting || matches!(result, Err(Refusal::NoQuorum { .. }));
+            let is_starting = matches!(result, Err(Error::Starting));
+            let no_quorum = is_starting || matches!(result, Err(Error::NoQuorum { .. }));
             let now = Instant::now();
-            if matches!(result, Err(Refusal::Busy))
+            if matches!(result, Err(Error::Busy))
                 && !has_retried_busy
                 && now + BUSY_RETRY_DELAY < try_deadline
             {
@@ -75,9 +75,9 @@
                 continue;
             }
             // No retry while a majority is reachable but slow: that would add to its load.
-            let is_unreachable = is_starting || !self.reachable();
+            let is_unreachable = is_starting || !self.is_majority_reachable();
             let should_retry = no_quorum && is_unreachable && self.mark_quorum_lost(now);
-            if should_retry && now + MIN_RETRY_DELAY < params.until {
+            if should_retry && now + MIN_RETRY_DELAY < params.deadline {
                 tokio::time::sleep(backoff.step(rand::random())).await;
                 continue;
             }
@@ -85,7 +85,7 @@
                 self.clear_quorum_lost(now);
             }
             return result.map(|response| BeginResponse {
-                took: now - started,
+                elapsed: now - started,
                 ..response
             });
         }
@@ -124,26 +124,26 @@
     async fn try_begin(
         &self,
         view: &View,
-        params: &Ask,
+        params: &BeginParams,
         maybe_reserved: &mut bool,
-    ) -> Option<Result<BeginResponse, Refusal>> {
+    ) -> Option<Result<BeginResponse, Error>> {
         let nearest = self.nearest_member(view).map(|m| m.disk);
-        let patience_ms = u32::try_from(params.time.as_millis()).unwrap_or(u32::MAX);
+        let patience_ms = u32::try_from(params.try_timeout.as_millis()).unwrap_or(u32::MAX);
         let request = |member: &Member| {
             message::encode(&Request::Begin(Begin {
                 view: view.version,
-                reserve: params.reserve.as_ref().map(|(r, _)| r.clone()),
+                reserve: params.reservation.as_ref().map(|(r, _)| r.clone()),
                 parent: params.parent.clone(),
                 nearest: Some(member.disk) == nearest,
                 load: params.load.clone(),
                 usage: params.usage.clone(),
-                first: params.first,
+                first: params.is_first_turn,
                 patience_ms,
             }))
         };
         let mut collected = CollectedReplies::new(view);
         let mut replies = self.send_to_all(view, request);
-        let deadline = params.until.min(Instant::now() + params.time);
+        let deadline = params.deadline.min(Instant::now() + params.try_timeout);
         let mut conversation_deadline = None;
         while !collected.is_complete(params) {
             let until = conversation_deadline.unwrap_or(deadline);
@@ -175,20 +175,20 @@
     async fn evaluate(
         &self,
         collected: CollectedReplies,
-        params: &Ask,
+        params: &BeginParams,
         member_count: usize,
-    ) -> Result<BeginResponse, Refusal> {
+    ) -> Result<BeginResponse, Error> {
         let (answered, needed) = (collected.answered, collected.needed);
         if !collected.has_quorum() && collected.starting {
-            return Err(Refusal::Starting);
+            return Err(Error::Starting);
         }
         if !collected.has_quorum() && collected.busy {
-            return Err(Refusal::Busy);
+            return Err(Error::Busy);
         }
         if !collected.has_quorum() {
-            return Err(Refusal::NoQuorum { answered, needed });
+            return Err(Error::NoQuorum { answered, needed });
         }
-        if let Some((reserved, budget)) = &params.reserve {
+        if let Some((reserved, budget)) = &params.reservation {
             collected.check_budget(reserved, *budget)?;
         }
         let late_load = self.late_load.take();
@@ -206,11 +206,11 @@
             (None, Some(holder)) => self
                 .fetch_conversation(&holder, params)
                 .await
-                .ok_or(Refusal::Unsure),
+                .ok_or(Error::Indeterminate),
             (None, None) if collected.missing == member_count && member_count >= needed => {
-                Err(Refusal::NoTurn)
+                Err(Error::TurnNotFound)
             }
-            (None, None) => Err(Refusal::Unsure),
+            (None, None) => Err(Error::Indeterminate),
         };
         chain.map(|chain| BeginResponse {
             chain: Some(chain),
@@ -221,11 +221,15 @@
     }
 
     /// Reads the conversation from a member that has it.
-    async fn fetch_conversation(&self, holder: &Member, params: &Ask) -> Option<Chain> {
+    async fn fetch_conversation(
+        &self,
+        holder: &Member,
+        params: &BeginParams,
+    ) -> Option<Transcript> {
         let request = Request::Chain(params.parent.clone()?);
         let client = self.replica_client(&self.view(), holder.address);
         let call = client.call(message::encode(&request), CALL_TIMEOUT);
-        let reply = tokio::time::timeout(params.time, call).await.ok()?;
+        let reply = tokio::time::timeout(params.try_timeout, call).await.ok()?;
         match message::decode(&reply?)? {
             Reply::Chain(chain) => chain,
             _ => None,
--- a/crates/gradedyke-turns/src/quorum/gathered.rs
+++ b/crates/gradedyke-turns/src/quorum/gathered.rs
@@ -2,10 +2,10 @@
 
 use std::collections::HashMap;
 
-use super::{Ask, Refusal};
-use crate::conversation::Chain;
+use super::{BeginParams, Error};
+use crate::conversation::Transcript;
 use crate::index::Attempt;
-use crate::load::Busy;
+use crate::load::ServerLoad;
 use crate::message::{Found, Reply};
 use crate::pressure::Pressure;
 use crate::record::{Id, Reserved};
@@ -31,7 +31,7 @@
     /// All known attempts of the program.
     attempts: HashMap<Id, Attempt>,
     /// The conversation up to the parent turn.
-    pub(super) chain: Option<Chain>,
+    pub(super) chain: Option<Transcript>,
     /// A member that has the parent turn but did not send the conversation.
     pub(super) holder: Option<Member>,
     /// Members that do not have the parent turn.
@@ -41,7 +41,7 @@
     /// Whether a member is overloaded.
     pub(super) busy: bool,
     /// Requests that other gateways have in flight.
-    pub(super) load: Option<Vec<Busy>>,
+    pub(super) load: Option<Vec<ServerLoad>>,
     /// Pressure of each member that reported it.
     pressures: Vec<Pressure>,
     /// The largest usage total that a member reported.
@@ -52,7 +52,7 @@
     pub(super) fn new(view: &View) -> Self {
         Self {
             needed: view.quorum(),
-            required_copies: view.copies(),
+            required_copies: view.required_copies(),
             stored: 0,
             member_count: view.members.len(),
             finished: 0,
@@ -95,7 +95,7 @@
     }
 
     /// Returns whether no further reply is needed or expected.
-    pub(super) fn is_complete(&self, params: &Ask) -> bool {
+    pub(super) fn is_complete(&self, params: &BeginParams) -> bool {
         let has_parent = params.parent.is_none() || self.chain.is_some();
         self.has_quorum() && has_parent || self.finished == self.member_count
     }
@@ -165,14 +165,14 @@
     }
 
     /// Checks that the budget has room for the reservation in addition to all other attempts.
-    pub(super) fn check_budget(&self, reserved: &Reserved, budget: u64) -> Result<(), Refusal> {
+    pub(super) fn check_budget(&self, reserved: &Reserved, budget: u64) -> Result<(), Error> {
         let others = self.attempts.values();
         let others = others.filter(|a| a.request != reserved.request);
         let used: u64 = others.map(|a| u64::from(a.tokens)).sum();
         if used + u64::from(reserved.tokens) <= budget {
             return Ok(());
         }
-        Err(Refusal::Spent {
+        Err(Error::BudgetExceeded {
             budget,
             used,
             asked: reserved.tokens,
--- a/crates/gradedyke-turns/src/quorum/keep.rs
+++ b/crates/gradedyke-turns/src/quorum/keep.rs
@@ -7,7 +7,7 @@
 use tokio::time::Instant;
 
 use super::gathered::CollectedReplies;
-use super::{Quorum, Refusal};
+use super::{Error, Quorum};
 use crate::message::{self, Reply, Request};
 use crate::record::Record;
 use crate::usage::{self, Total};
@@ -26,12 +26,12 @@
     ///
     /// [`Refusal::NoQuorum`] if no majority acknowledged by `until`; replicas may have stored
     /// the record nevertheless.
-    pub async fn keep(
+    pub async fn store(
         &self,
         record: &Record,
         usage: Option<&usage::Report>,
         until: Instant,
-    ) -> Result<Option<Total>, Refusal> {
+    ) -> Result<Option<Total>, Error> {
         let mut backoff = Backoff::endless(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
         loop {
             let view = self.view();
@@ -58,15 +58,15 @@
     ///
     /// [`Refusal::NoQuorum`] if no majority answered by `until`, [`Refusal::Unsure`] if the
     /// view was stale.
-    pub async fn used(
+    pub async fn report_usage(
         &self,
         report: &usage::Report,
         until: Instant,
-    ) -> Result<Option<Total>, Refusal> {
+    ) -> Result<Option<Total>, Error> {
         let request = message::encode(&Request::Usage(report.clone()));
         let view = self.view();
         let result = self.send_to_quorum(&view, request, until).await;
-        result.unwrap_or(Err(Refusal::Unsure))
+        result.unwrap_or(Err(Error::Indeterminate))
     }
 
     /// Sends a request to all members and waits for a majority; `None` if a replica reported
@@ -76,7 +76,7 @@
         view: &View,
         request: Bytes,
         until: Instant,
-    ) -> Option<Result<Option<Total>, Refusal>> {
+    ) -> Option<Result<Option<Total>, Error>> {
         let mut collected = CollectedReplies::new(view);
         let mut replies = self.send_to_all(view, |_| request.clone());
         while !collected.has_quorum() {
@@ -94,6 +94,6 @@
             return Some(Ok(collected.usage));
         }
         let (answered, needed) = (collected.answered, collected.needed);
-        Some(Err(Refusal::NoQuorum { answered, needed }))
+        Some(Err(Error::NoQuorum { answered, needed }))
     }
 }
--- a/crates/gradedyke-turns/src/quorum/settle.rs
+++ b/crates/gradedyke-turns/src/quorum/settle.rs
@@ -12,7 +12,7 @@
 use gradedyke_base::retry::Backoff;
 use tokio::time::Instant;
 
-use super::{CALL_TIMEOUT, Quorum, Refusal};
+use super::{CALL_TIMEOUT, Error, Quorum};
 use crate::message::{self, Request};
 use crate::record::{Record, Settled};
 
@@ -129,7 +129,7 @@
     }
 
     /// Writes one batch to a majority.
-    async fn send_batch(&self, settled: &[Settled]) -> Result<(), Refusal> {
+    async fn send_batch(&self, settled: &[Settled]) -> Result<(), Error> {
         let records: Vec<Record> = settled.iter().cloned().map(Record::Settled).collect();
         loop {
             let view = self.view();
--- a/crates/gradedyke-turns/src/record.rs
+++ b/crates/gradedyke-turns/src/record.rs
@@ -42,7 +42,7 @@
     /// assert_eq!(Id::parse(id("t").within(&id("a")).as_str()), None);
     /// ```
     #[must_use]
-    pub fn within(&self, scope: &Id) -> Self {
+    pub fn scoped_to(&self, scope: &Id) -> Self {
         // Parsed identifiers contain no spaces.
         Self(format!("{} {}", scope.0, self.0).into())
     }
@@ -139,7 +139,7 @@
 
 impl Settled {
     /// Creates the record that releases the whole reservation.
-    pub fn unused(reserved: &Reserved) -> Self {
+    pub fn release(reserved: &Reserved) -> Self {
         Self {
             program: reserved.program.clone(),
             request: reserved.request.clone(),
@@ -164,7 +164,7 @@
     }
 
     /// Returns how long the record is retained.
-    pub fn keep(&self) -> Duration {
+    pub fn retention(&self) -> Duration {
         let ms = match self {
             Record::Reserved(r) => r.keep_ms,
             Record::Settled(r) => r.keep_ms,
--- a/crates/gradedyke-turns/src/recovery.rs
+++ b/crates/gradedyke-turns/src/recovery.rs
@@ -13,7 +13,7 @@
 use tokio::time::Instant;
 
 use crate::log;
-use crate::log::Place;
+use crate::log::Location;
 use crate::record::{Id, Record, Turn};
 use crate::replica::Replica;
 
@@ -47,14 +47,14 @@
         // A turn that is still missing after it was looked up isn't on disk.
         let mut looked_up = HashSet::new();
         loop {
-            let missing = self.index().missing(turn);
+            let missing = self.index().first_missing_ancestor(turn);
             let Some(missing) = missing else {
                 return Ok(());
             };
             if !looked_up.insert(missing.clone()) {
                 return Ok(());
             }
-            let places = self.archive().turn(&missing);
+            let places = self.archive().find_turn(&missing);
             let loaded = self.load_records(places).await?;
             // The preceding turns usually belong to the same program.
             for record in loaded {
@@ -69,14 +69,14 @@
 
     /// Loads all records of a program.
     async fn load_program(&self, program: &Id) -> Result<(), log::Error> {
-        let places = self.archive().program(program);
+        let places = self.archive().find_program(program);
         self.load_records(places).await?;
-        self.archive().note(program);
+        self.archive().mark_indexed(program);
         Ok(())
     }
 
     /// Reads the records at `places`, adds them to the index and returns them.
-    async fn load_records(&self, places: Vec<Place>) -> Result<Vec<Record>, log::Error> {
+    async fn load_records(&self, places: Vec<Location>) -> Result<Vec<Record>, log::Error> {
         if places.is_empty() {
             return Ok(Vec::new());
         }
@@ -84,18 +84,18 @@
         let now = Instant::now();
         let mut index = self.index();
         for (record, place) in records.iter().zip(places) {
-            index.recover(record, place, true, now);
+            index.apply_stored(record, place, true, now);
         }
         Ok(records)
     }
 
     /// Adds records that were read from disk to the index.
-    fn index_batch(&self, batch: &[(Record, Place)]) {
+    fn index_batch(&self, batch: &[(Record, Location)]) {
         let now = Instant::now();
         let mut index = self.index();
         for (record, place) in batch {
             // Bodies aren't held in memory until a request needs them.
-            index.recover(record, *place, false, now);
+            index.apply_stored(record, *place, false, now);
         }
     }
 
@@ -103,11 +103,11 @@
     pub async fn recover(self: Arc<Self>) {
         let mut records = 0;
         loop {
-            let Some(segment) = self.archive().newest() else {
+            let Some(segment) = self.archive().newest_segment() else {
                 break;
             };
             let log = self.log.clone();
-            let result = tokio::task::spawn_blocking(move || log.records(segment)).await;
+            let result = tokio::task::spawn_blocking(move || log.read_segment(segment)).await;
             let segment_records = match result {
                 Ok(Ok(segment_records)) => segment_records,
                 Ok(Err(error)) => {
@@ -123,10 +123,10 @@
                 self.index_batch(batch);
                 tokio::time::sleep(BATCH_PAUSE).await;
             }
-            self.archive().remove(segment);
+            self.archive().remove_segment(segment);
         }
         self.recovered.send_replace(true);
-        let (turns, programs) = self.index().sizes();
+        let (turns, programs) = self.index().counts();
         tracing::info!(event = "records_read", records, turns, programs);
     }
 }
--- a/crates/gradedyke-turns/src/replica.rs
+++ b/crates/gradedyke-turns/src/replica.rs
@@ -10,18 +10,18 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-use crate::archive::Archive;
+use crate::archive::Segments;
 use crate::body::Body;
-use crate::conversation::{Chain, Part};
-use crate::index::{self, Answer, Index, Position};
-use crate::load::{Board, Busy, Report};
-use crate::log::{self, Log, Place};
+use crate::conversation::{Part, Transcript};
+use crate::index::{self, Index, Lookup, Position};
+use crate::load::{Aggregator, Report, ServerLoad};
+use crate::log::{self, Location, Log};
 use crate::message::{Begin, Found, Keys, Reply, Request};
 use crate::mirror::Mirror;
 use crate::pressure::Pressure;
 use crate::record::{Id, Key, Record};
 use crate::usage::{self, Total};
-use crate::view::{Disk, View};
+use crate::view::{DiskId, View};
 
 /// Maximum number of keys in a page.
 const MAX_PAGE_KEYS: usize = 512;
@@ -38,21 +38,21 @@
 
 /// A replica of the records.
 pub struct Replica {
-    disk: Disk,
+    disk: DiskId,
     /// Random identifier of this run of the process. Positions are valid only within it.
     run_id: u64,
     pub(crate) log: Log,
     index: Mutex<Index>,
-    archive: Mutex<Archive>,
+    archive: Mutex<Segments>,
     /// Whether all records on disk are in the index.
     pub(crate) recovered: watch::Sender<bool>,
     /// The position after the record that was last written to disk.
     arrivals_end: watch::Sender<Position>,
     view: watch::Sender<View>,
     /// The position up to which each other replica has all records.
-    follower_positions: Mutex<std::collections::HashMap<Disk, Position>>,
-    load_reports: Mutex<Board>,
-    usage_reports: Mutex<usage::Board>,
+    follower_positions: Mutex<std::collections::HashMap<DiskId, Position>>,
+    load_reports: Mutex<Aggregator>,
+    usage_reports: Mutex<usage::Aggregator>,
     /// Held while records are fetched from another replica.
     fetch_lock: tokio::sync::Mutex<()>,
     mirror: Arc<Mirror>,
@@ -65,16 +65,16 @@
 /// # Errors
 ///
 /// [`log::Error::Folder`] if the folder cannot be used.
-pub fn identity(folder: &Path) -> Result<Disk, log::Error> {
+pub fn load_or_create_disk_id(folder: &Path) -> Result<DiskId, log::Error> {
     let folder_error = |e| log::Error::Folder(folder.to_owned(), e);
     std::fs::create_dir_all(folder).map_err(folder_error)?;
     let path = folder.join(DISK_ID_FILE);
     if let Ok(text) = std::fs::read_to_string(&path)
-        && let Ok(disk) = Disk::from_str_radix(text.trim(), 16)
+        && let Ok(disk) = DiskId::from_str_radix(text.trim(), 16)
     {
         return Ok(disk);
     }
-    let disk: Disk = rand::random();
+    let disk: DiskId = rand::random();
     // Renamed into place, so that a power loss can't leave a partial file.
     let temporary: PathBuf = folder.join(format!("{DISK_ID_FILE}.new"));
     std::fs::write(&temporary, format!("{disk:016x}\n")).map_err(folder_error)?;
@@ -108,16 +108,16 @@
         mirror: Arc<Mirror>,
         stop: CancellationToken,
     ) -> Result<Arc<Self>, log::Error> {
-        let disk = identity(folder)?;
-        let index = Index::new(index::BODIES);
+        let disk = load_or_create_disk_id(folder)?;
+        let index = Index::new(index::MAX_CACHED_BODY_BYTES);
         let (log, tables) = Log::open(folder)?;
         tracing::info!(event = "disk_opened", segments = tables.len());
-        let archive = Archive::new(tables);
+        let archive = Segments::new(tables);
         Ok(Arc::new(Self {
             disk,
             run_id: rand::random(),
             log,
-            arrivals_end: watch::Sender::new(index.end()),
+            arrivals_end: watch::Sender::new(index.end_position()),
             index: Mutex::new(index),
             recovered: watch::Sender::new(archive.is_empty()),
             archive: Mutex::new(archive),
@@ -132,7 +132,7 @@
     }
 
     /// Returns the identity of its disk.
-    pub fn disk(&self) -> Disk {
+    pub fn disk(&self) -> DiskId {
         self.disk
     }
 
@@ -145,7 +145,7 @@
         self.index.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn archive(&self) -> MutexGuard<'_, Archive> {
+    pub(crate) fn archive(&self) -> MutexGuard<'_, Segments> {
         self.archive.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -160,7 +160,7 @@
     }
 
     /// Updates the view, unless a later one is known.
-    pub fn learn(&self, view: &View) {
+    pub fn update_view(&self, view: &View) {
         self.view.send_if_modified(|known| {
             let is_newer = view.version > known.version;
             if is_newer {
@@ -177,7 +177,7 @@
     }
 
     /// Whether the replica on `disk` has all records before `position`.
-    pub(crate) fn has_synced(&self, disk: Disk, position: Position) -> bool {
+    pub(crate) fn has_synced(&self, disk: DiskId, position: Position) -> bool {
         let positions = self.follower_positions.lock();
         let positions = positions.unwrap_or_else(PoisonError::into_inner);
         positions.get(&disk).is_some_and(|p| *p >= position)
@@ -189,19 +189,19 @@
     ///
     /// [`log::Error::Write`]; the replica then stops, because the state of its disk is
     /// unknown.
-    pub async fn keep(&self, record: &Record) -> Result<(), log::Error> {
+    pub async fn store(&self, record: &Record) -> Result<(), log::Error> {
         let key = record.key();
         let end = {
             let mut index = self.index();
-            index.apply(record, self.log.segment(), Instant::now());
-            index.end()
+            index.apply(record, self.log.active_segment(), Instant::now());
+            index.end_position()
         };
         // Written even if the index has the record, which may not be on disk yet.
         let place = self.log.append(record).await.inspect_err(|error| {
             tracing::error!(event = "replica_stops", %error);
             self.stop.cancel();
         })?;
-        self.index().place(&key, place);
+        self.index().set_location(&key, place);
         self.arrivals_end.send_replace(end);
         Ok(())
     }
@@ -225,7 +225,7 @@
         let mut attempts = Vec::new();
         if let Some(reserved) = begin.reserve {
             let program = reserved.program.clone();
-            if let Err(error) = self.keep(&Record::Reserved(reserved)).await {
+            if let Err(error) = self.store(&Record::Reserved(reserved)).await {
                 return Reply::Failed(error.to_string());
             }
             attempts = self.index().attempts(&program);
@@ -245,13 +245,13 @@
         }
     }
 
-    pub(crate) fn board(&self) -> MutexGuard<'_, Board> {
+    pub(crate) fn load_reports(&self) -> MutexGuard<'_, Aggregator> {
         self.load_reports
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn usage_reports(&self) -> MutexGuard<'_, usage::Board> {
+    pub(crate) fn usage_reports(&self) -> MutexGuard<'_, usage::Aggregator> {
         self.usage_reports
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -263,18 +263,18 @@
         let now = Instant::now();
         let asked = report.asked;
         let mut reports = self.usage_reports();
-        reports.put(report, now);
+        reports.record_report(report, now);
         reports.total(asked, now)
     }
 
     /// Updates the load that an entry process reported. Returns the load of the other
     /// entry processes if `wants_others`.
-    fn apply_load_report(&self, report: Report, wants_others: bool) -> Option<Vec<Busy>> {
+    fn apply_load_report(&self, report: Report, wants_others: bool) -> Option<Vec<ServerLoad>> {
         let now = Instant::now();
         let entry = report.entry;
-        let mut board = self.board();
-        board.put(report, now);
-        wants_others.then(|| board.others(entry, now))
+        let mut board = self.load_reports();
+        board.record_report(report, now);
+        wants_others.then(|| board.total_excluding(entry, now))
     }
 
     /// Looks up a turn, with its conversation if `with_conversation`.
@@ -297,20 +297,20 @@
     }
 
     /// Returns the conversation up to and including a turn, if all of it is here.
-    async fn chain(&self, id: &Id) -> Option<Chain> {
+    async fn chain(&self, id: &Id) -> Option<Transcript> {
         let conversation = self.index().conversation(id)?;
-        let stored = conversation.stored();
+        let stored = conversation.disk_locations();
         if stored.is_empty() {
-            return conversation.chain(&[]);
+            return conversation.transcript(&[]);
         }
         let records = self.try_read(stored).await?;
         let bodies: Vec<Body> = records.into_iter().filter_map(turn_body).collect();
-        let chain = conversation.chain(&bodies);
+        let chain = conversation.transcript(&bodies);
         let parts = conversation.parts.iter();
-        let read_parts = parts.filter(|(_, part)| matches!(part, Part::Stored(_)));
+        let read_parts = parts.filter(|(_, part)| matches!(part, Part::OnDisk(_)));
         let mut index = self.index();
         for ((request, _), body) in read_parts.zip(bodies) {
-            index.restore(request, body);
+            index.cache_body(request, body);
         }
         chain
     }
@@ -320,7 +320,7 @@
     /// # Errors
     ///
     /// [`log::Error::Read`] if a record is missing or damaged.
-    pub(crate) async fn read(&self, places: Vec<Place>) -> Result<Vec<Record>, log::Error> {
+    pub(crate) async fn read(&self, places: Vec<Location>) -> Result<Vec<Record>, log::Error> {
         let log = self.log.clone();
         let result = tokio::task::spawn_blocking(move || log.read(&places)).await;
         // The task is cancelled only when the runtime shuts down.
@@ -328,7 +328,7 @@
     }
 
     /// Reads records from disk; logs a failure and returns `None`.
-    async fn try_read(&self, places: Vec<Place>) -> Option<Vec<Record>> {
+    async fn try_read(&self, places: Vec<Location>) -> Option<Vec<Record>> {
         let result = self.read(places).await;
         let result = result.inspect_err(|error| {
             tracing::warn!(event = "record_not_read", %error);
@@ -345,8 +345,8 @@
             let now = Instant::now();
             for answer in keys.iter().filter_map(|k| index.record(k, now)) {
                 match answer {
-                    Answer::Held(record) => records.push(record),
-                    Answer::Stored(place) => stored.push(place),
+                    Lookup::InMemory(record) => records.push(record),
+                    Lookup::OnDisk(place) => stored.push(place),
                 }
             }
         }
@@ -366,7 +366,7 @@
             return rejection;
         }
         let usage = usage_report.map(|u| self.apply_usage_report(u));
-        match self.keep(record).await {
+        match self.store(record).await {
             Ok(()) => Reply::Kept { usage },
             Err(error) => Reply::Failed(error.to_string()),
         }
@@ -377,7 +377,7 @@
         if let Some(rejection) = self.reject_stale(view) {
             return rejection;
         }
-        match try_join_all(records.iter().map(|r| self.keep(r))).await {
+        match try_join_all(records.iter().map(|r| self.store(r))).await {
             Ok(_) => Reply::Kept { usage: None },
             Err(error) => Reply::Failed(error.to_string()),
         }
@@ -385,7 +385,7 @@
 
     /// Waits a limited time for records from position `from` on, and returns a page of
     /// their keys. Also notes that the replica on `disk` has all records before `from`.
-    async fn wait_for_keys(&self, disk: Disk, boot: u64, from: Position) -> Reply {
+    async fn wait_for_keys(&self, disk: DiskId, boot: u64, from: Position) -> Reply {
         let from = if boot == self.run_id { from } else { 0 };
         {
             let positions = self.follower_positions.lock();
@@ -397,22 +397,22 @@
         let has_arrivals = tokio::time::timeout(KEYS_WAIT_TIMEOUT, arrival)
             .await
             .is_ok();
-        if has_arrivals && self.index().end() - from < MAX_PAGE_KEYS as u64 {
+        if has_arrivals && self.index().end_position() - from < MAX_PAGE_KEYS as u64 {
             tokio::time::sleep(PAGE_DELAY).await;
         }
         let index = self.index();
-        let (keys, next) = index.arrived(from, MAX_PAGE_KEYS);
+        let (keys, next) = index.keys_since(from, MAX_PAGE_KEYS);
         Reply::Keys(Keys {
             boot: self.run_id,
             next,
-            all: next == index.end() && self.is_recovered(),
+            all: next == index.end_position() && self.is_recovered(),
             keys,
             view: self.view.borrow().version,
         })
     }
 
     /// Removes expired records at an interval until the replica stops.
-    pub async fn expire(self: Arc<Self>) {
+    pub async fn run_expiry(self: Arc<Self>) {
         // Until recovery is done, a segment with live records may seem empty.
         let mut recovered = self.recovered.subscribe();
         tokio::select! {
@@ -427,11 +427,11 @@
             }
             let empty_segments = self.index().expire(Instant::now());
             for segment in empty_segments {
-                if self.log.remove(segment) {
-                    self.index().removed(segment);
+                if self.log.remove_segment(segment) {
+                    self.index().forget_segment(segment);
                 }
             }
-            let (turns, programs) = self.index().sizes();
+            let (turns, programs) = self.index().counts();
             metrics::gauge!("gradedyke_turns_kept").set(turns as f64);
             metrics::gauge!("gradedyke_programs_kept").set(programs as f64);
             let bytes = self.index().body_bytes();
@@ -441,7 +441,7 @@
 
     /// Handles a request, except those that the caller must handle itself: `Age` and
     /// `Follow`.
-    pub(crate) async fn answer(&self, request: Request) -> Reply {
+    pub(crate) async fn handle(&self, request: Request) -> Reply {
         match request {
             Request::Hello | Request::Age | Request::Follow { .. } => Reply::Hello,
             Request::Via { .. } => Reply::Failed("a replica does not relay requests".to_owned()),
--- a/crates/gradedyke-turns/src/snapshot.rs
+++ b/crates/gradedyke-turns/src/snapshot.rs
@@ -23,7 +23,7 @@
 use crate::log::sync_folder;
 use crate::mirror::{Item, Mirror};
 use crate::replica::Replica;
-use crate::usage::Written;
+use crate::usage::SavedRow;
 
 /// Name of the mirror's snapshot in the data folder.
 const MIRROR_FILE: &str = "mirror";
@@ -88,18 +88,18 @@
 
 /// Loads the snapshot in `folder` into `mirror`, as an outdated copy. Does nothing if
 /// it is missing or damaged.
-pub fn load(mirror: &Mirror, folder: &Path, now: Instant) {
+pub fn load_mirror(mirror: &Mirror, folder: &Path, now: Instant) {
     let Some(items) = read::<Vec<Item>>(folder, MIRROR_FILE) else {
         return;
     };
     tracing::info!(event = "mirror_loaded", items = items.len());
-    mirror.put(items, now);
+    mirror.apply(items, now);
 }
 
 /// Loads the usage snapshot in `folder` into `replica`. Does nothing if it is missing or
 /// damaged.
 pub fn load_usage(replica: &Replica, folder: &Path, now: Instant) {
-    let Some(snapshot) = read::<(u32, Vec<Written>)>(folder, USAGE_FILE) else {
+    let Some(snapshot) = read::<(u32, Vec<SavedRow>)>(folder, USAGE_FILE) else {
         return;
     };
     tracing::info!(event = "usage_loaded", rows = snapshot.1.len());
@@ -108,14 +108,18 @@
 
 /// Writes the usage of client accounts to `folder` at an interval while there is any,
 /// until `stop` is cancelled.
-pub async fn keep_usage(replica: Arc<Replica>, folder: PathBuf, stop: CancellationToken) {
+pub async fn save_usage_periodically(
+    replica: Arc<Replica>,
+    folder: PathBuf,
+    stop: CancellationToken,
+) {
     let mut previous_rows = 0;
     loop {
         tokio::select! {
             () = tokio::time::sleep(USAGE_WRITE_INTERVAL) => {}
             () = stop.cancelled() => return,
         }
-        let (part_ms, rows) = replica.usage_reports().written(Instant::now());
+        let (part_ms, rows) = replica.usage_reports().export(Instant::now());
         // After the last usage expires, an empty snapshot is written once.
         if rows.is_empty() && previous_rows == 0 {
             continue;
@@ -132,8 +136,8 @@
 }
 
 /// Writes `mirror` to `folder` whenever it has changed, until `stop` is cancelled.
-pub async fn keep(mirror: Arc<Mirror>, folder: PathBuf, stop: CancellationToken) {
-    let mut changed = mirror.watch();
+pub async fn save_mirror_on_change(mirror: Arc<Mirror>, folder: PathBuf, stop: CancellationToken) {
+    let mut changed = mirror.subscribe();
     loop {
         tokio::select! {
             changed = changed.changed() => {
--- a/crates/gradedyke-turns/src/sync.rs
+++ b/crates/gradedyke-turns/src/sync.rs
@@ -17,7 +17,7 @@
 use crate::message::{self, Keys, Reply, Request};
 use crate::record::Key;
 use crate::replica::Replica;
-use crate::view::Disk;
+use crate::view::DiskId;
 
 /// Timeout of a call. Longer than a replica may wait before it answers a request for
 /// keys.
@@ -37,7 +37,7 @@
 pub struct Progress {
     /// The view version of the other replica when this one last had all of its records;
     /// `None` if it never had.
-    pub level: Option<u64>,
+    pub synced_version: Option<u64>,
     /// Since when the other replica has been unreachable, if it is.
     pub unreachable_since: Option<Instant>,
 }
@@ -46,7 +46,7 @@
 pub struct Follower {
     replica: Arc<Replica>,
     client: Client,
-    peer_disk: Disk,
+    peer_disk: DiskId,
     progress: watch::Sender<Progress>,
 }
 
@@ -55,7 +55,7 @@
     /// `progress`.
     pub fn new(
         replica: Arc<Replica>,
-        peer_disk: Disk,
+        peer_disk: DiskId,
         address: SocketAddr,
         progress: watch::Sender<Progress>,
     ) -> Self {
@@ -110,7 +110,7 @@
         self.mark_reachable();
         if keys.all {
             self.progress.send_modify(|progress| {
-                progress.level = progress.level.max(Some(keys.view));
+                progress.synced_version = progress.synced_version.max(Some(keys.view));
             });
         }
     }
@@ -159,7 +159,10 @@
     /// Returns those of `keys` whose records aren't on disk here.
     fn missing(&self, keys: &[Key]) -> Vec<Key> {
         let index = self.replica.index();
-        keys.iter().filter(|k| !index.stored(k)).cloned().collect()
+        keys.iter()
+            .filter(|k| !index.is_stored(k))
+            .cloned()
+            .collect()
     }
 
     /// Whether this replica is in the view.
@@ -188,7 +191,7 @@
             asked = requested,
             found = records.len()
         );
-        let results = join_all(records.iter().map(|r| self.replica.keep(r))).await;
+        let results = join_all(records.iter().map(|r| self.replica.store(r))).await;
         results.into_iter().all(|r| r.is_ok()).then_some(())
     }
 
--- a/crates/gradedyke-turns/src/usage.rs
+++ b/crates/gradedyke-turns/src/usage.rs
@@ -24,10 +24,10 @@
 use crate::record::Id;
 
 /// Hash of a client account's name, which is shorter to send.
-pub type Account = u64;
+pub type AccountHash = u64;
 
 /// Returns the hash of an account's name.
-pub fn account(name: &Id) -> Account {
+pub fn account_hash(name: &Id) -> AccountHash {
     let mut hasher = DefaultHasher::new();
     name.as_str().hash(&mut hasher);
     hasher.finish()
@@ -35,10 +35,10 @@
 
 /// Number of parts into which a window is divided. Usage expires part by part, so a sum may
 /// still include usage that is up to two parts older than the window.
-pub const PARTS: u32 = 20;
+pub const BUCKETS_PER_WINDOW: u32 = 20;
 
 /// Number of parts that are reported: those of a window and the one in progress.
-const REPORTED_PARTS: usize = PARTS as usize + 1;
+const REPORTED_PARTS: usize = BUCKETS_PER_WINDOW as usize + 1;
 
 /// Usage of an account.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -69,7 +69,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
     /// The account.
-    pub account: Account,
+    pub account: AccountHash,
     /// Usage by part of the window, the latest first. Missing parts at the end are zero.
     pub parts: Vec<Total>,
 }
@@ -82,21 +82,21 @@
     /// Length of a part, in milliseconds.
     pub part_ms: u32,
     /// The account whose total the replica returns.
-    pub asked: Account,
+    pub asked: AccountHash,
     /// The usage of accounts.
     pub rows: Vec<Row>,
 }
 
 /// Counts one account's usage through one gateway in a sliding window.
 #[derive(Clone, Debug, Default)]
-pub struct Tally {
+pub struct Counter {
     /// Sequence number of the latest part.
     latest: u64,
     /// The latest part first.
     parts: std::collections::VecDeque<Total>,
 }
 
-impl Tally {
+impl Counter {
     /// Adds `amount` to the part with the sequence number `part`, which may be a past one.
     pub fn add(&mut self, part: u64, amount: Total) {
         self.advance_to(part);
@@ -106,7 +106,7 @@
     }
 
     /// Subtracts `amount` from a part, to which it was added before.
-    pub fn undo(&mut self, part: u64, amount: Total) {
+    pub fn subtract(&mut self, part: u64, amount: Total) {
         if let Some(total) = self.part_mut(part) {
             total.requests = total.requests.saturating_sub(amount.requests);
             total.planned = total.planned.saturating_sub(amount.planned);
@@ -132,7 +132,7 @@
 
     /// Returns the parts of the window that ends in `part`, the latest first, without empty
     /// parts at the end.
-    pub fn told(&mut self, part: u64) -> Vec<Total> {
+    pub fn window_buckets(&mut self, part: u64) -> Vec<Total> {
         self.advance_to(part);
         let is_used = |total: &Total| *total != Total::default();
         let end = self.parts.iter().rposition(is_used).map_or(0, |i| i + 1);
@@ -149,18 +149,18 @@
 
 /// The usage reported by all gateways.
 #[derive(Debug, Default)]
-pub struct Board {
+pub struct Aggregator {
     /// Rows by account and gateway.
-    rows: HashMap<Account, HashMap<u64, ReportedRow>>,
+    rows: HashMap<AccountHash, HashMap<u64, ReportedRow>>,
     part_length: Duration,
 }
 
 /// A row with its gateway, as saved on disk.
-pub type Written = (u64, Row);
+pub type SavedRow = (u64, Row);
 
-impl Board {
+impl Aggregator {
     /// Stores the rows of a report.
-    pub fn put(&mut self, report: Report, now: Instant) {
+    pub fn record_report(&mut self, report: Report, now: Instant) {
         self.part_length = Duration::from_millis(report.part_ms.into());
         for row in report.rows {
             self.insert_row(report.entry, row, now);
@@ -168,7 +168,7 @@
     }
 
     fn insert_row(&mut self, gateway: u64, row: Row, now: Instant) {
-        let window = self.part_length * PARTS;
+        let window = self.part_length * BUCKETS_PER_WINDOW;
         let gateways = self.rows.entry(row.account).or_default();
         gateways.retain(|_, row| now.saturating_duration_since(row.received_at) <= window);
         let parts = row.parts;
@@ -199,7 +199,7 @@
     /// assert_eq!(board.total(7, now + Duration::from_millis(5_100)).requests, 4);
     /// assert_eq!(board.total(7, now + Duration::from_millis(5_300)).requests, 0);
     /// ```
-    pub fn total(&self, account: Account, now: Instant) -> Total {
+    pub fn total(&self, account: AccountHash, now: Instant) -> Total {
         let mut total = Total::default();
         for row in self.rows.get(&account).into_iter().flat_map(|g| g.values()) {
             for part in self.parts_in_window(row, now) {
@@ -224,7 +224,7 @@
 
     /// Returns the length of a part in milliseconds and all usage that is still in the
     /// window, to be saved on disk.
-    pub fn written(&self, now: Instant) -> (u32, Vec<Written>) {
+    pub fn export(&self, now: Instant) -> (u32, Vec<SavedRow>) {
         let mut all = Vec::new();
         for (account, gateways) in &self.rows {
             for (gateway, reported) in gateways {
@@ -249,7 +249,7 @@
 
     /// Restores saved usage as if it had been reported at `now`. The time since it was saved
     /// is not known; assuming none never admits more than the allowance.
-    pub fn restore(&mut self, (part_ms, rows): (u32, Vec<Written>), now: Instant) {
+    pub fn restore(&mut self, (part_ms, rows): (u32, Vec<SavedRow>), now: Instant) {
         self.part_length = Duration::from_millis(part_ms.into());
         for (gateway, row) in rows {
             self.insert_row(gateway, row, now);
--- a/crates/gradedyke-turns/src/view.rs
+++ b/crates/gradedyke-turns/src/view.rs
@@ -10,14 +10,14 @@
 use serde::{Deserialize, Serialize};
 
 /// Key of the view in the key-value service.
-pub const KEY: &str = "gradedyke/view";
+pub const VIEW_KEY: &str = "gradedyke/view";
 
 /// Maximum number of replicas that watch the platform's key-value service: one and
 /// a standby.
 const MAX_WATCHERS: usize = 2;
 
 /// Identity of a replica's disk. A replica that lost its disk gets a new one.
-pub type Disk = u64;
+pub type DiskId = u64;
 
 /// A replica that is part of a view.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -25,7 +25,7 @@
     /// The name of its instance.
     pub name: String,
     /// The identity of its disk.
-    pub disk: Disk,
+    pub disk: DiskId,
     /// The address on which it serves peers.
     pub address: SocketAddr,
     /// Its data centre.
@@ -65,21 +65,21 @@
     pub fn quorum(&self) -> usize {
         let active = self.active().count();
         let majority = active / 2 + 1;
-        majority.max(active.min(self.copies()))
+        majority.max(active.min(self.required_copies()))
     }
 
     /// Returns how many members, active or not, must have a record on disk before it
     /// is considered stored: one more than the number of disks that may be lost.
-    pub fn copies(&self) -> usize {
+    pub fn required_copies(&self) -> usize {
         self.tolerate + 1
     }
 
     /// Whether the members for which `is_up` returns true are enough to read and store
     /// records.
-    pub fn enough(&self, is_up: impl Fn(&Member) -> bool) -> bool {
+    pub fn has_quorum(&self, is_up: impl Fn(&Member) -> bool) -> bool {
         let active = self.active().filter(|m| is_up(m)).count();
         let all = self.members.iter().filter(|m| is_up(m)).count();
-        active >= self.quorum() && all >= self.copies()
+        active >= self.quorum() && all >= self.required_copies()
     }
 
     /// Returns the members that watch the platform's key-value service on behalf of
@@ -89,7 +89,7 @@
     }
 
     /// Returns the member with this disk.
-    pub fn find(&self, disk: Disk) -> Option<&Member> {
+    pub fn find(&self, disk: DiskId) -> Option<&Member> {
         self.members.iter().find(|m| m.disk == disk)
     }
 
--- a/crates/gradedyke-turns/tests/feed.rs
+++ b/crates/gradedyke-turns/tests/feed.rs
@@ -4,10 +4,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use gradedyke_turns::desk::Desk;
+use gradedyke_turns::desk::Dispatcher;
 use gradedyke_turns::detour::Forwarder;
-use gradedyke_turns::feed::{self, ENTRY_START, Reader};
-use gradedyke_turns::mirror::{Item, Mirror, News};
+use gradedyke_turns::feed::{self, ENTRY_START_GRACE, Policy};
+use gradedyke_turns::mirror::{Item, Mirror, Update};
 use gradedyke_turns::quorum::Quorum;
 use tokio::io::AsyncReadExt;
 use tokio::net::{TcpListener, TcpSocket};
@@ -26,7 +26,7 @@
         value: Some("value".into()),
         revision: 1,
     };
-    mirror.put(vec![item], Instant::now());
+    mirror.apply(vec![item], Instant::now());
     mirror
 }
 
@@ -53,7 +53,11 @@
     let stop = CancellationToken::new();
     let mirror = Mirror::new(&[""]);
     let quorum = Quorum::new(mirror.clone(), "here", None);
-    let reader = Arc::new(Reader::new(Instant::now(), ENTRY_START, IN_FORCE_TIME));
+    let reader = Arc::new(Policy::new(
+        Instant::now(),
+        ENTRY_START_GRACE,
+        IN_FORCE_TIME,
+    ));
     let (followed, stopped) = (mirror.clone(), stop.clone());
     tokio::spawn(feed::run(
         followed,
@@ -67,14 +71,14 @@
 
     was_requested.await.unwrap();
     let (_, no_replica) = watch::channel(None);
-    let handler = Arc::new(Desk::new(mirror_with_item(), no_replica));
+    let handler = Arc::new(Dispatcher::new(mirror_with_item(), no_replica));
     let listener = socket.listen(16).unwrap();
     tokio::spawn(gradedyke_peer::server::serve(
         listener,
         handler,
         stop.clone(),
     ));
-    let mut changed = mirror.watch();
+    let mut changed = mirror.subscribe();
     tokio::select! {
         changed = changed.wait_for(|change| *change > 0) => assert!(changed.is_ok()),
         _ = closed => panic!("no update before the unresponsive source was abandoned"),
@@ -84,12 +88,12 @@
 }
 
 /// Starts a gateway whose mirror has applied `update`; returns its address.
-async fn start_neighbour(update: News, stop: &CancellationToken) -> SocketAddr {
+async fn start_neighbour(update: Update, stop: &CancellationToken) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let mirror = mirror_with_item();
     let now = Instant::now();
-    mirror.learn(update, mirror_with_item().items(), now, now);
+    mirror.apply_update(update, mirror_with_item().items(), now, now);
     let forwarder = Arc::new(Forwarder::new(Quorum::new(mirror, "here", None)));
     let serving = gradedyke_peer::server::serve(listener, forwarder, stop.clone());
     tokio::spawn(serving);
@@ -100,11 +104,11 @@
 async fn a_gateway_without_replicas_follows_a_neighbour_with_a_fresh_copy() {
     let stop = CancellationToken::new();
     let now = Instant::now();
-    let confirmed_update = |age_ms| News {
+    let confirmed_update = |age_ms| Update {
         whole: Some(1),
         age_ms: Some(age_ms),
         asked_ms: Some(20),
-        ..News::default()
+        ..Update::default()
     };
     // The first neighbour reaches no replica either, so its copy is too old.
     let stale = start_neighbour(confirmed_update(5_000), &stop).await;
@@ -113,22 +117,22 @@
     let replica = closed.local_addr().unwrap();
     drop(closed);
     let mirror = Mirror::new(&[""]);
-    let update = News {
+    let update = Update {
         neighbours: vec![stale, fresh],
-        ..News::default()
+        ..Update::default()
     };
-    mirror.learn(update, Vec::new(), now, now);
+    mirror.apply_update(update, Vec::new(), now, now);
     let own = "127.0.0.1:1".parse().unwrap();
     let quorum = Quorum::new(mirror.clone(), "here", Some(own));
-    let reader = Arc::new(Reader::new(now, ENTRY_START, IN_FORCE_TIME));
+    let reader = Arc::new(Policy::new(now, ENTRY_START_GRACE, IN_FORCE_TIME));
     let sources = move || vec![replica];
     let feed = feed::run(mirror.clone(), quorum, reader, sources, stop.clone());
     tokio::spawn(feed);
-    let mut changed = mirror.watch();
+    let mut changed = mirror.subscribe();
     changed.wait_for(|change| *change > 0).await.unwrap();
     assert!(mirror.get("key").is_some());
     // The copy came from the fresh neighbour, and its age is known.
     assert!(mirror.age(Instant::now()).unwrap() < Duration::from_secs(4));
-    assert!(mirror.vouched().is_some());
+    assert!(mirror.complete_as_of().is_some());
     stop.cancel();
 }
--- a/crates/gradedyke-turns/tests/index.rs
+++ b/crates/gradedyke-turns/tests/index.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use gradedyke_turns::body::Body;
-use gradedyke_turns::conversation::Chain;
-use gradedyke_turns::index::{Answer, BODIES, Index};
-use gradedyke_turns::log::Place;
+use gradedyke_turns::conversation::Transcript;
+use gradedyke_turns::index::{Index, Lookup, MAX_CACHED_BODY_BYTES};
+use gradedyke_turns::log::Location;
 use gradedyke_turns::record::{Id, Key, Kind, Record, Reserved, Settled, Turn};
 use proptest::prelude::*;
 use tokio::time::Instant;
@@ -61,12 +61,12 @@
 }
 
 /// Returns a conversation whose turn bodies are all in memory.
-fn chain(index: &mut Index, request: &str) -> Option<Chain> {
-    index.conversation(&id(request))?.chain(&[])
+fn chain(index: &mut Index, request: &str) -> Option<Transcript> {
+    index.conversation(&id(request))?.transcript(&[])
 }
 
-fn location(segment: u32, offset: u32) -> Place {
-    Place {
+fn location(segment: u32, offset: u32) -> Location {
+    Location {
         segment,
         offset,
         len: 10,
@@ -89,7 +89,7 @@
         order in Just(records()).prop_shuffle(),
         repeated in proptest::sample::subsequence(records(), 0..=7),
     ) {
-        let mut index = Index::new(BODIES);
+        let mut index = Index::new(MAX_CACHED_BODY_BYTES);
         let now = Instant::now();
         for record in order.iter().chain(&repeated) {
             index.apply(record, 1, now);
@@ -105,13 +105,13 @@
         let chain = chain(&mut index, "e").unwrap();
         prop_assert_eq!(&chain.body[..], b"in-a;out-a\nin-d;out-d\nin-e;out-e\n");
         prop_assert_eq!(chain.server, id("server-of-e"));
-        prop_assert_eq!(index.end(), 7);
+        prop_assert_eq!(index.end_position(), 7);
     }
 }
 
 #[test]
 fn a_conversation_with_a_missing_turn_is_not_returned() {
-    let mut index = Index::new(BODIES);
+    let mut index = Index::new(MAX_CACHED_BODY_BYTES);
     let now = Instant::now();
     index.apply(&turn("a", None, 1), 1, now);
     index.apply(&turn("c", Some("b"), 1), 1, now);
@@ -122,7 +122,7 @@
 
 #[test]
 fn a_turn_is_retained_as_long_as_its_descendants() {
-    let mut index = Index::new(BODIES);
+    let mut index = Index::new(MAX_CACHED_BODY_BYTES);
     let start = Instant::now();
     index.apply(&turn("a", None, 1), 1, start);
     index.apply(&turn("x", None, 1), 1, start);
@@ -141,32 +141,35 @@
 
 #[test]
 fn a_moved_record_leaves_its_old_segment_empty() {
-    let mut index = Index::new(BODIES);
+    let mut index = Index::new(MAX_CACHED_BODY_BYTES);
     let start = Instant::now();
     index.apply(&turn("a", None, 1), 1, start);
     let key = Key {
         kind: Kind::Turn,
         request: id("a"),
     };
-    index.place(&key, location(2, 0));
+    index.set_location(&key, location(2, 0));
     // The only record has moved from segment 1 to segment 2.
     assert_eq!(index.expire(start), [1]);
 }
 
 #[test]
 fn arrived_returns_each_record_once() {
-    let mut index = Index::new(BODIES);
+    let mut index = Index::new(MAX_CACHED_BODY_BYTES);
     let now = Instant::now();
     for record in records() {
         index.apply(&record, 1, now);
     }
-    let (first, next) = index.arrived(0, 3);
-    let (remaining, end) = index.arrived(next, 100);
-    assert_eq!((first.len(), remaining.len(), end), (3, 4, index.end()));
-    let (empty, unchanged_end) = index.arrived(end, 100);
+    let (first, next) = index.keys_since(0, 3);
+    let (remaining, end) = index.keys_since(next, 100);
+    assert_eq!(
+        (first.len(), remaining.len(), end),
+        (3, 4, index.end_position())
+    );
+    let (empty, unchanged_end) = index.keys_since(end, 100);
     assert_eq!((empty.len(), unchanged_end), (0, end));
     for key in first.iter().chain(&remaining) {
-        let Some(Answer::Held(record)) = index.record(key, now) else {
+        let Some(Lookup::InMemory(record)) = index.record(key, now) else {
             panic!("record {key:?} is not in memory");
         };
         assert_eq!(record.key(), *key);
@@ -180,32 +183,32 @@
     let now = Instant::now();
     let key = |request: &str| turn(request, None, 1).key();
     index.apply(&turn("a", None, 1), 1, now);
-    index.place(&key("a"), location(1, 100));
+    index.set_location(&key("a"), location(1, 100));
     index.apply(&turn("b", Some("a"), 1), 1, now);
     index.apply(&turn("c", Some("b"), 1), 1, now);
     // "b" is not on disk yet, so the oldest stored body, "a", is evicted.
-    index.place(&key("c"), location(1, 300));
+    index.set_location(&key("c"), location(1, 300));
     assert_eq!(index.body_bytes(), 22);
     let conversation = index.conversation(&id("c")).unwrap();
-    assert_eq!(conversation.stored(), [location(1, 100)]);
-    assert!(conversation.chain(&[]).is_none());
+    assert_eq!(conversation.disk_locations(), [location(1, 100)]);
+    assert!(conversation.transcript(&[]).is_none());
     assert_eq!(
         index.record(&key("a"), now),
-        Some(Answer::Stored(location(1, 100)))
+        Some(Lookup::OnDisk(location(1, 100)))
     );
     // Restoring "a" evicts the other stored body, "c".
     let body = Body {
         input: "in-a;".into(),
         output: "out-a\n".into(),
     };
-    index.restore(&id("a"), body.clone());
+    index.cache_body(&id("a"), body.clone());
     let conversation = index.conversation(&id("c")).unwrap();
-    assert_eq!(conversation.stored(), [location(1, 300)]);
+    assert_eq!(conversation.disk_locations(), [location(1, 300)]);
     let last = Body {
         input: "in-c;".into(),
         output: "out-c\n".into(),
     };
-    let chain = conversation.chain(&[last]).unwrap();
+    let chain = conversation.transcript(&[last]).unwrap();
     assert_eq!(&chain.body[..], b"in-a;out-a\nin-b;out-b\nin-c;out-c\n");
     // The bodies of expired turns are removed.
     index.expire(now + Duration::from_millis(2 * u64::from(RETENTION_MS)));
@@ -214,22 +217,22 @@
 
 #[test]
 fn expired_records_can_be_applied_again() {
-    let mut index = Index::new(BODIES);
+    let mut index = Index::new(MAX_CACHED_BODY_BYTES);
     let now = Instant::now();
     for record in records() {
         assert!(index.apply(&record, 1, now));
         assert!(!index.apply(&record, 1, now));
     }
-    let end = index.end();
+    let end = index.end_position();
     let later = now + Duration::from_millis(2 * u64::from(RETENTION_MS));
     assert_eq!(index.expire(later), [1]);
-    assert_eq!(index.sizes(), (0, 0));
+    assert_eq!(index.counts(), (0, 0));
     assert!(attempts(&index).is_empty());
-    assert_eq!(index.arrived(0, 100), (Vec::new(), end));
+    assert_eq!(index.keys_since(0, 100), (Vec::new(), end));
     for record in records() {
         assert!(index.apply(&record, 2, later));
     }
-    assert_eq!(index.sizes(), (3, 1));
+    assert_eq!(index.counts(), (3, 1));
     assert!(chain(&mut index, "e").is_some());
-    assert_eq!(index.arrived(end, 100).0.len(), 7);
+    assert_eq!(index.keys_since(end, 100).0.len(), 7);
 }
--- a/crates/gradedyke-turns/tests/listing.rs
+++ b/crates/gradedyke-turns/tests/listing.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use gradedyke_turns::message::{Reply, encode};
-use gradedyke_turns::mirror::{Cursor, Item, Mirror, News};
+use gradedyke_turns::mirror::{Cursor, Item, Mirror, Update};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use tokio::time::Instant;
@@ -42,18 +42,18 @@
 fn listed_mirror(keys: usize, revision: u64, now: Instant) -> Arc<Mirror> {
     let mirror = Mirror::new(&[""]);
     let items = (0..keys).map(|key| item(key, 1 + key as u64)).collect();
-    mirror.replace("", items, revision, now);
+    mirror.apply_listing("", items, revision, now);
     mirror
 }
 
 /// Applies changes that are newer than all items of `mirror`.
 fn apply_changes(mirror: &Mirror, items: Vec<Item>, now: Instant) {
     let through = items.iter().map(|i| i.revision).max();
-    let update = News {
-        through,
-        ..News::default()
+    let update = Update {
+        complete_revision: through,
+        ..Update::default()
     };
-    mirror.learn(update, items, now, now);
+    mirror.apply_update(update, items, now, now);
 }
 
 /// Follows `source` until `mirror` is up to date; returns the sizes of the replies.
@@ -61,15 +61,15 @@
     let mut sizes = Vec::new();
     let mut items = Vec::new();
     loop {
-        cursor.through = mirror.complete_revision();
-        let update = source.news(cursor, now, now);
+        cursor.complete_revision = mirror.complete_revision();
+        let update = source.update_since(cursor, now, now);
         sizes.push(encode(&Reply::News(update.clone())).len());
         cursor.boot = update.boot;
         cursor.change = update.next;
         cursor.listing = update.listing && update.more;
-        items.extend(update.items.unpack().unwrap());
+        items.extend(update.items.decode().unwrap());
         if !update.more {
-            mirror.learn(update, items, now, now);
+            mirror.apply_update(update, items, now, now);
             return sizes;
         }
     }
@@ -107,17 +107,17 @@
     let source = listed_mirror(keys, 5_000, now);
     let mirror = Mirror::new(&[""]);
     // A key that was deleted before the listing.
-    mirror.put(vec![item(9_999, 7)], now);
+    mirror.apply(vec![item(9_999, 7)], now);
     let mut cursor = Cursor::default();
     let mut items = Vec::new();
     let mut revision = 5_000;
     loop {
-        let update = source.news(&cursor, now, now);
+        let update = source.update_since(&cursor, now, now);
         (cursor.boot, cursor.change) = (update.boot, update.next);
         cursor.listing = update.more;
-        items.extend(update.items.unpack().unwrap());
+        items.extend(update.items.decode().unwrap());
         if !update.more {
-            mirror.learn(update, items, now, now);
+            mirror.apply_update(update, items, now, now);
             break;
         }
         if revision < 5_012 {
@@ -186,7 +186,7 @@
     assert_eq!(mirror.complete_revision(), 300);
     // A source that only loaded its copy from disk removes nothing from the follower's.
     let third = Mirror::new(&[""]);
-    third.put(vec![item(3, 4)], now);
+    third.apply(vec![item(3, 4)], now);
     follow(&mirror, &third, &mut Cursor::default(), now);
     assert_eq!(contents(&mirror), contents(&second));
 }
--- a/crates/gradedyke-turns/tests/log.rs
+++ b/crates/gradedyke-turns/tests/log.rs
@@ -3,7 +3,7 @@
 use std::fs::{self, OpenOptions};
 use std::path::Path;
 
-use gradedyke_turns::log::{Log, Place};
+use gradedyke_turns::log::{Location, Log};
 use gradedyke_turns::record::{Id, Record, Reserved, Turn};
 
 fn id(text: &str) -> Id {
@@ -37,10 +37,10 @@
 }
 
 /// Returns all records in a folder in the order in which they were written.
-fn records(folder: &Path) -> Vec<(Record, Place)> {
+fn records(folder: &Path) -> Vec<(Record, Location)> {
     let (log, tables) = Log::open(folder).unwrap();
     let segments = tables.into_iter().map(|(segment, _)| segment);
-    let records = segments.flat_map(|s| log.records(s).unwrap());
+    let records = segments.flat_map(|s| log.read_segment(s).unwrap());
     records.collect()
 }
 
@@ -124,10 +124,10 @@
     let folder = tempfile::tempdir().unwrap();
     let log = open(folder.path());
     let first = log.append(&turn("a", 9 << 20)).await.unwrap().segment;
-    assert!(!log.remove(first));
+    assert!(!log.remove_segment(first));
     let second = log.append(&turn("b", 10)).await.unwrap().segment;
     assert!(second > first);
-    assert!(log.remove(first));
+    assert!(log.remove_segment(first));
     drop(log);
     assert_eq!(request_ids(folder.path()), ["b"]);
 }
@@ -170,7 +170,7 @@
     assert_eq!(found.map(|(_, p)| p).collect::<Vec<_>>(), locations);
     let log = open(folder.path());
     let last = locations[5];
-    let misaligned = Place {
+    let misaligned = Location {
         offset: last.offset + 1,
         ..last
     };
@@ -210,7 +210,7 @@
     let check = |case: &str| {
         let (log, tables) = Log::open(folder.path()).unwrap();
         for (name, location) in ["a", "b", "c"].into_iter().zip(&locations) {
-            let found: Vec<Place> = tables
+            let found: Vec<Location> = tables
                 .iter()
                 .flat_map(|(segment, table)| table.find_turn(*segment, &id(name)))
                 .collect();
--- a/crates/gradedyke-turns/tests/membership/main.rs
+++ b/crates/gradedyke-turns/tests/membership/main.rs
@@ -7,10 +7,10 @@
 
 use gradedyke_turns::membership::{Config, Observation, decide};
 use gradedyke_turns::sync::Progress;
-use gradedyke_turns::view::{Disk, Member, View};
+use gradedyke_turns::view::{DiskId, Member, View};
 use tokio::time::Instant;
 
-const OWN_DISK: Disk = 9;
+const OWN_DISK: DiskId = 9;
 
 fn config(first_start: bool) -> Config {
     Config {
@@ -20,11 +20,11 @@
         data_centres: Vec::new(),
         first_start,
         tolerate: 1,
-        turn: Duration::ZERO,
+        join_delay: Duration::ZERO,
     }
 }
 
-fn member(name: &str, disk: Disk, active: bool) -> Member {
+fn member(name: &str, disk: DiskId, active: bool) -> Member {
     Member {
         name: name.to_owned(),
         disk,
@@ -34,7 +34,7 @@
     }
 }
 
-fn view(members: &[(&str, Disk, bool)]) -> View {
+fn view(members: &[(&str, DiskId, bool)]) -> View {
     View {
         version: 5,
         tolerate: 1,
@@ -53,15 +53,15 @@
     Unreachable(u64),
 }
 
-fn progress(states: &[(Disk, PeerState)], now: Instant) -> HashMap<Disk, Progress> {
+fn progress(states: &[(DiskId, PeerState)], now: Instant) -> HashMap<DiskId, Progress> {
     let progress = |state| match state {
         PeerState::Synced(version) => Progress {
-            level: Some(version),
+            synced_version: Some(version),
             unreachable_since: None,
         },
         PeerState::Behind => Progress::default(),
         PeerState::Unreachable(ms) => Progress {
-            level: Some(5),
+            synced_version: Some(5),
             unreachable_since: Some(now - Duration::from_millis(ms)),
         },
     };
@@ -72,8 +72,8 @@
 /// inactive ones.
 fn propose(
     first_start: bool,
-    members: &[(&str, Disk, bool)],
-    states: &[(Disk, PeerState)],
+    members: &[(&str, DiskId, bool)],
+    states: &[(DiskId, PeerState)],
     leave_since_ms: Option<u64>,
     retiring: &[&str],
     others_caught_up: bool,
@@ -362,6 +362,6 @@
     ];
     for (members, expected) in cases {
         assert_eq!(view(members).quorum(), *expected, "{members:?}");
-        assert_eq!(view(members).copies(), 2, "{members:?}");
+        assert_eq!(view(members).required_copies(), 2, "{members:?}");
     }
 }
--- a/crates/gradedyke-turns/tests/membership/spread.rs
+++ b/crates/gradedyke-turns/tests/membership/spread.rs
@@ -3,21 +3,21 @@
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
-use gradedyke_turns::membership::{Config, Observation, decide, turn};
-use gradedyke_turns::view::{Disk, Member, View};
+use gradedyke_turns::membership::{Config, Observation, decide, draw_join_delay};
+use gradedyke_turns::view::{DiskId, Member, View};
 use tokio::time::Instant;
 
 use crate::{OWN_DISK, PeerState, config, member, progress, view};
 
 /// A member's name, disk and data centre, and whether it is active.
-type MemberRow = (&'static str, Disk, &'static str, bool);
+type MemberRow = (&'static str, DiskId, &'static str, bool);
 
 /// What a replica in one of the data centres a, b and c observes.
 struct Case<'a> {
     name: &'a str,
     data_centre: &'a str,
     members: &'a [MemberRow],
-    states: &'a [(Disk, PeerState)],
+    states: &'a [(DiskId, PeerState)],
     /// How long the situation has been unchanged, in milliseconds.
     unchanged_ms: u64,
     retiring: &'a [&'a str],
@@ -52,7 +52,7 @@
     }
 }
 
-const ALL_SYNCED: [(Disk, PeerState); 3] = [
+const ALL_SYNCED: [(DiskId, PeerState); 3] = [
     (1, PeerState::Synced(5)),
     (2, PeerState::Synced(5)),
     (3, PeerState::Synced(5)),
@@ -284,7 +284,7 @@
         let config = Config {
             data_centre: data_centre.to_owned(),
             data_centres: vec!["here".to_owned(), "there".to_owned()],
-            turn,
+            join_delay: turn,
             ..config(first_start)
         };
         (0..60_000).step_by(10).find(|ms| {
@@ -301,7 +301,7 @@
         })
     };
     for first_start in [true, false] {
-        let jitters = (0..200).map(|_| turn(first_start));
+        let jitters = (0..200).map(|_| draw_join_delay(first_start));
         let longest = jitters.max().unwrap();
         let prioritized = join_delay_ms("there", first_start, longest).unwrap();
         let others = join_delay_ms("here", first_start, Duration::ZERO).unwrap();
--- a/crates/gradedyke-turns/tests/mirror.rs
+++ b/crates/gradedyke-turns/tests/mirror.rs
@@ -2,15 +2,15 @@
 
 use std::time::Duration;
 
-use gradedyke_turns::mirror::{Cursor, Item, Mirror, News};
+use gradedyke_turns::mirror::{Cursor, Item, Mirror, Update};
 use tokio::time::Instant;
 
-fn update(asked_ms: Option<i64>) -> News {
-    News {
+fn update(asked_ms: Option<i64>) -> Update {
+    Update {
         whole: Some(7),
         age_ms: Some(20),
         asked_ms,
-        ..News::default()
+        ..Update::default()
     }
 }
 
@@ -18,12 +18,12 @@
 async fn a_reply_that_waited_unread_is_as_old_as_the_request() {
     let sent = Instant::now();
     let mirror = Mirror::new(&[""]);
-    assert_eq!(mirror.vouched(), None);
+    assert_eq!(mirror.complete_as_of(), None);
     // The process was suspended for 10 s between the request and reading the reply.
     let read = sent + Duration::from_secs(10);
-    mirror.learn(update(Some(300)), Vec::new(), sent, read);
+    mirror.apply_update(update(Some(300)), Vec::new(), sent, read);
     assert_eq!(
-        mirror.vouched(),
+        mirror.complete_as_of(),
         sent.checked_sub(Duration::from_millis(300))
     );
     assert_eq!(mirror.age(read), Some(Duration::from_millis(20)));
@@ -33,24 +33,27 @@
 async fn a_copy_from_disk_is_not_confirmed() {
     let now = Instant::now();
     let mirror = Mirror::new(&[""]);
-    mirror.learn(update(None), Vec::new(), now, now);
-    assert_eq!(mirror.vouched(), None);
-    assert_eq!(mirror.news(&Cursor::default(), now, now).asked_ms, None);
+    mirror.apply_update(update(None), Vec::new(), now, now);
+    assert_eq!(mirror.complete_as_of(), None);
+    assert_eq!(
+        mirror.update_since(&Cursor::default(), now, now).asked_ms,
+        None
+    );
 }
 
 #[tokio::test]
 async fn the_age_grows_with_each_hop() {
     let start = Instant::now();
     let (first, second) = (Mirror::new(&[""]), Mirror::new(&[""]));
-    first.learn(update(Some(300)), Vec::new(), start, start);
+    first.apply_update(update(Some(300)), Vec::new(), start, start);
     // The second asks 50 ms later, and the first replies 100 ms after that.
     let sent = start + Duration::from_millis(50);
     let replied = sent + Duration::from_millis(100);
-    let reply = first.news(&Cursor::default(), sent, replied);
+    let reply = first.update_since(&Cursor::default(), sent, replied);
     assert_eq!(reply.asked_ms, Some(351));
-    second.learn(reply, Vec::new(), sent, replied + Duration::from_millis(5));
-    let requested_at = second.vouched().unwrap();
-    assert!(requested_at <= first.vouched().unwrap());
+    second.apply_update(reply, Vec::new(), sent, replied + Duration::from_millis(5));
+    let requested_at = second.complete_as_of().unwrap();
+    assert!(requested_at <= first.complete_as_of().unwrap());
     assert_eq!(replied - requested_at, Duration::from_millis(451));
 }
 
@@ -60,16 +63,16 @@
     let (first, second) = (Mirror::new(&[""]), Mirror::new(&[""]));
     // The service was asked 200 ms after the first process received the request.
     let later = sent + Duration::from_millis(200);
-    first.learn(
+    first.apply_update(
         update(Some(0)),
         Vec::new(),
         later,
         later + Duration::from_millis(50),
     );
-    let reply = first.news(&Cursor::default(), sent, sent + Duration::from_millis(300));
+    let reply = first.update_since(&Cursor::default(), sent, sent + Duration::from_millis(300));
     assert_eq!(reply.asked_ms, Some(-200));
-    second.learn(reply, Vec::new(), sent, sent + Duration::from_millis(310));
-    assert_eq!(second.vouched(), Some(later));
+    second.apply_update(reply, Vec::new(), sent, sent + Duration::from_millis(310));
+    assert_eq!(second.complete_as_of(), Some(later));
 }
 
 #[tokio::test]
@@ -81,27 +84,27 @@
         revision: 3,
     };
     let (source, follower) = (Mirror::new(&[""]), Mirror::new(&[""]));
-    source.put(vec![item.clone()], now);
-    let reply = source.news(&Cursor::default(), now, now);
+    source.apply(vec![item.clone()], now);
+    let reply = source.update_since(&Cursor::default(), now, now);
     let cursor = Cursor {
         boot: reply.boot,
         change: reply.next,
         ..Cursor::default()
     };
-    let items = reply.items.unpack().unwrap();
-    follower.learn(reply, items, now, now);
+    let items = reply.items.decode().unwrap();
+    follower.apply_update(reply, items, now, now);
     assert_eq!(
-        (follower.get("key").is_some(), follower.vouched()),
+        (follower.get("key").is_some(), follower.complete_as_of()),
         (true, None)
     );
     // The service confirms the same contents, so only the confirmation is new.
-    let mut changed = source.watch();
+    let mut changed = source.subscribe();
     changed.mark_unchanged();
-    source.learn(update(Some(10)), vec![item], now, now);
+    source.apply_update(update(Some(10)), vec![item], now, now);
     assert!(changed.has_changed().unwrap());
-    let reply = source.news(&cursor, now, now);
-    let items = reply.items.unpack().unwrap();
-    follower.learn(reply, items, now, now);
-    assert!(follower.vouched().is_some());
+    let reply = source.update_since(&cursor, now, now);
+    let items = reply.items.decode().unwrap();
+    follower.apply_update(reply, items, now, now);
+    assert!(follower.complete_as_of().is_some());
     assert!(follower.age(now).is_some());
 }
--- a/crates/gradedyke-turns/tests/quorum/arrivals.rs
+++ b/crates/gradedyke-turns/tests/quorum/arrivals.rs
@@ -7,7 +7,7 @@
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
 use gradedyke_peer::Handler;
-use gradedyke_turns::desk::Desk;
+use gradedyke_turns::desk::Dispatcher;
 use gradedyke_turns::load::Report;
 use gradedyke_turns::log::Log;
 use gradedyke_turns::message::{self, Begin, Reply, Request};
@@ -34,7 +34,7 @@
         })
     };
     let (_, ready) = watch::channel(Some(replica.clone()));
-    let desk = Desk::new(Mirror::new(&[""]), ready);
+    let desk = Dispatcher::new(Mirror::new(&[""]), ready);
     let keys = message::encode(&Request::Keys {
         disk: 1,
         boot: 0,
@@ -45,7 +45,7 @@
     for (count, should_wait) in [(1, true), (page_len, false)] {
         let writes = (0..count).map(|n| {
             let replica = replica.clone();
-            async move { replica.keep(&record(n)).await.unwrap() }
+            async move { replica.store(&record(n)).await.unwrap() }
         });
         futures_util::future::join_all(writes).await;
         tokio::time::pause();
@@ -70,7 +70,7 @@
     for node in &mut group.nodes {
         node.stop.cancel();
         let (replica_sender, replica) = watch::channel(None);
-        let desk = Arc::new(Desk::new(Mirror::new(&[""]), replica));
+        let desk = Arc::new(Dispatcher::new(Mirror::new(&[""]), replica));
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         node.member.address = listener.local_addr().unwrap();
         let stop = CancellationToken::new();
@@ -112,7 +112,7 @@
         let (disk, address) = (node.member.disk, node.member.address);
         let follower = Follower::new(replica.clone(), disk, address, sender);
         group.tasks.spawn(follower.run(stop.clone()));
-        let caught_up = progress.wait_for(|p| p.level.is_some());
+        let caught_up = progress.wait_for(|p| p.synced_version.is_some());
         let caught_up = tokio::time::timeout(Duration::from_secs(10), caught_up).await;
         assert!(
             caught_up.is_ok(),
@@ -123,7 +123,7 @@
     group.tasks.shutdown().await;
     let (log, tables) = Log::open(&path).unwrap();
     let segments = tables.iter().map(|(segment, _)| *segment);
-    let written: usize = segments.map(|s| log.records(s).unwrap().len()).sum();
+    let written: usize = segments.map(|s| log.read_segment(s).unwrap().len()).sum();
     assert_eq!(written, 40);
 }
 
@@ -131,7 +131,7 @@
 async fn overloaded_replica_rejects_begins_and_accepts_settlements() {
     let group = Group::start(1).await;
     let (_, ready) = watch::channel(Some(group.nodes[0].replica.clone()));
-    let desk = Desk::new(Mirror::new(&[""]), ready);
+    let desk = Dispatcher::new(Mirror::new(&[""]), ready);
     let begin = |n: usize| {
         message::encode(&Request::Begin(Begin {
             view: 1,
--- a/crates/gradedyke-turns/tests/quorum/main.rs
+++ b/crates/gradedyke-turns/tests/quorum/main.rs
@@ -10,11 +10,11 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use gradedyke_turns::desk::Desk;
-use gradedyke_turns::load::{Busy, Report};
+use gradedyke_turns::desk::Dispatcher;
+use gradedyke_turns::load::{Report, ServerLoad};
 use gradedyke_turns::membership;
 use gradedyke_turns::mirror::{Item, Mirror};
-use gradedyke_turns::quorum::{Ask, Quorum, Refusal};
+use gradedyke_turns::quorum::{BeginParams, Error, Quorum};
 use gradedyke_turns::record::{Id, Record, Reserved, Settled, Turn};
 use gradedyke_turns::replica::Replica;
 use gradedyke_turns::view::{self, Member, View};
@@ -42,7 +42,7 @@
         let replica = Replica::open(folder.path(), mirror.clone(), stop.clone()).unwrap();
         tasks.spawn(replica.clone().recover());
         let (_, ready) = watch::channel(Some(replica.clone()));
-        let desk = Arc::new(Desk::new(mirror, ready));
+        let desk = Arc::new(Dispatcher::new(mirror, ready));
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let member = Member {
             name: name.to_owned(),
@@ -101,34 +101,34 @@
     fn publish(&self, version: u64) {
         let view = self.view(version);
         let item = Item {
-            key: view::KEY.to_owned(),
+            key: view::VIEW_KEY.to_owned(),
             value: Some(serde_json::to_vec(&view).unwrap().into()),
             revision: version,
         };
-        self.mirror.put(vec![item], Instant::now());
-        self.nodes.iter().for_each(|n| n.replica.learn(&view));
-        assert_eq!(membership::read(&self.mirror).unwrap().0, view);
+        self.mirror.apply(vec![item], Instant::now());
+        self.nodes.iter().for_each(|n| n.replica.update_view(&view));
+        assert_eq!(membership::read_view(&self.mirror).unwrap().0, view);
     }
 
     fn stop(&self, number: usize) {
         self.nodes[number].stop.cancel();
     }
 
-    async fn reserve(&self, request: &str, tokens: u32, budget: u64) -> Result<(), Refusal> {
+    async fn reserve(&self, request: &str, tokens: u32, budget: u64) -> Result<(), Error> {
         let reserved = Reserved {
             program: id("p"),
             request: id(request),
             tokens,
             keep_ms: 60_000,
         };
-        let params = Ask {
-            reserve: Some((reserved, budget)),
+        let params = BeginParams {
+            reservation: Some((reserved, budget)),
             parent: None,
-            first: false,
+            is_first_turn: false,
             load: Report::default(),
             usage: None,
-            time: Duration::from_secs(1),
-            until: near_deadline(),
+            try_timeout: Duration::from_secs(1),
+            deadline: near_deadline(),
         };
         self.quorum.begin(&params).await.map(|_| ())
     }
@@ -141,12 +141,12 @@
             keep_ms: 60_000,
         });
         self.quorum
-            .keep(&record, None, near_deadline())
+            .store(&record, None, near_deadline())
             .await
             .unwrap();
     }
 
-    async fn keep(&self, request: &str, parent: Option<&str>) -> Result<(), Refusal> {
+    async fn keep(&self, request: &str, parent: Option<&str>) -> Result<(), Error> {
         let record = Record::Turn(Turn {
             request: id(request),
             parent: parent.map(id),
@@ -158,20 +158,20 @@
             keep_ms: 60_000,
         });
         self.quorum
-            .keep(&record, None, near_deadline())
+            .store(&record, None, near_deadline())
             .await
             .map(|_| ())
     }
 
-    async fn chain(&self, parent: &str) -> Result<Option<Bytes>, Refusal> {
-        let params = Ask {
-            reserve: None,
+    async fn chain(&self, parent: &str) -> Result<Option<Bytes>, Error> {
+        let params = BeginParams {
+            reservation: None,
             parent: Some(id(parent)),
-            first: false,
+            is_first_turn: false,
             load: Report::default(),
             usage: None,
-            time: Duration::from_secs(1),
-            until: near_deadline(),
+            try_timeout: Duration::from_secs(1),
+            deadline: near_deadline(),
         };
         let chain = self.quorum.begin(&params).await;
         chain.map(|c| c.chain.map(|c| c.body))
@@ -202,9 +202,9 @@
     group.keep("a", None).await.unwrap();
     group.stop(1);
     let refused = group.keep("b", Some("a")).await.unwrap_err();
-    assert!(matches!(refused, Refusal::NoQuorum { .. }), "{refused:?}");
+    assert!(matches!(refused, Error::NoQuorum { .. }), "{refused:?}");
     let refused = group.chain("a").await.unwrap_err();
-    assert!(matches!(refused, Refusal::NoQuorum { .. }), "{refused:?}");
+    assert!(matches!(refused, Error::NoQuorum { .. }), "{refused:?}");
 }
 
 #[tokio::test]
@@ -219,21 +219,21 @@
     new_node.member.active = false;
     group.nodes.push(new_node);
     group.publish(2);
-    assert!(group.quorum.reachable());
+    assert!(group.quorum.is_majority_reachable());
     group.keep("b", Some("a")).await.unwrap();
     assert_eq!(group.chain("b").await.unwrap().unwrap(), "a?a!b?b!");
     // A single replica is not enough.
     group.stop(1);
     let refused = group.keep("c", Some("b")).await.unwrap_err();
-    assert!(matches!(refused, Refusal::NoQuorum { .. }), "{refused:?}");
+    assert!(matches!(refused, Error::NoQuorum { .. }), "{refused:?}");
 }
 
 #[tokio::test]
 async fn missing_turn_is_reported_only_if_all_replicas_answer() {
     let group = Group::start(3).await;
-    assert_eq!(group.chain("no").await, Err(Refusal::NoTurn));
+    assert_eq!(group.chain("no").await, Err(Error::TurnNotFound));
     group.stop(2);
-    assert_eq!(group.chain("no").await, Err(Refusal::Unsure));
+    assert_eq!(group.chain("no").await, Err(Error::Indeterminate));
 }
 
 #[tokio::test]
@@ -242,7 +242,7 @@
     group.reserve("a", 40, 100).await.unwrap();
     group.settle("a", 30).await;
     group.reserve("b", 40, 100).await.unwrap();
-    let spent = Refusal::Spent {
+    let spent = Error::BudgetExceeded {
         budget: 100,
         used: 70,
         asked: 40,
@@ -281,7 +281,10 @@
     group.keep("a", None).await.unwrap();
     // The replicas have a newer view than the client, which gets it from them.
     let later = group.view(7);
-    group.nodes.iter().for_each(|n| n.replica.learn(&later));
+    group
+        .nodes
+        .iter()
+        .for_each(|n| n.replica.update_view(&later));
     group.keep("b", Some("a")).await.unwrap();
     assert_eq!(group.quorum.view().version, 7);
 }
@@ -289,15 +292,15 @@
 #[tokio::test]
 async fn gateways_receive_load_of_other_gateways() {
     let group = Group::start(3).await;
-    let params = |entry, requests| Ask {
+    let params = |entry, requests| BeginParams {
         usage: None,
-        reserve: None,
+        reservation: None,
         parent: None,
-        first: false,
+        is_first_turn: false,
         load: Report {
             entry,
             address: None,
-            busy: vec![Busy {
+            busy: vec![ServerLoad {
                 server: 7,
                 requests,
                 failures: 0,
@@ -307,8 +310,8 @@
                 pace: 0,
             }],
         },
-        time: Duration::from_secs(1),
-        until: near_deadline(),
+        try_timeout: Duration::from_secs(1),
+        deadline: near_deadline(),
     };
     let first_load = group.quorum.begin(&params(1, 2)).await.unwrap().load;
     assert!(first_load.is_none_or(|l| l.is_empty()));
