--- a/crates/gradedyke-turns/tests/recovery.rs
+++ b/crates/gradedyke-turns/tests/recovery.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use gradedyke_peer::Handler;
-use gradedyke_turns::desk::Desk;
+use gradedyke_turns::desk::Dispatcher;
 use gradedyke_turns::index::Index;
 use gradedyke_turns::load::Report;
 use gradedyke_turns::log::Log;
@@ -68,7 +68,7 @@
 /// A replica that has been opened; no records are loaded.
 struct Node {
     replica: Arc<Replica>,
-    desk: Desk,
+    desk: Dispatcher,
     stop: CancellationToken,
 }
 
@@ -78,7 +78,7 @@
         let mirror = Mirror::new(&[]);
         let replica = Replica::open(folder, mirror.clone(), stop.clone()).unwrap();
         let (_, receiver) = watch::channel(Some(replica.clone()));
-        let desk = Desk::new(mirror, receiver);
+        let desk = Dispatcher::new(mirror, receiver);
         Self {
             replica,
             desk,
@@ -188,7 +188,7 @@
     let folder = tempfile::tempdir().unwrap();
     write(folder.path(), &[turn("p", "a", None, 10)]).await;
     let node = Node::new(folder.path());
-    let expire = tokio::spawn(node.replica.clone().expire());
+    let expire = tokio::spawn(node.replica.clone().run_expiry());
     tokio::time::sleep(std::time::Duration::from_secs(600)).await;
     let (_, found) = node.begin("p", Some("a")).await;
     assert!(matches!(found, Some(Found::Whole(_))), "{found:?}");
@@ -281,7 +281,7 @@
                     .map(|a| (a.request, (a.tokens, a.settled)))
                     .collect();
                 assert_eq!(usage, expected);
-                let chain = reference.conversation(&request).and_then(|c| c.chain(&[]));
+                let chain = reference.conversation(&request).and_then(|c| c.transcript(&[]));
                 let expected = chain.map_or(Found::Missing, Found::Whole);
                 assert_eq!(found, Some(expected));
             }
--- a/crates/gradedyke-turns/tests/settle.rs
+++ b/crates/gradedyke-turns/tests/settle.rs
@@ -93,11 +93,11 @@
     let mirror = Mirror::new(&[""]);
     let value = serde_json::to_vec(&view).unwrap();
     let item = Item {
-        key: view::KEY.to_owned(),
+        key: view::VIEW_KEY.to_owned(),
         value: Some(value.into()),
         revision: 1,
     };
-    mirror.put(vec![item], Instant::now());
+    mirror.apply(vec![item], Instant::now());
     let quorum = Quorum::new(mirror, "here", None);
     for number in 0..SETTLEMENT_COUNT {
         quorum.settle(Settled {
