--- a/crates/gradedyke-cli/src/serve.rs
+++ b/crates/gradedyke-cli/src/serve.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
 
-use gradedyke_gateway::process::{Process, World};
+use gradedyke_gateway::process::{Environment, Process};
 use gradedyke_gateway::settings::Settings;
 use gradedyke_site::store::Store;
 use gradedyke_site::{SETTINGS_VARIABLE, Wire};
@@ -55,7 +55,7 @@
     let mut term = signal(SignalKind::terminate()).map_err(io)?;
     let mut int = signal(SignalKind::interrupt()).map_err(io)?;
     let mut hup = signal(SignalKind::hangup()).map_err(io)?;
-    let world = World {
+    let world = Environment {
         dialect: Arc::new(Wire),
         kv: Arc::new(Store::new(settings.platform)),
     };
@@ -73,7 +73,7 @@
         tokio::select! {
             _ = term.recv() => break,
             _ = int.recv() => break,
-            () = process.failed() => {
+            () = process.wait_for_failure() => {
                 return Err(Failure::Failed(eyre::eyre!(
                     "the process stopped by itself; its log says why"
                 )));
--- a/crates/gradedyke-gateway/src/account.rs
+++ b/crates/gradedyke-gateway/src/account.rs
@@ -23,7 +23,7 @@
     /// assert_eq!(Key::of("8wuakn2f"), Key::of("8wuakn2f"));
     /// assert_eq!(format!("{:?}", Key::of("8wuakn2f")), "Key");
     /// ```
-    pub fn of(text: &str) -> Self {
+    pub fn hash(text: &str) -> Self {
         Self(*blake3::hash(text.as_bytes()).as_bytes())
     }
 }
@@ -49,11 +49,11 @@
     /// The account's name, unique in the configuration.
     pub name: Id,
     /// Priority, which takes precedence over that of a route; 0 is the highest.
-    pub rank: Option<u8>,
+    pub priority: Option<u8>,
     /// The rate limit; `None` if the account has none.
     pub allowance: Option<Allowance>,
     /// The regions in which its requests may run; `None` for all.
-    pub regions: Option<Vec<String>>,
+    pub allowed_regions: Option<Vec<String>>,
 }
 
 impl Account {
@@ -72,7 +72,7 @@
     /// let turn = Id::parse("t1").unwrap();
     /// assert_ne!(account("a").scope(&turn), account("b").scope(&turn));
     /// ```
-    pub fn scope(&self, id: &Id) -> Id {
+    pub fn scoped_id(&self, id: &Id) -> Id {
         id.scoped_to(&self.name)
     }
 }
@@ -95,7 +95,7 @@
     }
 
     /// The account that a key belongs to.
-    pub fn holder(&self, key: Key) -> Option<&Arc<Account>> {
+    pub fn find(&self, key: Key) -> Option<&Arc<Account>> {
         self.by_key.get(&key)
     }
 
--- a/crates/gradedyke-gateway/src/allowance.rs
+++ b/crates/gradedyke-gateway/src/allowance.rs
@@ -53,7 +53,7 @@
 
 /// A request that was counted against the allowance of its account.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Counted {
+pub struct Charge {
     /// The request's account.
     pub account: usage::AccountHash,
     /// Maximum number of requests of the account in a window.
@@ -64,18 +64,18 @@
     bucket: u64,
 }
 
-impl Counted {
+impl Charge {
     /// Whether the request starts a program.
-    pub fn begins(&self) -> bool {
+    pub fn starts_program(&self) -> bool {
         self.amount.planned > 0
     }
 
     /// Whether the request is within the allowance, given a sum that includes it. A
     /// program that needs more than the limit on its own may start if no other program
     /// has: its requests are spread over more than one window.
-    pub fn within(&self, sum: Total) -> bool {
+    pub fn is_within(&self, sum: Total) -> bool {
         let max_planned = self.limit.max(self.amount.planned);
-        let planned_fits = !self.begins() || sum.planned <= max_planned;
+        let planned_fits = !self.starts_program() || sum.planned <= max_planned;
         planned_fits && sum.requests <= self.limit
     }
 
@@ -90,11 +90,11 @@
 
 /// Result of [`Register::verdict`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Decision {
     /// The request is within the allowance.
     Within,
     /// The request exceeds the allowance.
-    Beyond,
+    Exceeded,
     /// The keepers have to be asked for the current sum.
     Unknown,
 }
@@ -157,23 +157,23 @@
 /// The state at the time of a report, needed to interpret the answer in
 /// [`Register::learn`].
 #[derive(Clone, Copy, Debug)]
-pub struct Mark {
+pub struct Snapshot {
     /// The request for which the report was made.
-    pub counted: Counted,
+    pub counted: Charge,
     /// [`AccountUsage::admitted`] of the request's account at the time of the report.
     admitted: Total,
 }
 
 /// Counts the requests that one entry admits, by account.
 #[derive(Debug)]
-pub struct Register {
+pub struct Limiter {
     entry: u64,
     window: Duration,
     start: Instant,
     accounts: Mutex<HashMap<usage::AccountHash, AccountUsage>>,
 }
 
-impl Register {
+impl Limiter {
     /// Creates an empty register. `entry` identifies this process in reports, and limits
     /// apply to every time span of length `window`.
     pub fn new(entry: u64, window: Duration, now: Instant) -> Self {
@@ -205,9 +205,9 @@
     /// Counts a request of an account; returns `None` if the account has no limit.
     /// `planned` is the number of requests that the program is expected to need if the
     /// request starts one, and 0 otherwise.
-    pub fn count(&self, account: &Account, planned: u32, now: Instant) -> Option<Counted> {
+    pub fn charge(&self, account: &Account, planned: u32, now: Instant) -> Option<Charge> {
         let limit = limit(account.allowance.as_ref()?, self.window);
-        let counted = Counted {
+        let counted = Charge {
             account: usage::account_hash(&account.name),
             limit,
             amount: Total {
@@ -226,7 +226,7 @@
     }
 
     /// Removes a request that was counted but has not run.
-    pub fn undo(&self, counted: &Counted) {
+    pub fn refund(&self, counted: &Charge) {
         let mut accounts = self.lock();
         let Some(account_usage) = accounts.get_mut(&counted.account) else {
             return;
@@ -243,16 +243,16 @@
     }
 
     /// Decides on a request without asking the keepers, where possible.
-    pub fn verdict(&self, counted: &Counted, now: Instant) -> Verdict {
+    pub fn check(&self, counted: &Charge, now: Instant) -> Decision {
         let accounts = self.lock();
         let estimate = accounts.get(&counted.account).and_then(|u| u.estimate(now));
         match estimate {
-            Some(known) if known.age <= MAX_SUM_AGE => match counted.within(known.sum) {
-                false => Verdict::Beyond,
-                true if counted.has_headroom(&known) => Verdict::Within,
-                true => Verdict::Unknown,
+            Some(known) if known.age <= MAX_SUM_AGE => match counted.is_within(known.sum) {
+                false => Decision::Exceeded,
+                true if counted.has_headroom(&known) => Decision::Within,
+                true => Decision::Unknown,
             },
-            _ => Verdict::Unknown,
+            _ => Decision::Unknown,
         }
     }
 
@@ -260,7 +260,7 @@
     /// received within the last window and leaves enough headroom. No program can start
     /// without the keepers, so other entries admit only calls of running programs
     /// meanwhile.
-    pub fn unasked(&self, counted: &Counted, now: Instant) -> bool {
+    pub fn admits_offline(&self, counted: &Charge, now: Instant) -> bool {
         let accounts = self.lock();
         let estimate = accounts.get(&counted.account).and_then(|u| u.estimate(now));
         estimate.is_some_and(|known| known.age <= self.window && counted.has_headroom(&known))
@@ -269,7 +269,7 @@
     /// Builds the usage report that is sent to the keepers with a request: the usage of
     /// its account, and of all accounts whose usage has changed or is due to be reported
     /// again.
-    pub fn report(&self, counted: &Counted, now: Instant) -> (Report, Mark) {
+    pub fn report(&self, counted: &Charge, now: Instant) -> (Report, Snapshot) {
         let bucket = self.bucket_number(now);
         let mut accounts = self.lock();
         let mut rows = Vec::new();
@@ -291,7 +291,7 @@
             });
         }
         let admitted = accounts.get(&counted.account).map(|u| u.admitted);
-        let mark = Mark {
+        let mark = Snapshot {
             counted: *counted,
             admitted: admitted.unwrap_or_default(),
         };
@@ -305,7 +305,7 @@
     }
 
     /// Records the sum that the keepers answered to a report.
-    pub fn learn(&self, mark: Mark, sum: Total, now: Instant) {
+    pub fn record_sum(&self, mark: Snapshot, sum: Total, now: Instant) {
         let mut accounts = self.lock();
         let account_usage = accounts.entry(mark.counted.account).or_default();
         account_usage.known = Some(KnownSum {
--- a/crates/gradedyke-gateway/src/config.rs
+++ b/crates/gradedyke-gateway/src/config.rs
@@ -15,7 +15,7 @@
     /// A request may run any number of times.
     Idempotent,
     /// A request may run at most once.
-    Once,
+    AtMostOnce,
     /// A request may run at most once, and its response is a stream of events.
     Stream,
 }
@@ -25,7 +25,7 @@
     pub fn name(self) -> &'static str {
         match self {
             Kind::Idempotent => "idempotent",
-            Kind::Once => "once",
+            Kind::AtMostOnce => "once",
             Kind::Stream => "stream",
         }
     }
@@ -54,13 +54,13 @@
     /// Maximum duration of a request.
     pub timeout: Duration,
     /// Target latency of an answer.
-    pub objective: Duration,
+    pub latency_objective: Duration,
     /// Priority; 0 is the highest.
     pub priority: u8,
     /// Services that receive the requests.
     pub targets: Vec<Target>,
     /// Maximum number of servers that a request is sent to.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// How long turns are stored; `None` if they are not stored.
     pub retention: Option<Duration>,
     /// Whether an interrupted stream may be resumed at another server, after the last
@@ -69,7 +69,7 @@
     /// Whether callers may send requests without a key.
     pub public: bool,
     /// The regions in which requests may run; `None` for all.
-    pub regions: Option<Vec<String>>,
+    pub allowed_regions: Option<Vec<String>>,
 }
 
 /// Capacity of a model engine.
@@ -80,7 +80,7 @@
     /// Number of tokens that fit in its cache.
     pub cache_tokens: u64,
     /// Maximum number of tokens in one event of a stream.
-    pub event_tokens: u32,
+    pub max_event_tokens: u32,
 }
 
 /// A group of backend servers that run the same requests.
@@ -89,10 +89,10 @@
     /// The service's name, unique in the configuration.
     pub name: String,
     /// Maximum number of connections of one server, over all entries.
-    pub connections: u32,
+    pub max_connections: u32,
     /// Maximum requests per second to a server that is warming up, over all entries; `None`
     /// for no limit.
-    pub warm_up_rate: Option<f64>,
+    pub max_warm_up_rate_per_s: Option<f64>,
     /// Capacity of the service's engines, if it runs models.
     pub engine: Option<Engine>,
 }
@@ -101,13 +101,13 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
     /// Maximum size of a request head, in bytes.
-    pub head_bytes: usize,
+    pub max_header_bytes: usize,
     /// Maximum size of a request body, in bytes.
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
     /// Timeout for receiving a request head.
-    pub head: Duration,
+    pub header_timeout: Duration,
     /// Idle timeout of a connection.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// The whole configuration.
@@ -167,8 +167,8 @@
     /// The priority of a request at an engine; 0 is the highest. The priority of the account
     /// takes precedence over that of the route, so that requests of one account on a
     /// low-priority route do not wait behind those of a lower-priority account.
-    pub fn rank(&self, account: Option<u8>, route: &Route) -> u8 {
-        rank(account, route.priority, self.priority_count)
+    pub fn priority(&self, account: Option<u8>, route: &Route) -> u8 {
+        priority(account, route.priority, self.priority_count)
     }
 
     /// Number of routes.
@@ -193,7 +193,7 @@
 /// assert_eq!(rank(Some(0), 2, 3), 2);
 /// assert_eq!(rank(Some(1), 0, 3), 3);
 /// ```
-pub fn rank(account: Option<u8>, route: u8, route_priorities: u8) -> u8 {
+pub fn priority(account: Option<u8>, route: u8, route_priorities: u8) -> u8 {
     let account = account.unwrap_or(0);
     account
         .saturating_mul(route_priorities)
@@ -202,7 +202,7 @@
 
 impl Route {
     /// Whether a request may run more than once.
-    pub fn repeatable(&self) -> bool {
+    pub fn is_repeatable(&self) -> bool {
         self.kind == Kind::Idempotent || self.resumable
     }
 
--- a/crates/gradedyke-gateway/src/demand.rs
+++ b/crates/gradedyke-gateway/src/demand.rs
@@ -39,7 +39,7 @@
     }
 
     /// Records a turn. `begins` says whether it is the first of its program.
-    pub fn turn(&self, route: &str, begins: bool, now: Instant) {
+    pub fn record_turn(&self, route: &str, begins: bool, now: Instant) {
         let mut counts = self.lock();
         counts.turns.increment(HALF_LIFE, now);
         if !counts.routes.contains_key(route) {
@@ -57,7 +57,7 @@
     }
 
     /// Records a tool call of a program.
-    pub fn call(&self, now: Instant) {
+    pub fn record_call(&self, now: Instant) {
         self.lock().calls.increment(HALF_LIFE, now);
     }
 
@@ -77,7 +77,7 @@
     /// assert_eq!(demand.requests("other", now), 1);
     /// ```
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-    pub fn requests(&self, route: &str, now: Instant) -> u32 {
+    pub fn expected_requests(&self, route: &str, now: Instant) -> u32 {
         let counts = self.lock();
         let Some(route) = counts.routes.get(route) else {
             return 1;
--- a/crates/gradedyke-gateway/src/dialect.rs
+++ b/crates/gradedyke-gateway/src/dialect.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Meta {
     /// The request's id, different for each attempt of the caller.
-    pub request: Option<Id>,
+    pub request_id: Option<Id>,
     /// How long the caller waits, counted from the request's arrival.
     pub deadline: Option<Duration>,
     /// The program that the request belongs to.
@@ -27,9 +27,9 @@
     /// The conversation within the program.
     pub session: Option<Id>,
     /// Time within which the whole program should finish.
-    pub finish: Option<Duration>,
+    pub program_deadline: Option<Duration>,
     /// Maximum number of tokens that all turns of the program may generate together.
-    pub budget: Option<u64>,
+    pub token_budget: Option<u64>,
     /// Size of the prompt and maximum size of the answer.
     pub usage: Option<Usage>,
     /// The turn that this request continues.
@@ -55,41 +55,41 @@
     /// The intended server; any other must refuse the request.
     pub server: &'a Id,
     /// Remaining time, after which the server cancels the request.
-    pub left: Duration,
+    pub time_left: Duration,
     /// Priority at the server; 0 is the highest.
-    pub urgency: Option<u8>,
+    pub priority: Option<u8>,
     /// The client account of the request.
     pub account: Option<&'a Account>,
     /// Id of the event after which a stream is resumed.
-    pub after: Option<&'a [u8]>,
+    pub last_event_id: Option<&'a [u8]>,
 }
 
 /// Metadata of a backend server's response, taken from its headers.
 #[derive(Clone, Debug, Default)]
-pub struct Answer {
+pub struct Head {
     /// Id of the request that is answered.
-    pub request: Option<Id>,
+    pub request_id: Option<Id>,
     /// Whether the server states that it did not run the request.
     pub not_run: bool,
     /// Whether another server than the intended one answered.
     pub misdirected: bool,
     /// Whether the response carries the header that marks responses of backend servers.
-    pub stamped: bool,
+    pub from_backend: bool,
     /// Whether the connection must not be used again.
-    pub last: bool,
+    pub close: bool,
     /// The server's idle timeout for the connection.
-    pub idle: Option<Duration>,
+    pub idle_timeout: Option<Duration>,
 }
 
 /// Result of decoding a backend server's item in the directory.
-pub type Listed = Result<Server, Invalid>;
+pub type ServerResult = Result<Server, Error>;
 
 /// A value in the platform's key-value service that cannot be decoded.
 #[derive(Clone, Debug, thiserror::Error)]
 #[error(
     "cannot decode {what}: {cause}; the previous value stays in force, check who wrote this one"
 )]
-pub struct Invalid {
+pub struct Error {
     /// The item that cannot be decoded.
     pub what: String,
     /// The reason.
@@ -106,7 +106,7 @@
     fn outbound(&self, headers: &HeaderMap, outbound: &Outbound<'_>) -> HeaderMap;
 
     /// Decodes the status and headers of a backend server's response.
-    fn answer(&self, status: StatusCode, headers: &HeaderMap) -> Answer;
+    fn answer(&self, status: StatusCode, headers: &HeaderMap) -> Head;
 
     /// The headers of the response to the caller: the server's headers without hop-by-hop
     /// headers.
@@ -129,7 +129,7 @@
     /// # Errors
     ///
     /// [`Invalid`] if the value is not a valid configuration.
-    fn config(&self, value: &[u8]) -> Result<Config, Invalid>;
+    fn config(&self, value: &[u8]) -> Result<Config, Error>;
 
     /// The prefix of the keys of backend servers.
     fn server_prefix(&self) -> &str;
@@ -139,7 +139,7 @@
     /// # Errors
     ///
     /// [`Invalid`] if the item does not describe a backend server.
-    fn server(&self, key: &str, value: &[u8]) -> Listed;
+    fn server(&self, key: &str, value: &[u8]) -> ServerResult;
 
     /// The prefix of the keys that each request the evacuation of a data centre; the rest of
     /// the key is the data centre's name.
--- a/crates/gradedyke-gateway/src/entry/admission.rs
+++ b/crates/gradedyke-gateway/src/entry/admission.rs
@@ -10,7 +10,7 @@
 use super::call::Call;
 use super::refusal::Refusal;
 use crate::account::Account;
-use crate::allowance::{Counted, Mark, Verdict};
+use crate::allowance::{Charge, Decision, Snapshot};
 use crate::config::Route;
 use crate::dialect::Meta;
 use crate::mechanism::Mechanism;
@@ -37,19 +37,19 @@
         route: &Route,
         meta: &Meta,
         now: Instant,
-    ) -> Result<Option<Counted>, Refusal> {
+    ) -> Result<Option<Charge>, Refusal> {
         let Some(account) = account else {
             return Ok(None);
         };
-        let is_program_start =
-            Call::is_program_start(route, meta) && self.enabled.has(Mechanism::WholePrograms);
-        let planned = is_program_start.then(|| self.demand.requests(&route.name, now));
-        let counted = self.register.count(account, planned.unwrap_or(0), now);
+        let is_program_start = Call::is_program_start(route, meta)
+            && self.mechanisms.is_enabled(Mechanism::WholePrograms);
+        let planned = is_program_start.then(|| self.demand.expected_requests(&route.name, now));
+        let counted = self.limiter.charge(account, planned.unwrap_or(0), now);
         let Some(counted) = counted else {
             return Ok(None);
         };
-        if self.register.verdict(&counted, now) == Verdict::Beyond {
-            self.register.undo(&counted);
+        if self.limiter.check(&counted, now) == Decision::Exceeded {
+            self.limiter.refund(&counted);
             return Err(Refusal::Exceeded);
         }
         Ok(Some(counted))
@@ -57,14 +57,14 @@
 
     /// Records the account's `total` usage, as the keepers returned it for the report with
     /// this `mark`. Returns whether the request is within its allowance.
-    pub(super) fn record_usage(&self, call: &Call, mark: Mark, total: Total) -> bool {
-        self.register.learn(mark, total, Instant::now());
+    pub(super) fn record_usage(&self, call: &Call, mark: Snapshot, total: Total) -> bool {
+        self.limiter.record_sum(mark, total, Instant::now());
         let counted = mark.counted;
-        let within = counted.within(total);
+        let within = counted.is_within(total);
         if !within {
             tracing::info!(event = "beyond_allowance", request = %call.id,
                 account = call.account.as_ref().map_or("none", |a| a.name.as_str()),
-                begins = counted.begins(), requests = total.requests, planned = total.planned,
+                begins = counted.starts_program(), requests = total.requests, planned = total.planned,
                 limit = counted.limit);
         }
         within
@@ -80,28 +80,28 @@
     pub(super) async fn check_allowance(&self, call: &Call) -> Result<(), Refusal> {
         let now = Instant::now();
         if call.meta.program.is_some() {
-            self.demand.call(now);
+            self.demand.record_call(now);
         }
         let Some(counted) = &call.counted else {
             return Ok(());
         };
-        match self.register.verdict(counted, now) {
-            Verdict::Within => return Ok(()),
-            Verdict::Beyond => return Err(Refusal::Exceeded),
-            Verdict::Unknown => {}
+        match self.limiter.check(counted, now) {
+            Decision::Within => return Ok(()),
+            Decision::Exceeded => return Err(Refusal::Exceeded),
+            Decision::Unknown => {}
         }
         let deadline = call.deadline.min(now + QUORUM_RECOVERY_TIMEOUT);
         let mut backoff = Backoff::endless(MIN_BACKOFF, MAX_BACKOFF);
         loop {
             metrics::counter!("gradedyke_usage_asked_total").increment(1);
-            let (report, mark) = self.register.report(counted, Instant::now());
+            let (report, mark) = self.limiter.report(counted, Instant::now());
             let query_deadline = deadline.min(Instant::now() + USAGE_QUERY_TIMEOUT);
             if let Ok(Some(total)) = self.quorum.report_usage(&report, query_deadline).await {
                 let within = self.record_usage(call, mark, total);
                 return within.then_some(()).ok_or(Refusal::Exceeded);
             }
             let now = Instant::now();
-            if self.register.unasked(counted, now) {
+            if self.limiter.admits_offline(counted, now) {
                 tracing::info!(event = "let_through_unasked", request = %call.id);
                 return Ok(());
             }
--- a/crates/gradedyke-gateway/src/entry/attempt.rs
+++ b/crates/gradedyke-gateway/src/entry/attempt.rs
@@ -17,10 +17,10 @@
 use super::Entry;
 use super::call::Call;
 use super::refusal::Refusal;
-use crate::dialect::{Answer, Outbound};
-use crate::fleet::{Choice, Key, Question};
-use crate::health::Fault;
-use crate::link::{self, Link};
+use crate::dialect::{Head, Outbound};
+use crate::fleet::{Choice, Key, Query};
+use crate::health::Failure;
+use crate::link::{self, Connection};
 use crate::mechanism::Mechanism;
 
 /// A request is not sent when less time than this is left until its deadline.
@@ -31,11 +31,11 @@
     /// The server that was chosen for the request.
     pub choice: Choice,
     /// The connection, which goes back to the pool after the body.
-    pub connection: Link,
+    pub connection: Connection,
     /// The response, with the body still to be read.
     pub response: Response<Incoming>,
     /// What the server says in the response headers.
-    pub answer: Answer,
+    pub answer: Head,
 }
 
 /// Why a request certainly did not run at a server.
@@ -79,7 +79,7 @@
 
 impl State {
     fn has_attempt_left(&self, call: &Call) -> bool {
-        self.sent < call.route.attempts && self.unreachable < MAX_UNREACHABLE_SERVERS
+        self.sent < call.route.max_attempts && self.unreachable < MAX_UNREACHABLE_SERVERS
     }
 }
 
@@ -121,7 +121,7 @@
     entry: &Entry,
     call: &Call,
     attempts: &Attempts,
-    query: &Question<'_>,
+    query: &Query<'_>,
     body: &Bytes,
     last_event_id: Option<&[u8]>,
 ) -> Result<ServerResponse, Refusal> {
@@ -150,7 +150,7 @@
 /// passes.
 fn will_miss_deadline(call: &Call, choice: &Choice) -> bool {
     let left_ms = call.time_left(Instant::now()).as_secs_f64() * 1e3;
-    choice.view.wait_ms() > MAX_WAIT_RATIO * left_ms
+    choice.candidate.wait_ms() > MAX_WAIT_RATIO * left_ms
 }
 
 /// Sends the request to the chosen server and waits for the head of the response.
@@ -169,18 +169,18 @@
     }
     let outbound = Outbound {
         server: &choice.id,
-        left,
-        urgency: engine_priority(entry, call),
+        time_left: left,
+        priority: engine_priority(entry, call),
         account: call.account.as_deref(),
-        after: last_event_id,
+        last_event_id: last_event_id,
     };
     let mut request = Request::new(Full::new(body));
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.uri.clone();
     *request.headers_mut() = entry.dialect.outbound(&call.headers, &outbound);
-    let repeatable = call.route.repeatable();
+    let repeatable = call.route.is_repeatable();
     let exchange = choice.pool.send(request, repeatable, now);
-    let exchange = choice.gone.run_until_cancelled(exchange);
+    let exchange = choice.process_ended.run_until_cancelled(exchange);
     let result = wait_for_head(entry, call, attempts, &choice, exchange).await;
     let (response, connection) = match result {
         HeadWait::Done(Some(Ok(received))) => received,
@@ -194,7 +194,7 @@
         HeadWait::TimedOut => {
             entry
                 .fleet
-                .failed(choice.key, Fault::Silent, Instant::now());
+                .record_failure(choice.key, Failure::TimedOut, Instant::now());
             return Outcome::TimedOut;
         }
     };
@@ -204,9 +204,9 @@
 /// Returns the priority that is sent to an engine; 0 comes first. `None` if the service runs no
 /// models or the mechanism is switched off.
 fn engine_priority(entry: &Entry, call: &Call) -> Option<u8> {
-    let has_priority = call.engine().is_some() && entry.enabled.has(Mechanism::Urgency);
-    let account = call.account.as_ref().and_then(|a| a.rank);
-    has_priority.then(|| call.config.rank(account, &call.route))
+    let has_priority = call.engine().is_some() && entry.mechanisms.is_enabled(Mechanism::Urgency);
+    let account = call.account.as_ref().and_then(|a| a.priority);
+    has_priority.then(|| call.config.priority(account, &call.route))
 }
 
 /// Result of waiting for the head of a response.
@@ -230,17 +230,19 @@
     tokio::pin!(exchange);
     let now = Instant::now();
     let slow_at = match call.engine() {
-        Some(_) => now + event_timeout(call, choice.view.first_ms()),
+        Some(_) => now + event_timeout(call, choice.candidate.first_event_ms()),
         None => call.slow_at(now),
     };
     if slow_at < call.deadline {
         if let Ok(output) = tokio::time::timeout_at(slow_at, &mut exchange).await {
             return HeadWait::Done(output);
         }
-        entry.fleet.failed(choice.key, Fault::Slow, Instant::now());
+        entry
+            .fleet
+            .record_failure(choice.key, Failure::Slow, Instant::now());
         if call.route.resumable && attempts.has_attempt_left(call) {
             tracing::info!(event = "given_up", request = %call.id, server = %choice.id,
-                expected_ms = choice.view.first_ms(),
+                expected_ms = choice.candidate.first_event_ms(),
                 waited_ms = now.elapsed().as_millis());
             return HeadWait::Abandoned;
         }
@@ -268,11 +270,15 @@
     tracing::info!(event = "attempt_failed", request = %call.id, server = %choice.id, %error);
     match error {
         link::Error::NotSent(..) => {
-            entry.fleet.failed(choice.key, Fault::Unreachable, now);
+            entry
+                .fleet
+                .record_failure(choice.key, Failure::Unreachable, now);
             Outcome::NotRun(NotRunReason::Unreachable)
         }
-        link::Error::Broken(..) => {
-            entry.fleet.failed(choice.key, Fault::Lost, now);
+        link::Error::Interrupted(..) => {
+            entry
+                .fleet
+                .record_failure(choice.key, Failure::ConnectionLost, now);
             Outcome::Unknown
         }
     }
@@ -284,32 +290,38 @@
     entry: &Entry,
     call: &Call,
     choice: Choice,
-    connection: Link,
+    connection: Connection,
     response: Response<Incoming>,
     sent: Instant,
 ) -> Outcome {
     let answer = entry.dialect.answer(response.status(), response.headers());
     if answer.misdirected {
-        entry.fleet.misdirected(choice.key);
+        entry.fleet.mark_replaced(choice.key);
         return Outcome::NotRun(NotRunReason::Misdirected);
     }
     // A response to another request means that requests and responses on this connection no
     // longer match, so the connection is closed.
-    if answer.request.as_ref() != Some(&call.id) {
+    if answer.request_id.as_ref() != Some(&call.id) {
         tracing::info!(event = "answer_of_another", request = %call.id, server = %choice.id);
         return Outcome::Unknown;
     }
     if answer.not_run {
-        entry.fleet.failed(choice.key, Fault::Shed, Instant::now());
-        choice.pool.rest(connection, answer.idle, Instant::now());
+        entry
+            .fleet
+            .record_failure(choice.key, Failure::Rejected, Instant::now());
+        choice
+            .pool
+            .put_back(connection, answer.idle_timeout, Instant::now());
         return Outcome::NotRun(NotRunReason::Refused);
     }
     let now = Instant::now();
     if response.status().is_server_error() {
-        entry.fleet.failed(choice.key, Fault::Failed, now);
+        entry
+            .fleet
+            .record_failure(choice.key, Failure::ServerError, now);
     } else {
         let response_time = call.engine().is_none().then(|| now - sent);
-        entry.fleet.answered(choice.key, response_time, now);
+        entry.fleet.record_success(choice.key, response_time, now);
     }
     Outcome::Answered(Box::new(ServerResponse {
         choice,
@@ -324,12 +336,12 @@
     entry: &Entry,
     call: &Call,
     attempts: &Attempts,
-    query: &Question<'_>,
+    query: &Query<'_>,
 ) -> Option<Choice> {
     let now = Instant::now();
     let mut state = attempts.lock();
-    let attempt_query = Question {
-        tried: &state.tried,
+    let attempt_query = Query {
+        excluded: &state.tried,
         now,
         ..query.clone()
     };
@@ -341,15 +353,15 @@
         program = program.map_or("none", Id::as_str), attempt = state.tried.len(),
         waited_ms = now.saturating_duration_since(call.arrived).as_millis(),
         server = choice.as_ref().map_or("none", |c| c.id.as_str()),
-        holder = query.holder.map_or("none", Id::as_str),
+        holder = query.cached_on.map_or("none", Id::as_str),
         prompt = query.prompt_tokens,
-        unread = choice.as_ref().map(|c| c.view.unread_tokens),
-        in_flight = choice.as_ref().map(|c| c.view.in_flight),
-        expected_ms = choice.as_ref().map(|c| c.view.first_ms()),
-        answer_ms = choice.as_ref().map(|c| c.view.times.answer_ms),
-        gap_ms = choice.as_ref().map(|c| c.view.times.gap_ms),
-        read_ms = choice.as_ref().map(|c| c.view.times.read_ms),
-        slowness = choice.as_ref().map(|c| c.view.slowness),
+        unread = choice.as_ref().map(|c| c.candidate.uncached_tokens),
+        in_flight = choice.as_ref().map(|c| c.candidate.in_flight),
+        expected_ms = choice.as_ref().map(|c| c.candidate.first_event_ms()),
+        answer_ms = choice.as_ref().map(|c| c.candidate.times.response_ms),
+        gap_ms = choice.as_ref().map(|c| c.candidate.times.event_gap_ms),
+        read_ms = choice.as_ref().map(|c| c.candidate.times.read_ms_per_token),
+        slowness = choice.as_ref().map(|c| c.candidate.slowness),
         route = call.route.name, config = call.config.version,
         directory_age_ms = age.map(|a| a.as_millis()),
         left_ms = call.time_left(now).as_millis());
--- a/crates/gradedyke-gateway/src/entry/call.rs
+++ b/crates/gradedyke-gateway/src/entry/call.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 
 use crate::account::Account;
-use crate::allowance::Counted;
+use crate::allowance::Charge;
 use crate::config::{Config, Route};
 use crate::dialect::Meta;
 
@@ -31,7 +31,7 @@
     /// key.
     pub account: Option<Arc<Account>>,
     /// How the request was counted for its account; `None` if the account has no limit.
-    pub counted: Option<Counted>,
+    pub counted: Option<Charge>,
     /// Regions in which the request may run; `None` for all.
     pub regions: Option<Vec<String>>,
     /// Request properties from the caller's headers.
@@ -55,7 +55,7 @@
     /// account, so that accounts cannot reach each other's data.
     pub fn scope_id(&self, id: &Id) -> Id {
         match &self.account {
-            Some(account) => account.scope(id),
+            Some(account) => account.scoped_id(id),
             None => id.clone(),
         }
     }
@@ -77,20 +77,23 @@
 
     /// Returns the time after which a response whose head has not arrived is considered slow.
     pub fn slow_threshold(&self) -> Duration {
-        self.route.objective.mul_f64(SLOW_RATIO)
+        self.route.latency_objective.mul_f64(SLOW_RATIO)
     }
 
     /// Returns how many requests per second a server of the service can take while it warms
     /// up; `None` if there is no such limit.
     pub fn warm_up_rate(&self) -> Option<f64> {
-        self.config.services.get(&self.service)?.warm_up_rate
+        self.config
+            .services
+            .get(&self.service)?
+            .max_warm_up_rate_per_s
     }
 
     /// Returns the regions that both the route and the account allow; `None` for all.
     pub fn allowed_regions(route: &Route, account: Option<&Account>) -> Option<Vec<String>> {
-        let account = account.and_then(|a| a.regions.as_ref());
-        let Some((route, account)) = route.regions.as_ref().zip(account) else {
-            return route.regions.as_ref().or(account).cloned();
+        let account = account.and_then(|a| a.allowed_regions.as_ref());
+        let Some((route, account)) = route.allowed_regions.as_ref().zip(account) else {
+            return route.allowed_regions.as_ref().or(account).cloned();
         };
         let common = route.iter().filter(|region| account.contains(region));
         Some(common.cloned().collect())
--- a/crates/gradedyke-gateway/src/entry/door.rs
+++ b/crates/gradedyke-gateway/src/entry/door.rs
@@ -20,7 +20,7 @@
 
 impl Drop for ActiveRequest {
     fn drop(&mut self) {
-        self.0.active.fetch_sub(1, Ordering::Relaxed);
+        self.0.active_requests.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
@@ -44,7 +44,7 @@
         let retry_after = self.refusal.retry_after(self.expected_wait, rand::random());
         tracing::info!(
             event = "refused",
-            request = id_text(self.meta.request.as_ref()),
+            request = id_text(self.meta.request_id.as_ref()),
             program = id_text(self.meta.program.as_ref()),
             why = self.refusal.name(),
             waited_ms = waited.as_millis(),
@@ -58,14 +58,14 @@
 }
 
 /// Handles callers' requests.
-pub struct Door(pub Arc<Entry>);
+pub struct CallerHandler(pub Arc<Entry>);
 
 #[async_trait]
-impl Handler for Door {
+impl Handler for CallerHandler {
     async fn handle(&self, request: Request<Incoming>) -> Response<Body> {
         let entry = &self.0;
         let arrived = Instant::now();
-        entry.active.fetch_add(1, Ordering::Relaxed);
+        entry.active_requests.fetch_add(1, Ordering::Relaxed);
         let active = ActiveRequest(entry.clone());
         let result = entry.serve(request, arrived).await;
         let seconds = arrived.elapsed().as_secs_f64();
@@ -81,7 +81,7 @@
         });
         // While this entry is not ready, the connection is closed so that the caller connects to
         // another entry.
-        let should_reconnect = outcome != "answered" && !entry.ready();
+        let should_reconnect = outcome != "answered" && !entry.is_ready();
         if entry.drain.is_cancelled() || should_reconnect {
             let close = HeaderValue::from_static("close");
             response.headers_mut().insert(header::CONNECTION, close);
@@ -108,7 +108,7 @@
 impl Handler for Readiness {
     async fn handle(&self, request: Request<Incoming>) -> Response<Body> {
         let is_ready_path = request.uri().path() == self.0.dialect.ready_path();
-        let status = match (is_ready_path, self.0.ready()) {
+        let status = match (is_ready_path, self.0.is_ready()) {
             (false, _) => http::StatusCode::NOT_FOUND,
             (true, true) => http::StatusCode::OK,
             (true, false) => http::StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/gradedyke-gateway/src/entry/mod.rs
+++ b/crates/gradedyke-gateway/src/entry/mod.rs
@@ -35,7 +35,7 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::account::{Account, Directory};
-use crate::allowance::Register;
+use crate::allowance::Limiter;
 use crate::config::{Config, Kind, Route};
 use crate::demand::Demand;
 use crate::dialect::{Dialect, Meta};
@@ -46,7 +46,7 @@
 use door::RefusedRequest;
 use refusal::Refusal;
 
-pub use door::{Door, Readiness};
+pub use door::{CallerHandler, Readiness};
 
 /// Timeout of a request whose caller sets none; the timeout of its route may be shorter.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
@@ -62,7 +62,7 @@
 
 /// Returns the greatest age at which key data may still be used, if a revoked key must stop
 /// working within `revocation`.
-pub fn confirmation(revocation: Duration) -> Duration {
+pub fn max_key_age(revocation: Duration) -> Duration {
     revocation.mul_f64(MAX_KEY_AGE_RATIO)
 }
 
@@ -80,35 +80,35 @@
     /// Client of the keepers, which store turns and budgets on a majority of disks.
     pub quorum: Arc<Quorum>,
     /// Requests of each client account that this entry admitted.
-    pub register: Register,
+    pub limiter: Limiter,
     /// Estimates how many requests a program needs.
     pub demand: Demand,
     /// Limits how many programs begin while the keepers are overloaded.
     pub throttle: Throttle,
     /// The optional mechanisms that are switched on in the settings.
-    pub enabled: Enabled,
+    pub mechanisms: Enabled,
     /// Cancelled when the process begins its graceful shutdown.
     pub drain: CancellationToken,
     /// Revision of the configuration that was last read from the mirror.
-    pub configured: Mutex<u64>,
+    pub config_revision: Mutex<u64>,
     /// Time within which a configuration change must take effect. When the local data is
     /// older, a request that it forbids (unknown key or route, body too large) gets a
     /// retryable error instead of a final one.
-    pub in_force: Duration,
+    pub propagation_limit: Duration,
     /// Greatest age of the local data at which a key in it is accepted; `None` if there is
     /// no limit.
-    pub confirmation: Option<Duration>,
+    pub max_key_age: Option<Duration>,
     /// Position in the mirror's change log up to which changes were applied to the fleet.
-    pub applied: Mutex<u64>,
+    pub mirror_cursor: Mutex<u64>,
     /// Number of requests in progress.
-    pub active: AtomicUsize,
+    pub active_requests: AtomicUsize,
 }
 
 impl Entry {
     /// Whether this entry should receive requests: it has a configuration and backend servers,
     /// reaches the keepers and is not shutting down.
-    pub fn ready(&self) -> bool {
-        let started = self.config.load().is_some() && self.fleet.listed() > 0;
+    pub fn is_ready(&self) -> bool {
+        let started = self.config.load().is_some() && self.fleet.listed_count() > 0;
         let draining = self.drain.is_cancelled();
         let can_use_keys = self.can_use_keys(self.config_age(Instant::now()));
         started && !draining && self.quorum.is_majority_reachable() && can_use_keys
@@ -117,7 +117,7 @@
     /// Whether keys may be accepted when the local data has this `age`. A key may be revoked
     /// while this entry is disconnected from the platform's key-value service.
     fn can_use_keys(&self, age: Option<Duration>) -> bool {
-        let Some(max_age) = self.confirmation else {
+        let Some(max_age) = self.max_key_age else {
             return true;
         };
         let config = self.config.load();
@@ -134,7 +134,7 @@
     }
 
     /// Updates the gauges of configuration version and age.
-    pub(crate) fn gauge(&self, now: Instant) {
+    pub(crate) fn record_gauges(&self, now: Instant) {
         if let Some(config) = &*self.config.load() {
             metrics::gauge!("gradedyke_config_version").set(config.version as f64);
         }
@@ -152,7 +152,10 @@
     /// Applies all changes in the mirror to configuration and fleet.
     pub fn refresh(&self) {
         self.apply_config();
-        let mut cursor = self.applied.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut cursor = self
+            .mirror_cursor
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         let (items, next) = self.mirror.changed_since(*cursor);
         self.fleet.apply_all(&items, &*self.dialect);
         *cursor = next;
@@ -162,7 +165,7 @@
     /// the lock throughout, so that it is active on return even if another task read it.
     fn apply_config(&self) {
         let mut read_revision = self
-            .configured
+            .config_revision
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
         let Some((value, revision)) = self.mirror.get(self.dialect.config_key()) else {
@@ -216,18 +219,18 @@
         let refused_call = call.clone();
         let result = match call.route.kind {
             Kind::Stream => turn::serve(self, call).await,
-            Kind::Idempotent | Kind::Once => self.serve_buffered(call).await,
+            Kind::Idempotent | Kind::AtMostOnce => self.serve_buffered(call).await,
         };
         if let (Err(refusal), Some(counted)) = (&result, &refused_call.counted)
             && refusal.is_unexecuted()
         {
-            self.register.undo(counted);
+            self.limiter.refund(counted);
         }
         result.map_err(|refusal| RefusedRequest {
             refusal,
             meta,
             expected_wait: match refusal {
-                Refusal::Overload | Refusal::NoKeepers => self.throttle.wait(Instant::now()),
+                Refusal::Overload | Refusal::NoKeepers => self.throttle.retry_after(Instant::now()),
                 _ => self.estimate_slot_wait(&refused_call),
             },
         })
@@ -243,18 +246,19 @@
     /// Estimates the time until a server of the call's service has a free slot.
     fn estimate_slot_wait(&self, call: &Call) -> Duration {
         let engine = call.engine().is_some();
-        self.fleet.drain(&call.service, engine, Instant::now())
+        self.fleet
+            .expected_wait(&call.service, engine, Instant::now())
     }
 
     /// Returns the active configuration. After a start, waits until the first configuration
     /// and the first backend servers are known, for at most a second; then returns the
     /// configuration without servers, or `None` if there is none.
-    pub async fn started(&self, now: Instant) -> Option<Arc<Config>> {
+    pub async fn wait_for_config(&self, now: Instant) -> Option<Arc<Config>> {
         let mut changed = self.mirror.subscribe();
         let deadline = now + INITIAL_CONFIG_TIMEOUT;
         loop {
             let config = self.config.load_full();
-            if config.is_some() && self.fleet.known() {
+            if config.is_some() && self.fleet.has_servers() {
                 return config;
             }
             let change = tokio::time::timeout_at(deadline, changed.changed()).await;
@@ -278,7 +282,7 @@
         let Some(accounts) = &config.accounts else {
             return Ok(None);
         };
-        match meta.key.and_then(|key| accounts.holder(key)) {
+        match meta.key.and_then(|key| accounts.find(key)) {
             Some(account) if self.can_use_keys(age) => Ok(Some(account.clone())),
             Some(_) => Err(Refusal::Unconfirmed),
             None if route.public => Ok(None),
@@ -293,7 +297,10 @@
         meta: Meta,
         arrived: Instant,
     ) -> Result<Call, Refusal> {
-        let config = self.started(arrived).await.ok_or(Refusal::NotStarted)?;
+        let config = self
+            .wait_for_config(arrived)
+            .await
+            .ok_or(Refusal::NotStarted)?;
         // Read before the configuration, so that the age is never understated.
         let age = self.config_age(arrived);
         let config = self.load_latest_config().unwrap_or(config);
@@ -305,11 +312,11 @@
             .ok_or_else(|| self.deny(Refusal::NoRoute, age))?
             .clone();
         let account = self.authenticate(&config, &route, &meta, age)?;
-        let id = meta.request.clone().ok_or(Refusal::Malformed)?;
+        let id = meta.request_id.clone().ok_or(Refusal::Malformed)?;
         let timeout = meta.deadline.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
         let deadline = arrived + timeout;
-        let body_timeout = timeout.min(config.limits.idle);
-        let body = body::collect(incoming, config.limits.body_bytes, body_timeout).await;
+        let body_timeout = timeout.min(config.limits.idle_timeout);
+        let body = body::collect(incoming, config.limits.max_body_bytes, body_timeout).await;
         let body = body.map_err(|problem| {
             tracing::info!(event = "body_not_read", request = %id, problem = %problem.message);
             match problem.kind {
@@ -345,7 +352,7 @@
     /// Returns `refusal` for a request that the configuration forbids, or the retryable
     /// [`Refusal::Unconfirmed`] if the local data with this `age` may be outdated.
     fn deny(&self, refusal: Refusal, age: Option<Duration>) -> Refusal {
-        if age.is_some_and(|age| age <= self.in_force) {
+        if age.is_some_and(|age| age <= self.propagation_limit) {
             return refusal;
         }
         Refusal::Unconfirmed
--- a/crates/gradedyke-gateway/src/entry/plain.rs
+++ b/crates/gradedyke-gateway/src/entry/plain.rs
@@ -17,8 +17,8 @@
 use super::call::Call;
 use super::refusal::Refusal;
 use crate::config::Kind;
-use crate::fleet::Question;
-use crate::health::Fault;
+use crate::fleet::Query;
+use crate::health::Failure;
 use crate::mechanism::Mechanism;
 
 /// Largest response body, in bytes.
@@ -34,7 +34,8 @@
 pub async fn serve(entry: &Arc<Entry>, call: Arc<Call>) -> ServeResult {
     let attempts = Arc::new(Attempts::default());
     let slow_at = call.slow_at(Instant::now());
-    let can_hedge = call.route.kind == Kind::Idempotent && entry.enabled.has(Mechanism::SentBeside);
+    let can_hedge =
+        call.route.kind == Kind::Idempotent && entry.mechanisms.is_enabled(Mechanism::SentBeside);
     let mut first = Box::pin(send_until_answered(
         entry.clone(),
         call.clone(),
@@ -78,19 +79,19 @@
     call: Arc<Call>,
     attempts: Arc<Attempts>,
 ) -> ServeResult {
-    let query = Question {
+    let query = Query {
         service: &call.service,
-        request: &call.id,
-        tried: &[],
-        holder: None,
+        request_id: &call.id,
+        excluded: &[],
+        cached_on: None,
         prompt_tokens: 0,
-        held_tokens: 0,
+        cached_tokens: 0,
         parts: &[],
-        engine: false,
-        room: 0,
+        is_engine: false,
+        cache_capacity_tokens: 0,
         repeatable: call.route.kind == Kind::Idempotent,
-        warm_up_rate: call.warm_up_rate(),
-        regions: call.regions.as_deref(),
+        max_warm_up_rate_per_s: call.warm_up_rate(),
+        allowed_regions: call.regions.as_deref(),
         now: call.arrived,
     };
     let mut may_have_run = false;
@@ -136,13 +137,17 @@
         Ok(Err(error)) => {
             tracing::info!(event = "answer_broke_off", request = %call.id,
                 server = %choice.id, %error);
-            entry.fleet.failed(choice.key, Fault::Lost, Instant::now());
+            entry
+                .fleet
+                .record_failure(choice.key, Failure::ConnectionLost, Instant::now());
             return None;
         }
         Err(_) => return None,
     };
-    if !answer.last {
-        choice.pool.rest(connection, answer.idle, Instant::now());
+    if !answer.close {
+        choice
+            .pool
+            .put_back(connection, answer.idle_timeout, Instant::now());
     }
     tracing::info!(event = "answered", request = %call.id, server = %choice.id,
         status = head.status.as_u16(), bytes = bytes.len(),
--- a/crates/gradedyke-gateway/src/entry/refusal.rs
+++ b/crates/gradedyke-gateway/src/entry/refusal.rs
@@ -46,7 +46,7 @@
 }
 
 /// Shortest retry delay that callers are given, apart from the jitter.
-pub(crate) const SOON: Duration = Duration::from_millis(250);
+pub(crate) const MIN_RETRY_AFTER: Duration = Duration::from_millis(250);
 /// Longest retry delay that callers are given, apart from the jitter. Estimates of when a
 /// slot is free are unreliable beyond it.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(2);
@@ -124,9 +124,9 @@
             Refusal::NotStarted => STARTUP_RETRY_AFTER,
             Refusal::Exceeded => ALLOWANCE_RETRY_AFTER,
             Refusal::Full | Refusal::NoKeepers | Refusal::Overload => {
-                expected_wait.clamp(SOON, MAX_RETRY_AFTER)
+                expected_wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
             }
-            Refusal::NoServer | Refusal::Unconfirmed => SOON,
+            Refusal::NoServer | Refusal::Unconfirmed => MIN_RETRY_AFTER,
             _ => return None,
         };
         let factor =
--- a/crates/gradedyke-gateway/src/entry/relay.rs
+++ b/crates/gradedyke-gateway/src/entry/relay.rs
@@ -18,12 +18,12 @@
 use super::budget::{Reservation, retention_ms};
 use super::call::Call;
 use super::upstream::Upstream;
-use crate::dialect::Answer;
-use crate::estimate::Stream;
+use crate::dialect::Head;
+use crate::estimate::Timing;
 use crate::event::Splitter;
 use crate::fleet::Choice;
-use crate::health::Fault;
-use crate::link::Link;
+use crate::health;
+use crate::link::Connection;
 
 /// Number of events after which the average time between events is reported to the fleet, so
 /// that a slow server is detected before its response ends.
@@ -44,7 +44,7 @@
     let headers = entry.dialect.inbound(received.response.headers());
     let status = received.response.status();
     let (sender, body) = body::channel(EVENT_BUFFER_LEN);
-    let event_tokens = call.engine().map_or(1, |e| e.event_tokens);
+    let event_tokens = call.engine().map_or(1, |e| e.max_event_tokens);
     let relay = Relay {
         entry: entry.clone(),
         call,
@@ -107,8 +107,8 @@
         mut self,
         status: StatusCode,
         mut incoming: Incoming,
-        mut connection: Link,
-        mut answer: Answer,
+        mut connection: Connection,
+        mut answer: Head,
     ) {
         let end = loop {
             let end = self.forward_events(status, &mut incoming).await;
@@ -143,8 +143,10 @@
                     // An error response generated no tokens.
                     self.reservation.settle(&self.entry, 0);
                 }
-                if !answer.last {
-                    self.choice.pool.rest(connection, answer.idle, now);
+                if !answer.close {
+                    self.choice
+                        .pool
+                        .put_back(connection, answer.idle_timeout, now);
                 }
                 return;
             }
@@ -160,19 +162,19 @@
     /// Reports to the fleet that the stream ended by the server's fault. Returns whether it did.
     fn report_server_fault(&self, end: &End) -> bool {
         let (fault, cause) = match end {
-            End::Broken(cause) => (Fault::Lost, cause.as_str()),
-            End::Stalled => (Fault::Slow, ""),
+            End::Broken(cause) => (health::Failure::ConnectionLost, cause.as_str()),
+            End::Stalled => (health::Failure::Slow, ""),
             End::Complete | End::CallerGone | End::TimedOut | End::NotStored => return false,
         };
         let now = Instant::now();
-        self.entry.fleet.failed(self.choice.key, fault, now);
+        self.entry.fleet.record_failure(self.choice.key, fault, now);
         tracing::info!(event = "stream_broke", request = %self.call.id,
             server = %self.choice.id, fault = fault.name(), cause);
         true
     }
 
     /// Resumes the stream at another server, if the route allows it and one accepts.
-    async fn resume(&mut self, status: StatusCode) -> Option<(Incoming, Link, Answer)> {
+    async fn resume(&mut self, status: StatusCode) -> Option<(Incoming, Connection, Head)> {
         if !status.is_success() || !self.upstream.can_resume(&self.call) {
             return None;
         }
@@ -205,10 +207,10 @@
     /// it passes. If that is not possible, the deadline is that of the call.
     fn next_event_deadline(&self) -> (Instant, bool) {
         let now = Instant::now();
-        let view = &self.choice.view;
+        let view = &self.choice.candidate;
         let expected = match self.event_times {
-            Some(_) => view.times.gap_ms(view.running()),
-            None => view.first_ms(),
+            Some(_) => view.times.event_gap_ms(view.concurrent()),
+            None => view.first_event_ms(),
         };
         let stalled_at = now + attempt::event_timeout(&self.call, expected);
         let switch_server = stalled_at < self.call.deadline && self.upstream.can_resume(&self.call);
@@ -228,7 +230,7 @@
                 biased;
                 frame = tokio::time::timeout_at(deadline, incoming.frame()) => frame,
                 () = self.sender.closed() => return End::CallerGone,
-                () = self.choice.gone.cancelled() => {
+                () = self.choice.process_ended.cancelled() => {
                     return End::Broken("the server process was restarted or has ended".to_owned());
                 }
             };
@@ -253,7 +255,7 @@
                 }
             }
         }
-        let rest = Bytes::copy_from_slice(events.rest());
+        let rest = Bytes::copy_from_slice(events.remainder());
         if !status.is_success() {
             // The body of an error response need not consist of events.
             return self.send_rest(rest).await;
@@ -278,7 +280,8 @@
 
     /// Returns the time from the choice of the server to its first event.
     fn time_to_first_event(&self) -> Option<Duration> {
-        self.event_times.map(|(first, _)| first - self.choice.since)
+        self.event_times
+            .map(|(first, _)| first - self.choice.chosen_at)
     }
 
     /// Returns the time from the first event of the server to its latest.
@@ -291,18 +294,18 @@
         let (Some(first), Some(rest)) = (self.time_to_first_event(), self.streaming_time()) else {
             return;
         };
-        let view = &self.choice.view;
-        let stream = Stream {
-            beside: view.in_flight,
+        let view = &self.choice.candidate;
+        let stream = Timing {
+            concurrent: view.in_flight,
             slots: view.slots,
-            unread: view.unread_tokens,
-            first_ms: first.as_secs_f64() * 1e3,
-            rest_ms: rest.as_secs_f64() * 1e3,
+            uncached_tokens: view.uncached_tokens,
+            first_event_ms: first.as_secs_f64() * 1e3,
+            remaining_ms: rest.as_secs_f64() * 1e3,
             events: self.event_count.saturating_sub(1),
         };
         let (parts, generated) = (&self.call.meta.parts, u64::from(self.tokens));
         let fleet = &self.entry.fleet;
-        fleet.streamed(self.choice.key, parts, generated, &stream);
+        fleet.record_stream(self.choice.key, parts, generated, &stream);
     }
 
     /// Adds an event to the turn and to the timing statistics.
@@ -311,9 +314,9 @@
         self.event_times = Some((first, now));
         self.event_count += 1;
         if self.event_count == PACE_SAMPLE_EVENTS {
-            let (key, beside) = (self.choice.key, self.choice.view.in_flight);
+            let (key, beside) = (self.choice.key, self.choice.candidate.in_flight);
             let gap = (now - first) / (PACE_SAMPLE_EVENTS - 1);
-            self.entry.fleet.paced(key, beside, gap, now);
+            self.entry.fleet.record_event_gap(key, beside, gap, now);
         }
         if let Some(data) = self.entry.dialect.event_data(event) {
             self.output.extend_from_slice(data);
@@ -344,14 +347,14 @@
                 .map(|p| self.call.scope_id(p)),
             input: self.call.body.clone(),
             output: self.output.split().freeze(),
-            server: self.choice.process.clone(),
+            server: self.choice.incarnation.clone(),
             program: self.reservation.program(),
             tokens: self.tokens,
             keep_ms: retention_ms(&self.call),
         });
         let started = Instant::now();
         let deadline = self.call.deadline.min(started + STORE_TIMEOUT);
-        let register = &self.entry.register;
+        let register = &self.entry.limiter;
         let usage_report = self.call.counted.map(|c| register.report(&c, started));
         let (usage, mark) = usage_report.unzip();
         let result = self
@@ -360,7 +363,7 @@
             .store(&record, usage.as_ref(), deadline)
             .await;
         if let (Some(mark), Ok(Some(total))) = (mark, &result) {
-            register.learn(mark, *total, Instant::now());
+            register.record_sum(mark, *total, Instant::now());
         }
         metrics::histogram!("gradedyke_keep_seconds").record(started.elapsed().as_secs_f64());
         if let Err(error) = &result {
--- a/crates/gradedyke-gateway/src/entry/turn.rs
+++ b/crates/gradedyke-gateway/src/entry/turn.rs
@@ -75,27 +75,29 @@
     let reservation = Reservation::new(reserve.as_ref().map(|(r, _)| r.clone()));
     let parent = call.route.retention.and(call.meta.parent.as_ref());
     let parent = parent.map(|p| call.scope_id(p));
-    let usage_report = call.counted.map(|c| entry.register.report(&c, started));
+    let usage_report = call.counted.map(|c| entry.limiter.report(&c, started));
     let (usage, mark) = usage_report.unzip();
     let request = BeginParams {
         reservation: reserve,
         parent,
         is_first_turn: Call::is_program_start(&call.route, &call.meta),
-        load: entry.fleet.report(started),
+        load: entry.fleet.load_report(started),
         usage,
         try_timeout: BEGIN_TIMEOUT,
         deadline: call.deadline.min(started + QUORUM_RECOVERY_TIMEOUT),
     };
     let result = entry.quorum.begin(&request).await;
     if let Some((pressure, at)) = entry.quorum.pressure() {
-        entry.throttle.told(pressure, at);
+        entry.throttle.record_pressure(pressure, at);
     }
     metrics::histogram!("gradedyke_begin_seconds").record(started.elapsed().as_secs_f64());
     match result {
         Ok(begun) => {
-            entry.throttle.let_in(begun.elapsed, Instant::now());
+            entry
+                .throttle
+                .record_admitted(begun.elapsed, Instant::now());
             if let Some(load) = begun.load {
-                entry.fleet.learn(&load, Instant::now());
+                entry.fleet.set_peer_load(&load, Instant::now());
             }
             if let (Some(mark), Some(total)) = (mark, begun.usage)
                 && !entry.record_usage(call, mark, total)
@@ -106,7 +108,7 @@
             let is_program_start = Call::is_program_start(&call.route, &call.meta);
             entry
                 .demand
-                .turn(&call.route.name, is_program_start, Instant::now());
+                .record_turn(&call.route.name, is_program_start, Instant::now());
             Ok((begun.chain, reservation))
         }
         Err(error) => {
@@ -121,7 +123,7 @@
                 _ => false,
             };
             if is_overload {
-                entry.throttle.refused(Instant::now());
+                entry.throttle.record_refused(Instant::now());
             }
             Err(match error {
                 quorum::Error::TurnNotFound => Refusal::NoTurn,
@@ -140,11 +142,13 @@
 /// so the program identifier decides for all its turns alike.
 fn is_admitted(entry: &Entry, call: &Call, now: Instant) -> bool {
     let stores_turns = call.route.retention.is_some();
-    if !entry.enabled.has(Mechanism::Throttle) || stores_turns && call.meta.parent.is_some() {
+    if !entry.mechanisms.is_enabled(Mechanism::Throttle)
+        || stores_turns && call.meta.parent.is_some()
+    {
         return true;
     }
     let draw = match &call.meta.program {
-        Some(program) if !stores_turns => throttle::draw(program),
+        Some(program) if !stores_turns => throttle::hash_fraction(program),
         _ => rand::random(),
     };
     entry.throttle.admits(draw, now)
@@ -153,7 +157,7 @@
 /// Returns the tokens to reserve for the request and the total budget of its program; `None`
 /// without a budget.
 fn budget_request(call: &Call) -> Option<(Reserved, u64)> {
-    let budget = call.meta.budget?;
+    let budget = call.meta.token_budget?;
     let program = call.scope_id(call.meta.program.as_ref()?);
     let reserved = Reserved {
         program,
--- a/crates/gradedyke-gateway/src/entry/upstream.rs
+++ b/crates/gradedyke-gateway/src/entry/upstream.rs
@@ -8,7 +8,7 @@
 use super::attempt::{self, Attempts, MIN_SEND_TIME, ServerResponse};
 use super::call::Call;
 use super::refusal::Refusal;
-use crate::fleet::Question;
+use crate::fleet::Query;
 
 /// The request for a stream, with the servers it was sent to.
 pub(super) struct Upstream {
@@ -68,20 +68,20 @@
 }
 
 /// Builds the query by which the fleet chooses a server for the request.
-fn server_query<'a>(call: &'a Call, chain: Option<&'a Transcript>) -> Question<'a> {
-    Question {
+fn server_query<'a>(call: &'a Call, chain: Option<&'a Transcript>) -> Query<'a> {
+    Query {
         service: &call.service,
-        request: &call.id,
-        tried: &[],
-        holder: chain.map(|c| &c.server),
+        request_id: &call.id,
+        excluded: &[],
+        cached_on: chain.map(|c| &c.server),
         prompt_tokens: call.meta.usage.map_or(0, |u| u.prompt),
-        held_tokens: chain.map_or(0, |c| cached_tokens(call, c)),
+        cached_tokens: chain.map_or(0, |c| cached_tokens(call, c)),
         parts: &call.meta.parts,
-        engine: true,
-        room: call.engine().map_or(0, |e| e.cache_tokens),
-        repeatable: call.route.repeatable(),
-        warm_up_rate: call.warm_up_rate(),
-        regions: call.regions.as_deref(),
+        is_engine: true,
+        cache_capacity_tokens: call.engine().map_or(0, |e| e.cache_tokens),
+        repeatable: call.route.is_repeatable(),
+        max_warm_up_rate_per_s: call.warm_up_rate(),
+        allowed_regions: call.regions.as_deref(),
         now: call.arrived,
     }
 }
--- a/crates/gradedyke-gateway/src/estimate.rs
+++ b/crates/gradedyke-gateway/src/estimate.rs
@@ -191,45 +191,45 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Times {
     /// Total time of a response, without queueing and without reading the prompt.
-    pub answer_ms: f64,
+    pub response_ms: f64,
     /// Time to the first event, without queueing and without reading the prompt; 0 for a
     /// plain service.
-    pub first_ms: f64,
+    pub first_event_ms: f64,
     /// Time between events if no other requests run there; 0 for a plain service.
-    pub gap_ms: f64,
+    pub event_gap_ms: f64,
     /// Increase of the time between events with each concurrent request.
     pub gap_per_concurrent_ms: f64,
     /// Number of events of a response after the first.
     pub events: f64,
     /// Time to read one token of a prompt.
-    pub read_ms: f64,
+    pub read_ms_per_token: f64,
 }
 
 impl Times {
     /// Time between events with `concurrent` other requests running, in milliseconds.
-    pub fn gap_ms(&self, concurrent: u32) -> f64 {
-        self.gap_ms + f64::from(concurrent) * self.gap_per_concurrent_ms
+    pub fn event_gap_ms(&self, concurrent: u32) -> f64 {
+        self.event_gap_ms + f64::from(concurrent) * self.gap_per_concurrent_ms
     }
 
     /// Total time of a response with `concurrent` other requests running, in milliseconds.
-    pub fn answer_ms(&self, concurrent: u32) -> f64 {
-        self.answer_ms + self.events * f64::from(concurrent) * self.gap_per_concurrent_ms
+    pub fn response_ms(&self, concurrent: u32) -> f64 {
+        self.response_ms + self.events * f64::from(concurrent) * self.gap_per_concurrent_ms
     }
 }
 
 /// Observed times of a streamed response of a model engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Stream {
+pub struct Timing {
     /// Number of other requests in flight there when it was sent.
-    pub beside: u32,
+    pub concurrent: u32,
     /// Number of requests that the engine runs concurrently.
     pub slots: u32,
     /// Number of prompt tokens that were not cached.
-    pub unread: u64,
+    pub uncached_tokens: u64,
     /// Time to the first event, in milliseconds.
-    pub first_ms: f64,
+    pub first_event_ms: f64,
     /// Time from the first event to the last, in milliseconds.
-    pub rest_ms: f64,
+    pub remaining_ms: f64,
     /// Number of events after the first.
     pub events: u32,
 }
@@ -301,15 +301,16 @@
     }
 
     /// Records a streamed response of an engine.
-    pub fn record_stream(&mut self, stream: &Stream) {
+    pub fn record_stream(&mut self, stream: &Timing) {
         // With more requests in flight, the time may include waiting for a slot.
-        if stream.beside < stream.slots / 2 {
-            self.first_event.add(stream.unread as f64, stream.first_ms);
+        if stream.concurrent < stream.slots / 2 {
+            self.first_event
+                .add(stream.uncached_tokens as f64, stream.first_event_ms);
         }
         self.events.add(f64::from(stream.events));
         if stream.events > 0 {
-            let concurrent = f64::from(stream.beside.min(stream.slots));
-            let gap_ms = stream.rest_ms / f64::from(stream.events);
+            let concurrent = f64::from(stream.concurrent.min(stream.slots));
+            let gap_ms = stream.remaining_ms / f64::from(stream.events);
             self.gap.add(concurrent, gap_ms);
         }
     }
@@ -326,24 +327,24 @@
     pub fn times(&self, engine: bool) -> Times {
         if !engine {
             return Times {
-                answer_ms: self.call.value(),
-                first_ms: 0.0,
-                gap_ms: 0.0,
+                response_ms: self.call.value(),
+                first_event_ms: 0.0,
+                event_gap_ms: 0.0,
                 gap_per_concurrent_ms: 0.0,
                 events: 0.0,
-                read_ms: 0.0,
+                read_ms_per_token: 0.0,
             };
         }
         let events = self.events.value();
         let first_ms = self.first_event.predict(0.0).max(0.0);
         let gap_ms = self.gap.predict(0.0).max(0.0);
         Times {
-            answer_ms: first_ms + events * gap_ms,
-            first_ms,
-            gap_ms,
+            response_ms: first_ms + events * gap_ms,
+            first_event_ms: first_ms,
+            event_gap_ms: gap_ms,
             gap_per_concurrent_ms: self.gap.slope(),
             events,
-            read_ms: self.first_event.slope(),
+            read_ms_per_token: self.first_event.slope(),
         }
     }
 }
--- a/crates/gradedyke-gateway/src/event.rs
+++ b/crates/gradedyke-gateway/src/event.rs
@@ -54,7 +54,7 @@
     }
 
     /// The bytes after the last complete event.
-    pub fn rest(&self) -> &[u8] {
+    pub fn remainder(&self) -> &[u8] {
         &self.buffer
     }
 }
--- a/crates/gradedyke-gateway/src/fleet/mod.rs
+++ b/crates/gradedyke-gateway/src/fleet/mod.rs
@@ -27,8 +27,8 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::dialect::Dialect;
-use crate::estimate::{self, LatencyRatioSum, Stream, Times};
-use crate::health::Fault;
+use crate::estimate::{self, LatencyRatioSum, Times, Timing};
+use crate::health::Failure;
 use crate::link::Pool;
 use crate::mechanism::{Enabled, Mechanism};
 use crate::placement::{self, Candidate, Policy};
@@ -62,10 +62,10 @@
     /// Number of requests it runs concurrently.
     pub slots: u32,
     /// Whether it is draining: it completes its requests and accepts no new ones.
-    pub leaving: bool,
+    pub is_draining: bool,
     /// Remaining warm-up time when the record was written. Until it has passed, the server
     /// handles only a low request rate.
-    pub warm_up: Duration,
+    pub remaining_warm_up: Duration,
 }
 
 impl Server {
@@ -99,32 +99,32 @@
 
 /// The parameters for choosing a server.
 #[derive(Clone, Debug)]
-pub struct Question<'a> {
+pub struct Query<'a> {
     /// Name of the service.
     pub service: &'a str,
     /// The request ID. Its hash breaks ties and draws samples.
-    pub request: &'a Id,
+    pub request_id: &'a Id,
     /// Servers to which this request has been sent already; they are excluded.
-    pub tried: &'a [Key],
+    pub excluded: &'a [Key],
     /// Incarnation of the server whose cache holds the conversation.
-    pub holder: Option<&'a Id>,
+    pub cached_on: Option<&'a Id>,
     /// Number of tokens of the prompt; 0 for a plain service.
     pub prompt_tokens: u64,
     /// Number of tokens of the prompt that the holder has cached.
-    pub held_tokens: u64,
+    pub cached_tokens: u64,
     /// The identified parts of the prompt; empty if there are none.
     pub parts: &'a [Part],
     /// Whether the service runs models.
-    pub engine: bool,
+    pub is_engine: bool,
     /// Capacity of a server's prompt cache in tokens; 0 if it has none.
-    pub room: u64,
+    pub cache_capacity_tokens: u64,
     /// Whether the request may be run more than once.
     pub repeatable: bool,
     /// Limit on the request rate of a warming server, in requests per second over all
     /// instances; `None` for no limit.
-    pub warm_up_rate: Option<f64>,
+    pub max_warm_up_rate_per_s: Option<f64>,
     /// The regions in which the request may run; `None` for all.
-    pub regions: Option<&'a [String]>,
+    pub allowed_regions: Option<&'a [String]>,
     /// The current time.
     pub now: Instant,
 }
@@ -137,15 +137,15 @@
     /// The server's ID.
     pub id: Id,
     /// The server's [incarnation](Server::incarnation).
-    pub process: Id,
+    pub incarnation: Id,
     /// Cancelled when the process is known to have been replaced.
-    pub gone: CancellationToken,
+    pub process_ended: CancellationToken,
     /// Connections to the server.
     pub pool: Arc<Pool>,
     /// When the server was chosen.
-    pub since: Instant,
+    pub chosen_at: Instant,
     /// The candidate as the policy saw it.
-    pub view: Candidate,
+    pub candidate: Candidate,
 }
 
 impl Drop for Choice {
@@ -192,17 +192,17 @@
     }
 
     /// Number of servers that the directory lists.
-    pub fn listed(&self) -> usize {
+    pub fn listed_count(&self) -> usize {
         self.lock().listed()
     }
 
     /// Whether any server is known.
-    pub fn known(&self) -> bool {
+    pub fn has_servers(&self) -> bool {
         !self.lock().servers.is_empty()
     }
 
     /// Inserts or updates a server whose record was read at `read_at`.
-    pub fn list(&self, server: Server, read_at: Instant) {
+    pub fn upsert(&self, server: Server, read_at: Instant) {
         self.lock().upsert(server, read_at);
     }
 
@@ -213,7 +213,7 @@
     }
 
     /// Whether a data centre is being evacuated.
-    pub fn evacuated(&self, data_centre: &str) -> bool {
+    pub fn is_evacuated(&self, data_centre: &str) -> bool {
         self.lock().evacuated.contains(data_centre)
     }
 
@@ -230,7 +230,7 @@
 
     /// Removes servers whose records were deleted and whose grace period has passed.
     /// `available_since` is when the directory became available; `None` if it is not.
-    pub fn expire(&self, available_since: Option<Instant>, now: Instant) {
+    pub fn remove_expired(&self, available_since: Option<Instant>, now: Instant) {
         let mut registry = self.lock();
         let expired = registry
             .servers
@@ -243,7 +243,7 @@
     }
 
     /// Chooses a server and counts the request as in flight there.
-    pub fn choose(self: &Arc<Self>, question: &Question<'_>) -> Option<Choice> {
+    pub fn choose(self: &Arc<Self>, question: &Query<'_>) -> Option<Choice> {
         let mut registry = self.lock();
         if registry
             .peer_load_received
@@ -251,15 +251,15 @@
         {
             registry.clear_peer_load();
         }
-        let use_backoff = self.enabled.has(Mechanism::Rests);
+        let use_backoff = self.enabled.is_enabled(Mechanism::Rests);
         let keys = registry.eligible(question, &self.location, use_backoff);
-        if question.warm_up_rate.is_some() {
+        if question.max_warm_up_rate_per_s.is_some() {
             registry.count_request(question, keys.is_empty());
         }
-        let times = if self.enabled.has(Mechanism::LearnedTimes) {
-            registry.times(question.service, question.engine)
+        let times = if self.enabled.is_enabled(Mechanism::LearnedTimes) {
+            registry.times(question.service, question.is_engine)
         } else {
-            estimate::ServiceEstimate::default().times(question.engine)
+            estimate::ServiceEstimate::default().times(question.is_engine)
         };
         let candidates: Vec<Candidate> = keys
             .iter()
@@ -269,31 +269,33 @@
         let (key, view) = (keys[index], candidates[index]);
         let state = registry.servers.get_mut(key)?;
         state.in_flight += 1;
-        let capacity = state.own_share(question.now) * question.room as f64;
-        if self.enabled.has(Mechanism::Prefixes) {
-            state.cache.keep(question.parts, 0, capacity as u64);
+        let capacity = state.own_share(question.now) * question.cache_capacity_tokens as f64;
+        if self.enabled.is_enabled(Mechanism::Prefixes) {
+            state
+                .cache
+                .record_prompt(question.parts, 0, capacity as u64);
         }
         let choice = Choice {
             fleet: self.clone(),
             key,
             id: state.server.id.clone(),
-            process: state.incarnation.clone(),
-            gone: state.process_ended.clone(),
+            incarnation: state.incarnation.clone(),
+            process_ended: state.process_ended.clone(),
             pool: state.pool.clone(),
-            since: question.now,
-            view,
+            chosen_at: question.now,
+            candidate: view,
         };
         registry.mark_used(key);
         Some(choice)
     }
 
     /// Expected time until one of a service's servers has a free slot.
-    pub fn drain(&self, service: &str, engine: bool, now: Instant) -> Duration {
+    pub fn expected_wait(&self, service: &str, engine: bool, now: Instant) -> Duration {
         let registry = self.lock();
         let times = registry.times(service, engine);
         let keys = registry.by_service.get(service).into_iter().flatten();
         let states = keys.map(|key| &registry.servers[*key]);
-        let usable = states.filter(|s| !s.server.leaving && !s.is_backing_off(now));
+        let usable = states.filter(|s| !s.server.is_draining && !s.is_backing_off(now));
         let usable = usable.filter(|s| !registry.evacuated.contains(&s.server.data_centre));
         let waits = usable.map(|s| placement::wait_ms(s.total_in_flight(), s.server.slots, &times));
         let min_wait_ms = waits.min_by(f64::total_cmp).unwrap_or_default();
@@ -301,7 +303,7 @@
     }
 
     /// Returns this instance's requests in flight and recent failures, for other instances.
-    pub fn report(&self, now: Instant) -> Report {
+    pub fn load_report(&self, now: Instant) -> Report {
         Report {
             entry: self.report_id,
             address: self.relay_address,
@@ -310,38 +312,40 @@
     }
 
     /// Replaces the load reported by other instances.
-    pub fn learn(&self, load: &[ServerLoad], now: Instant) {
-        if self.enabled.has(Mechanism::SharedLoad) {
+    pub fn set_peer_load(&self, load: &[ServerLoad], now: Instant) {
+        if self.enabled.is_enabled(Mechanism::SharedLoad) {
             self.lock().set_peer_load(load, now);
         }
     }
 
-    fn candidate(&self, state: &ServerState, question: &Question<'_>, times: Times) -> Candidate {
-        let is_holder = question.holder == Some(&state.incarnation);
-        let cached_tokens = if is_holder { question.held_tokens } else { 0 };
+    fn candidate(&self, state: &ServerState, question: &Query<'_>, times: Times) -> Candidate {
+        let is_holder = question.cached_on == Some(&state.incarnation);
+        let cached_tokens = if is_holder { question.cached_tokens } else { 0 };
         let unread = question.prompt_tokens.saturating_sub(cached_tokens);
         let unread = match question.parts {
             [] => unread,
-            parts => unread.min(state.cache.unread(parts)),
+            parts => unread.min(state.cache.uncached_tokens(parts)),
         };
         Candidate {
             in_flight: state.total_in_flight(),
             slots: state.server.slots,
             is_local: state.server.data_centre == self.location.data_centre,
-            unread_tokens: unread,
-            is_engine: question.engine,
-            has_idle_connection: state.pool.warm(question.repeatable, question.now),
+            uncached_tokens: unread,
+            is_engine: question.is_engine,
+            has_idle_connection: state
+                .pool
+                .has_idle_connection(question.repeatable, question.now),
             times,
             slowness: state.slowness(question.now),
             repeatable: question.repeatable,
-            risk: state.failure_rate(question.now),
-            hash: request_hash(question.request, &state.server.id),
+            failure_rate: state.failure_rate(question.now),
+            hash: request_hash(question.request_id, &state.server.id),
         }
     }
 
     /// Records that a server responded, `time` after the request was sent. `time` is
     /// `None` for an engine, whose times are recorded by [`Fleet::streamed`].
-    pub fn answered(&self, key: Key, time: Option<Duration>, now: Instant) {
+    pub fn record_success(&self, key: Key, time: Option<Duration>, now: Instant) {
         let mut registry = self.lock();
         let Some(state) = registry.servers.get_mut(key) else {
             return;
@@ -359,12 +363,12 @@
     }
 
     /// Records the times of an engine's response of `tokens` tokens to a prompt of `parts`.
-    pub fn streamed(&self, key: Key, parts: &[Part], tokens: u64, stream: &Stream) {
+    pub fn record_stream(&self, key: Key, parts: &[Part], tokens: u64, stream: &Timing) {
         let mut registry = self.lock();
         let Some(state) = registry.servers.get_mut(key) else {
             return;
         };
-        if self.enabled.has(Mechanism::Prefixes) {
+        if self.enabled.is_enabled(Mechanism::Prefixes) {
             state.cache.append_response(parts, tokens);
         }
         let service = state.server.service.clone();
@@ -374,7 +378,7 @@
 
     /// Records the time between two events of an engine's response, with `concurrent` other
     /// requests in flight there.
-    pub fn paced(&self, key: Key, concurrent: u32, gap: Duration, now: Instant) {
+    pub fn record_event_gap(&self, key: Key, concurrent: u32, gap: Duration, now: Instant) {
         let mut registry = self.lock();
         let Some(state) = registry.servers.get(key) else {
             return;
@@ -390,14 +394,14 @@
     }
 
     /// Records a request that failed because of the server.
-    pub fn failed(&self, key: Key, fault: Fault, now: Instant) {
+    pub fn record_failure(&self, key: Key, fault: Failure, now: Instant) {
         let mut registry = self.lock();
         let Some(state) = registry.servers.get_mut(key) else {
             return;
         };
         let backoff = state.health.record_failure(fault, now);
         if backoff.is_some() {
-            state.pool.clear();
+            state.pool.close_idle();
         }
         tracing::info!(event = "server_failed", server = %state.server.id,
             fault = fault.name(), rest_ms = backoff.map(|b| b.as_millis()),
@@ -407,12 +411,12 @@
 
     /// Records that another server answered at a server's address, so the expected one no
     /// longer exists.
-    pub fn misdirected(&self, key: Key) {
+    pub fn mark_replaced(&self, key: Key) {
         let mut registry = self.lock();
         if let Some(state) = registry.servers.get_mut(key) {
             tracing::info!(event = "server_replaced", server = %state.server.id);
             state.is_replaced = true;
-            state.pool.clear();
+            state.pool.close_idle();
         }
     }
 }
--- a/crates/gradedyke-gateway/src/fleet/registry.rs
+++ b/crates/gradedyke-gateway/src/fleet/registry.rs
@@ -12,8 +12,8 @@
 use super::sample::{self, RecentServers};
 use super::server_state::{DirectoryState, ServerState};
 use super::slow_start;
-use super::{Key, Location, Question, Server, request_hash};
-use crate::dialect::{Dialect, Invalid};
+use super::{Key, Location, Query, Server, request_hash};
+use crate::dialect::{Dialect, Error};
 use crate::estimate::{self, Times};
 use crate::health::Counts;
 use crate::link::Pool;
@@ -27,8 +27,8 @@
 const MAX_UNREADABLE_RECORDS: usize = 1_024;
 
 /// The error for a record without a start time whose server had one before.
-fn missing_start_time(id: &Id) -> Invalid {
-    Invalid {
+fn missing_start_time(id: &Id) -> Error {
+    Error {
         what: id.to_string(),
         cause: "the record has no start time, but earlier records of the server had".to_owned(),
     }
@@ -145,7 +145,7 @@
     /// Removes a server from all indexes except `by_id`.
     fn detach(&mut self, key: Key) -> Option<ServerState> {
         let state = self.servers.remove(key)?;
-        state.pool.clear();
+        state.pool.close_idle();
         self.by_incarnation.remove(&state.incarnation);
         let load_id = load::server_hash(&state.incarnation);
         // Hashed IDs may collide, so the index may point to another server.
@@ -233,12 +233,12 @@
                 state.is_unreadable = false;
             }
             if state.server.address != server.address {
-                state.pool.clear();
+                state.pool.close_idle();
                 state.pool = Arc::new(Pool::new(server.address));
             }
-            if state.server.leaving != server.leaving && !self.is_bulk_change {
+            if state.server.is_draining != server.is_draining && !self.is_bulk_change {
                 tracing::info!(event = "server_changed", server = %server.id,
-                    leaving = server.leaving);
+                    leaving = server.is_draining);
             }
             state.directory_state = DirectoryState::Listed;
             state.warm_up_end = ServerState::warm_up_end(&server, read_at);
@@ -247,7 +247,7 @@
         }
         if !self.is_bulk_change {
             tracing::info!(event = "server_listed", server = %server.id, service = server.service,
-                address = %server.address, leaving = server.leaving);
+                address = %server.address, leaving = server.is_draining);
         }
         self.insert(ServerState::new(server, read_at));
     }
@@ -267,7 +267,7 @@
 
     /// Marks a server whose record is invalid. It gets no new requests; those in flight may
     /// complete. Logged once until a valid record is read.
-    pub(super) fn mark_unreadable(&mut self, id: &Id, error: &Invalid) {
+    pub(super) fn mark_unreadable(&mut self, id: &Id, error: &Error) {
         let key = self.by_id.get(id).copied();
         let is_first = match key.and_then(|key| self.servers.get_mut(key)) {
             Some(state) => !std::mem::replace(&mut state.is_unreadable, true),
@@ -309,7 +309,7 @@
     /// backing off are returned only if there are no others.
     pub(super) fn eligible(
         &self,
-        question: &Question<'_>,
+        question: &Query<'_>,
         location: &Location,
         use_backoff: bool,
     ) -> Vec<Key> {
@@ -330,21 +330,21 @@
     }
 
     /// Whether a server can be sent the request, regardless of its load.
-    fn can_run(&self, key: Key, question: &Question<'_>, location: &Location) -> bool {
+    fn can_run(&self, key: Key, question: &Query<'_>, location: &Location) -> bool {
         let state = &self.servers[key];
         let data_centre = &state.server.data_centre;
-        !state.server.leaving
+        !state.server.is_draining
             && !state.is_unreadable
             && !state.is_replaced
-            && !question.tried.contains(&key)
+            && !question.excluded.contains(&key)
             && !self.evacuated.contains(data_centre)
-            && location.allows(question.regions, data_centre)
+            && location.allows(question.allowed_regions, data_centre)
     }
 
     /// The servers to compare: all that can run the request or, if the service has very
     /// many, a sample of them with the recently used ones and the holder of the
     /// conversation.
-    fn preselect(&self, question: &Question<'_>, location: &Location) -> Vec<Key> {
+    fn preselect(&self, question: &Query<'_>, location: &Location) -> Vec<Key> {
         let Some(keys) = self.by_service.get(question.service) else {
             return Vec::new();
         };
@@ -353,10 +353,10 @@
             return keys.iter().copied().filter(|k| can_run(*k)).collect();
         }
         let is_local = |key: Key| self.servers[key].server.data_centre == location.data_centre;
-        let mut selected = sample::sample(keys, question.request, can_run, is_local);
+        let mut selected = sample::sample(keys, question.request_id, can_run, is_local);
         let recent = self.recent.get(question.service).into_iter();
         let recent = recent.flat_map(RecentServers::keys);
-        let holder = question.holder.and_then(|h| self.by_incarnation.get(h));
+        let holder = question.cached_on.and_then(|h| self.by_incarnation.get(h));
         for key in recent.chain(holder.copied()) {
             if can_run(key) && !selected.contains(&key) {
                 selected.push(key);
@@ -369,11 +369,11 @@
     /// request.
     fn limit_warming(
         &self,
-        question: &Question<'_>,
+        question: &Query<'_>,
         location: &Location,
         servers: Vec<Key>,
     ) -> Vec<Key> {
-        let Some(rate) = question.warm_up_rate else {
+        let Some(rate) = question.max_warm_up_rate_per_s else {
             return servers;
         };
         let is_warm = |key: &Key| self.servers[*key].is_warm(question.now);
@@ -386,7 +386,7 @@
             let state = &self.servers[*key];
             slow_start::Candidate {
                 in_flight: state.total_in_flight(),
-                hash: request_hash(question.request, &state.server.id),
+                hash: request_hash(question.request_id, &state.server.id),
             }
         });
         let candidates: Vec<_> = candidates.collect();
@@ -397,7 +397,7 @@
 
     /// Counts a request to a service that has a warm-up limit. `found_none` says that no
     /// server was eligible.
-    pub(super) fn count_request(&mut self, question: &Question<'_>, found_none: bool) {
+    pub(super) fn count_request(&mut self, question: &Query<'_>, found_none: bool) {
         let counts = Counts {
             failures: u32::from(found_none),
             requests: 1,
@@ -413,19 +413,15 @@
     }
 
     /// The load of a service, over all instances whose load is known.
-    fn service_load(
-        &self,
-        question: &Question<'_>,
-        location: &Location,
-    ) -> slow_start::ServiceLoad {
-        let times = self.times(question.service, question.engine);
+    fn service_load(&self, question: &Query<'_>, location: &Location) -> slow_start::ServiceLoad {
+        let times = self.times(question.service, question.is_engine);
         let requests = self.recent_requests.get(question.service);
         let mut load = slow_start::ServiceLoad {
             recent_requests: requests.map_or(Counts::default(), |r| r.sum(question.now)),
             has_peer_load: self.peer_load_received.is_some(),
             in_flight: 0,
             recently_ended: 0,
-            answer_ms: times.answer_ms,
+            answer_ms: times.response_ms,
             warming_servers: 0,
         };
         let keys = self.by_service.get(question.service).into_iter().flatten();
--- a/crates/gradedyke-gateway/src/fleet/server_state.rs
+++ b/crates/gradedyke-gateway/src/fleet/server_state.rs
@@ -90,7 +90,9 @@
     /// When the warm-up of a server ends whose record was read at `read_at`. The record
     /// was written earlier, so the actual end is never later.
     pub(super) fn warm_up_end(server: &Server, read_at: Instant) -> Instant {
-        read_at.checked_add(server.warm_up).unwrap_or(read_at)
+        read_at
+            .checked_add(server.remaining_warm_up)
+            .unwrap_or(read_at)
     }
 
     pub(super) fn is_warm(&self, now: Instant) -> bool {
--- a/crates/gradedyke-gateway/src/health.rs
+++ b/crates/gradedyke-gateway/src/health.rs
@@ -26,37 +26,40 @@
 
 /// A failure of a request that the server caused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum Failure {
     /// The connection could not be opened, so the request has not run.
     Unreachable,
     /// The connection broke, or the response was malformed.
-    Lost,
+    ConnectionLost,
     /// No response before the request's deadline.
-    Silent,
+    TimedOut,
     /// No response after several times the expected time.
     Slow,
     /// The server responded with an error status.
-    Failed,
+    ServerError,
     /// The server rejected the request without running it.
-    Shed,
+    Rejected,
 }
 
-impl Fault {
+impl Failure {
     /// Name in logs.
     pub fn name(self) -> &'static str {
         match self {
-            Fault::Unreachable => "unreachable",
-            Fault::Lost => "lost",
-            Fault::Silent => "silent",
-            Fault::Slow => "slow",
-            Fault::Failed => "failed",
-            Fault::Shed => "shed",
+            Failure::Unreachable => "unreachable",
+            Failure::ConnectionLost => "lost",
+            Failure::TimedOut => "silent",
+            Failure::Slow => "slow",
+            Failure::ServerError => "failed",
+            Failure::Rejected => "shed",
         }
     }
 
     /// Whether the server is put into backoff.
     fn triggers_backoff(self) -> bool {
-        matches!(self, Fault::Unreachable | Fault::Lost | Fault::Silent)
+        matches!(
+            self,
+            Failure::Unreachable | Failure::ConnectionLost | Failure::TimedOut
+        )
     }
 }
 
@@ -127,8 +130,8 @@
     /// assert!(health.is_backing_off(now));
     /// assert!(health.failure_rate(HealthReport::default(), now) > 0.0);
     /// ```
-    pub fn record_failure(&mut self, fault: Fault, now: Instant) -> Option<Duration> {
-        if fault == Fault::Unreachable {
+    pub fn record_failure(&mut self, fault: Failure, now: Instant) -> Option<Duration> {
+        if fault == Failure::Unreachable {
             self.unreachable_at = Some(now);
         } else {
             let failed = Counts {
--- a/crates/gradedyke-gateway/src/link.rs
+++ b/crates/gradedyke-gateway/src/link.rs
@@ -56,7 +56,7 @@
     #[error(
         "connection to backend server {0} failed: {1}; the request may have run, check the server's log"
     )]
-    Broken(SocketAddr, String),
+    Interrupted(SocketAddr, String),
 }
 
 struct IdleConnection {
@@ -96,7 +96,7 @@
 
 /// A connection in use. Dropping it closes the connection and cancels the request on it;
 /// [`Pool::rest`] returns it to the pool instead.
-pub struct Link {
+pub struct Connection {
     sender: SendRequest<Body>,
     /// Whether the connection has carried an earlier request.
     pub used: bool,
@@ -124,21 +124,21 @@
     }
 
     /// Whether there is an idle connection that a request could use.
-    pub fn warm(&self, repeatable: bool, now: Instant) -> bool {
+    pub fn has_idle_connection(&self, repeatable: bool, now: Instant) -> bool {
         let idle = self.lock_idle(now);
         idle.iter()
             .any(|c| c.is_usable(repeatable, now) && c.sender.is_ready())
     }
 
-    fn take_idle(&self, repeatable: bool, now: Instant) -> Option<Link> {
+    fn take_idle(&self, repeatable: bool, now: Instant) -> Option<Connection> {
         let mut idle = self.lock_idle(now);
         let is_usable = |c: &IdleConnection| c.is_usable(repeatable, now) && c.sender.is_ready();
         let index = idle.iter().rposition(is_usable)?;
         let sender = idle.swap_remove(index).sender;
-        Some(Link { sender, used: true })
+        Some(Connection { sender, used: true })
     }
 
-    async fn connect(&self) -> Result<Link, Error> {
+    async fn connect(&self) -> Result<Connection, Error> {
         let not_sent = |cause: String| Error::NotSent(self.address, cause);
         let connect = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(self.address)).await;
         let stream = connect
@@ -155,7 +155,7 @@
                 tracing::debug!(event = "backend_connection_ended", %address, %error);
             }
         });
-        Ok(Link {
+        Ok(Connection {
             sender,
             used: false,
         })
@@ -173,7 +173,7 @@
         mut request: Request<Body>,
         repeatable: bool,
         now: Instant,
-    ) -> Result<(Response<Incoming>, Link), Error> {
+    ) -> Result<(Response<Incoming>, Connection), Error> {
         if let Some(mut link) = self.take_idle(repeatable, now) {
             match link.sender.try_send_request(request).await {
                 Ok(response) => return Ok((response, link)),
@@ -181,7 +181,7 @@
                     // The connection closed before it accepted the request.
                     Some(unsent) => request = unsent,
                     None => {
-                        return Err(Error::Broken(self.address, failed.error().to_string()));
+                        return Err(Error::Interrupted(self.address, failed.error().to_string()));
                     }
                 },
             }
@@ -193,7 +193,7 @@
                 let sent = failed.take_message().is_none();
                 let cause = failed.error().to_string();
                 Err(if sent {
-                    Error::Broken(self.address, cause)
+                    Error::Interrupted(self.address, cause)
                 } else {
                     Error::NotSent(self.address, cause)
                 })
@@ -203,7 +203,7 @@
 
     /// Returns a connection to the pool after its response was read to the end. `idle_timeout`
     /// is that of the server, if known.
-    pub fn rest(&self, link: Link, idle_timeout: Option<Duration>, now: Instant) {
+    pub fn put_back(&self, link: Connection, idle_timeout: Option<Duration>, now: Instant) {
         let max_idle = idle_timeout.map_or(MAX_IDLE_REPEATABLE, |t| {
             t.saturating_sub(IDLE_TIMEOUT_MARGIN)
         });
@@ -218,7 +218,7 @@
     }
 
     /// Closes all idle connections.
-    pub fn clear(&self) {
+    pub fn close_idle(&self) {
         self.idle
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
--- a/crates/gradedyke-gateway/src/mechanism.rs
+++ b/crates/gradedyke-gateway/src/mechanism.rs
@@ -70,13 +70,17 @@
     }
 
     /// Whether a mechanism is enabled.
-    pub fn has(self, mechanism: Mechanism) -> bool {
+    pub fn is_enabled(self, mechanism: Mechanism) -> bool {
         self.0 & bit(mechanism) != 0
     }
 
     /// Returns `value` if a mechanism is enabled, and 0 otherwise.
     pub fn value_if_enabled(self, mechanism: Mechanism, value: f64) -> f64 {
-        if self.has(mechanism) { value } else { 0.0 }
+        if self.is_enabled(mechanism) {
+            value
+        } else {
+            0.0
+        }
     }
 }
 
--- a/crates/gradedyke-gateway/src/news.rs
+++ b/crates/gradedyke-gateway/src/news.rs
@@ -67,7 +67,7 @@
     /// Client for the other processes.
     pub peers: Arc<dyn feed::Peers>,
     /// Time within which a change must be in force.
-    pub in_force: Duration,
+    pub propagation_limit: Duration,
 }
 
 impl EntryFollower {
@@ -84,7 +84,7 @@
         let reader = Arc::new(feed::Policy::new(
             now,
             feed::ENTRY_START_GRACE,
-            self.in_force,
+            self.propagation_limit,
         ));
         tasks.spawn(feed::run(
             self.mirror.clone(),
--- a/crates/gradedyke-gateway/src/placement/cost.rs
+++ b/crates/gradedyke-gateway/src/placement/cost.rs
@@ -52,11 +52,11 @@
     fn considered(self, candidates: &[Candidate]) -> Vec<usize> {
         let indices = 0..candidates.len();
         let engines = candidates.iter().all(|c| c.is_engine);
-        if !engines || !self.enabled.has(Mechanism::Sample) {
+        if !engines || !self.enabled.is_enabled(Mechanism::Sample) {
             return indices.collect();
         }
-        let max_unread = candidates.iter().map(|c| c.unread_tokens).max();
-        let is_cached = |index: &usize| Some(candidates[*index].unread_tokens) < max_unread;
+        let max_unread = candidates.iter().map(|c| c.uncached_tokens).max();
+        let is_cached = |index: &usize| Some(candidates[*index].uncached_tokens) < max_unread;
         let (mut considered, mut others): (Vec<usize>, Vec<usize>) = indices.partition(is_cached);
         others.sort_unstable_by_key(|index| candidates[*index].hash);
         let local = others.iter().filter(|index| candidates[**index].is_local);
@@ -75,7 +75,7 @@
             (false, false) => NON_REPEATABLE_LOSS_MS,
             (false, true) => REPEATABLE_LOSS_MS,
         };
-        candidate.risk * loss_ms
+        candidate.failure_rate * loss_ms
     }
 
     /// Delay in milliseconds for this request and the requests that run beside it.
@@ -84,9 +84,9 @@
         let times = &candidate.times;
         let wait_ms = term(Mechanism::Waiting, candidate.wait_ms());
         // Zero for a plain service.
-        let read_ms = candidate.unread_tokens as f64 * times.read_ms;
-        let others_ms = f64::from(candidate.running()) * read_ms;
-        times.answer_ms
+        let read_ms = candidate.uncached_tokens as f64 * times.read_ms_per_token;
+        let others_ms = f64::from(candidate.concurrent()) * read_ms;
+        times.response_ms
             + wait_ms
             + term(Mechanism::Reading, read_ms)
             + term(Mechanism::ReadingForOthers, others_ms)
--- a/crates/gradedyke-gateway/src/placement/mod.rs
+++ b/crates/gradedyke-gateway/src/placement/mod.rs
@@ -27,7 +27,7 @@
     pub is_local: bool,
     /// Tokens of the prompt that are not in its cache; 0 for a service that runs no
     /// model.
-    pub unread_tokens: u64,
+    pub uncached_tokens: u64,
     /// Whether it is a model engine.
     pub is_engine: bool,
     /// Whether an idle connection to it is open that the request could use.
@@ -39,7 +39,7 @@
     /// Whether the request may be run more than once.
     pub repeatable: bool,
     /// Expected share of requests that fail there, 0 to 1.
-    pub risk: f64,
+    pub failure_rate: f64,
     /// Hash of the request and server IDs, to break ties and draw samples.
     pub hash: u64,
 }
@@ -51,14 +51,14 @@
     }
 
     /// Number of other requests that run beside this one once it has started.
-    pub fn running(&self) -> u32 {
-        running(self.in_flight, self.slots)
+    pub fn concurrent(&self) -> u32 {
+        concurrent(self.in_flight, self.slots)
     }
 
     /// Expected time to the first event of an engine's response, in milliseconds.
-    pub fn first_ms(&self) -> f64 {
-        let read_ms = self.unread_tokens as f64 * self.times.read_ms;
-        self.wait_ms() + self.times.first_ms + read_ms
+    pub fn first_event_ms(&self) -> f64 {
+        let read_ms = self.uncached_tokens as f64 * self.times.read_ms_per_token;
+        self.wait_ms() + self.times.first_event_ms + read_ms
     }
 }
 
@@ -74,13 +74,13 @@
 /// assert_eq!(wait_ms(7, 4, &times), times.answer_ms);
 /// ```
 pub fn wait_ms(in_flight: u32, slots: u32, times: &Times) -> f64 {
-    let answer_ms = times.answer_ms(running(in_flight, slots));
+    let answer_ms = times.response_ms(concurrent(in_flight, slots));
     let slots = f64::from(slots.max(1));
     let queued = (f64::from(in_flight) + 1.0 - slots).max(0.0);
     queued * answer_ms / slots
 }
 
-fn running(in_flight: u32, slots: u32) -> u32 {
+fn concurrent(in_flight: u32, slots: u32) -> u32 {
     in_flight.min(slots.max(1) - 1)
 }
 
--- a/crates/gradedyke-gateway/src/prefix.rs
+++ b/crates/gradedyke-gateway/src/prefix.rs
@@ -53,7 +53,7 @@
     /// assert_eq!(cache.unread(&[part("rules", 500), part("talk", 400)]), 60);
     /// assert_eq!(cache.unread(&[part("other", 500), part("talk", 400)]), 900);
     /// ```
-    pub fn unread(&self, prompt: &[Part]) -> u64 {
+    pub fn uncached_tokens(&self, prompt: &[Part]) -> u64 {
         let mut unread = 0;
         for part in prompt {
             let cached = self.parts.get(&part.id).map_or(0, |c| c.tokens);
@@ -66,7 +66,7 @@
 
     /// Records that the engine caches a prompt and a response of `response_tokens`, and
     /// evicts parts until the total is within `capacity` tokens.
-    pub fn keep(&mut self, prompt: &[Part], response_tokens: u64, capacity: u64) {
+    pub fn record_prompt(&mut self, prompt: &[Part], response_tokens: u64, capacity: u64) {
         let last = prompt.len().saturating_sub(1);
         for (index, part) in prompt.iter().enumerate() {
             let extra_tokens = if index == last { response_tokens } else { 0 };
--- a/crates/gradedyke-gateway/src/process.rs
+++ b/crates/gradedyke-gateway/src/process.rs
@@ -23,10 +23,10 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-use crate::allowance::Register;
+use crate::allowance::Limiter;
 use crate::demand::Demand;
 use crate::dialect::Dialect;
-use crate::entry::{self, Door, Entry, Readiness};
+use crate::entry::{self, CallerHandler, Entry, Readiness};
 use crate::fleet::Fleet;
 use crate::mechanism::Enabled;
 use crate::settings::Settings;
@@ -35,7 +35,7 @@
 
 /// External dependencies of a process.
 #[derive(Clone)]
-pub struct World {
+pub struct Environment {
     /// Decodes and encodes the formats of callers, backend servers and the platform.
     pub dialect: Arc<dyn Dialect>,
     /// The platform's key-value service.
@@ -119,7 +119,7 @@
     ///
     /// Fails if a required setting is missing, the placement policy does not exist, or a
     /// listener cannot be bound.
-    pub async fn entry(settings: Settings, world: World) -> eyre::Result<Self> {
+    pub async fn entry(settings: Settings, world: Environment) -> eyre::Result<Self> {
         let caller = require(settings.listen.caller, "listen.caller")?;
         let ready = require(settings.listen.ready, "listen.ready")?;
         let mirror = Mirror::new(&prefixes(&*world.dialect));
@@ -139,7 +139,7 @@
         let quorum = Quorum::new(mirror.clone(), &settings.data_centre, own_address);
         let decisions = settings.decisions.clone();
         let enabled = Enabled::without(&decisions.off);
-        let in_force = settings.in_force();
+        let in_force = settings.propagation_limit();
         let policy = placement::policies(enabled).remove(decisions.placement.as_str());
         let policy = policy.ok_or_else(|| {
             eyre!(
@@ -155,16 +155,16 @@
             config: ArcSwapOption::empty(),
             fleet: Fleet::new(settings.location(), own_address, policy, enabled),
             quorum: quorum.clone(),
-            register: Register::new(rand::random(), settings.allowance_window(), Instant::now()),
+            limiter: Limiter::new(rand::random(), settings.allowance_window(), Instant::now()),
             demand: Demand::default(),
             throttle: Throttle::default(),
-            enabled,
+            mechanisms: enabled,
             drain: CancellationToken::new(),
-            configured: Mutex::default(),
-            in_force,
-            confirmation: settings.revocation().map(entry::confirmation),
-            applied: Mutex::new(0),
-            active: AtomicUsize::new(0),
+            config_revision: Mutex::default(),
+            propagation_limit: in_force,
+            max_key_age: settings.revocation().map(entry::max_key_age),
+            mirror_cursor: Mutex::new(0),
+            active_requests: AtomicUsize::new(0),
         });
         let stop = CancellationToken::new();
         let mut process = Self::new(settings, Some(entry.clone()), stop.clone());
@@ -173,7 +173,7 @@
         let follower = news::EntryFollower {
             mirror,
             peers: quorum,
-            in_force,
+            propagation_limit: in_force,
         };
         follower.start(tasks, &world.kv, sources, Instant::now(), &stop);
         tasks.spawn(refresh(entry.clone(), stop.clone()));
@@ -194,7 +194,7 @@
         };
         let caller_server = bind(caller, config.clone(), "listen.caller").await?;
         process.addresses.caller = Some(caller_server.address()?);
-        tasks.spawn(caller_server.serve(Arc::new(Door(entry.clone())), stop.clone()));
+        tasks.spawn(caller_server.serve(Arc::new(CallerHandler(entry.clone())), stop.clone()));
         let ready_server = bind(ready, config, "listen.ready").await?;
         process.addresses.ready = Some(ready_server.address()?);
         tasks.spawn(ready_server.serve(Arc::new(Readiness(entry)), stop));
@@ -208,7 +208,7 @@
     ///
     /// Fails if a required setting is missing, the data folder cannot be used, or a listener
     /// cannot be bound.
-    pub async fn keeper(settings: Settings, world: World) -> eyre::Result<Self> {
+    pub async fn keeper(settings: Settings, world: Environment) -> eyre::Result<Self> {
         let peer = require(settings.listen.peer, "listen.peer")?;
         let folder = require(settings.data_folder.clone(), "data_folder")?;
         let stop = CancellationToken::new();
@@ -235,7 +235,7 @@
             join_delay: join_delay(&settings),
         };
         let seeds = settings.seeds.clone();
-        let in_force = settings.in_force();
+        let in_force = settings.propagation_limit();
         let mut process = Self::new(settings, None, stop.clone());
         process.addresses.peer = Some(peer);
         let (replica_sender, replica) = watch::channel(None);
@@ -320,7 +320,7 @@
     }
 
     /// Waits until the process stops itself after a failure.
-    pub async fn failed(&self) {
+    pub async fn wait_for_failure(&self) {
         self.stop.cancelled().await;
     }
 
@@ -336,10 +336,10 @@
             tokio::time::sleep_until(deadline.min(started_at + BALANCER_NOTICE_DELAY)).await;
             // Stops accepting connections and closes idle ones.
             self.stop.cancel();
-            while entry.active.load(Ordering::Relaxed) > 0 && Instant::now() < deadline {
+            while entry.active_requests.load(Ordering::Relaxed) > 0 && Instant::now() < deadline {
                 tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
             }
-            let left = entry.active.load(Ordering::Relaxed);
+            let left = entry.active_requests.load(Ordering::Relaxed);
             tracing::info!(
                 event = "stopped",
                 ms = started_at.elapsed().as_millis(),
@@ -384,9 +384,9 @@
             () = stop.cancelled() => return,
         }
         let now = Instant::now();
-        entry.gauge(now);
+        entry.record_gauges(now);
         entry
             .fleet
-            .expire(entry.mirror.service_available_since(), now);
+            .remove_expired(entry.mirror.service_available_since(), now);
     }
 }
--- a/crates/gradedyke-gateway/src/settings.rs
+++ b/crates/gradedyke-gateway/src/settings.rs
@@ -227,7 +227,7 @@
     /// let settings = Settings::read("a.jsonc", text).unwrap();
     /// assert_eq!(settings.in_force(), Duration::from_secs(4));
     /// ```
-    pub fn in_force(&self) -> Duration {
+    pub fn propagation_limit(&self) -> Duration {
         let configured_ms = self.in_force_ms.min(self.drain_ms);
         let revocation_ms = self.revocation_ms.map_or(configured_ms, |ms| ms / 2);
         let required_ms = configured_ms.min(revocation_ms);
--- a/crates/gradedyke-gateway/src/throttle.rs
+++ b/crates/gradedyke-gateway/src/throttle.rs
@@ -15,7 +15,7 @@
 use gradedyke_turns::record::Id;
 use tokio::time::Instant;
 
-use crate::entry::refusal::SOON;
+use crate::entry::refusal::MIN_RETRY_AFTER;
 
 /// Half-life of the counts of admitted and refused turns: two retry intervals of a refused
 /// caller, so that the throttle reacts to a burst within its first second.
@@ -67,7 +67,7 @@
 /// let program = Id::parse("p").unwrap();
 /// assert!((0.0..1.0).contains(&throttle::draw(&program)));
 /// ```
-pub fn draw(program: &Id) -> f64 {
+pub fn hash_fraction(program: &Id) -> f64 {
     use std::hash::{DefaultHasher, Hash, Hasher};
     let mut hasher = DefaultHasher::new();
     program.hash(&mut hasher);
@@ -86,21 +86,21 @@
     /// Records that keepers admitted a turn, and how long the exchange took. A slow
     /// exchange counts as a refusal: it is an earlier sign of overload, while refusals
     /// already fail running programs.
-    pub fn let_in(&self, took: Duration, now: Instant) {
+    pub fn record_admitted(&self, took: Duration, now: Instant) {
         if took > SLOW_EXCHANGE {
-            return self.refused(now);
+            return self.record_refused(now);
         }
         self.lock().admitted.increment(COUNT_HALF_LIFE, now);
     }
 
     /// Records that keepers were reachable but refused a turn because of overload.
-    pub fn refused(&self, now: Instant) {
+    pub fn record_refused(&self, now: Instant) {
         self.lock().refused.increment(COUNT_HALF_LIFE, now);
     }
 
     /// Records the pressure that keepers reported at `at`. Keepers see the turns of all
     /// entries; one entry alone may see too few for a useful ratio.
-    pub fn told(&self, pressure: Pressure, at: Instant) {
+    pub fn record_pressure(&self, pressure: Pressure, at: Instant) {
         self.lock().reported = Some((pressure, at));
     }
 
@@ -139,7 +139,7 @@
     /// let wait = throttle.wait(tokio::time::Instant::now());
     /// assert_eq!(wait, Duration::from_millis(250));
     /// ```
-    pub fn wait(&self, now: Instant) -> Duration {
-        SOON.div_f64(self.admission_ratio(now))
+    pub fn retry_after(&self, now: Instant) -> Duration {
+        MIN_RETRY_AFTER.div_f64(self.admission_ratio(now))
     }
 }
--- a/crates/gradedyke-gateway/tests/allowance.rs
+++ b/crates/gradedyke-gateway/tests/allowance.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use gradedyke_gateway::account::{Account, Allowance};
-use gradedyke_gateway::allowance::{Counted, Mark, Register, Verdict};
+use gradedyke_gateway::allowance::{Charge, Decision, Limiter, Snapshot};
 use gradedyke_turns::record::Id;
 use gradedyke_turns::usage::{self, Aggregator, Report, Total};
 use rand::rngs::StdRng;
@@ -39,9 +39,9 @@
     arrival_ms: u64,
     entry: usize,
     program: usize,
-    counted: Counted,
+    counted: Charge,
     report: Report,
-    mark: Mark,
+    mark: Snapshot,
 }
 
 struct Program {
@@ -67,7 +67,7 @@
     rng: StdRng,
     start: Instant,
     accounts: Vec<Account>,
-    registers: Vec<Register>,
+    registers: Vec<Limiter>,
     boards: Vec<Aggregator>,
     pending: VecDeque<PendingReport>,
     programs: Vec<Program>,
@@ -82,12 +82,12 @@
 fn account(number: usize, per_second: f64) -> Account {
     Account {
         name: Id::parse(&format!("account{number}")).unwrap(),
-        rank: None,
+        priority: None,
         allowance: Some(Allowance {
             per_second,
             burst: 0.0,
         }),
-        regions: None,
+        allowed_regions: None,
     }
 }
 
@@ -109,7 +109,7 @@
             rng: StdRng::seed_from_u64(seed),
             start,
             accounts: accounts.map(|n| account(n, load.per_second)).collect(),
-            registers: entries.map(|n| Register::new(n, WINDOW, start)).collect(),
+            registers: entries.map(|n| Limiter::new(n, WINDOW, start)).collect(),
             boards: (0..5).map(|_| Aggregator::default()).collect(),
             pending: VecDeque::new(),
             programs: Vec::new(),
@@ -172,14 +172,14 @@
         let (entry, now) = (program.entry, self.at(ms));
         let register = &self.registers[entry];
         let account = &self.accounts[program.account];
-        let counted = register.count(account, planned, now).unwrap();
-        match register.verdict(&counted, now) {
-            Verdict::Beyond => {
-                register.undo(&counted);
+        let counted = register.charge(account, planned, now).unwrap();
+        match register.check(&counted, now) {
+            Decision::Exceeded => {
+                register.refund(&counted);
                 self.refuse(index);
             }
-            Verdict::Within if !turn => self.admit(index, ms),
-            Verdict::Within | Verdict::Unknown => {
+            Decision::Within if !turn => self.admit(index, ms),
+            Decision::Within | Decision::Unknown => {
                 let (report, mark) = register.report(&counted, now);
                 self.calls_asked += u64::from(!turn);
                 let jitter_ms = self.rng.random_range(0..4);
@@ -214,11 +214,11 @@
                 sum = sum.max(board.total(pending.counted.account, now));
             }
             let register = &self.registers[pending.entry];
-            register.learn(pending.mark, sum, now);
-            if pending.counted.within(sum) {
+            register.record_sum(pending.mark, sum, now);
+            if pending.counted.is_within(sum) {
                 self.admit(pending.program, ms);
             } else {
-                register.undo(&pending.counted);
+                register.refund(&pending.counted);
                 self.refuse(pending.program);
             }
         }
@@ -368,7 +368,7 @@
     simulation.run(&load, 2_750, 3_000);
     let now = simulation.at(3_300);
     let entries = 0..load.entries as u64;
-    let entries = entries.map(|n| Register::new(1_000 + n, WINDOW, now));
+    let entries = entries.map(|n| Limiter::new(1_000 + n, WINDOW, now));
     simulation.registers = entries.collect();
     simulation.boards = (0..5).map(|_| Aggregator::default()).collect();
     if restored {
@@ -397,11 +397,11 @@
 #[tokio::test]
 async fn a_keeper_that_lost_its_disk_is_outvoted_and_relearns_usage() {
     let now = Instant::now();
-    let register = Register::new(1, WINDOW, now);
+    let register = Limiter::new(1, WINDOW, now);
     let limited = account(0, 10.0);
     let mut counted = None;
     for _ in 0..30 {
-        counted = register.count(&limited, 0, now);
+        counted = register.charge(&limited, 0, now);
     }
     let counted = counted.unwrap();
     let (report, _) = register.report(&counted, now);
@@ -411,7 +411,7 @@
     let sum = intact.total(asked, later).max(empty.total(asked, later));
     assert_eq!(sum.requests, 30);
     // The report for another account's turn includes the usage again.
-    let other = register.count(&account(1, 10.0), 0, later).unwrap();
+    let other = register.charge(&account(1, 10.0), 0, later).unwrap();
     empty.record_report(register.report(&other, later).0, later);
     assert_eq!(empty.total(asked, later).requests, 30);
 }
@@ -436,19 +436,19 @@
 #[tokio::test]
 async fn a_program_that_needs_more_than_the_limit_starts_if_no_other_has() {
     let now = Instant::now();
-    let register = Register::new(1, WINDOW, now);
+    let register = Limiter::new(1, WINDOW, now);
     // The limit is 10 requests per window, and a program needs 16.
     let limited = account(0, 2.0);
     let mut board = Aggregator::default();
     let mut try_start = |at: Instant| {
-        let counted = register.count(&limited, REQUESTS_PER_PROGRAM, at).unwrap();
+        let counted = register.charge(&limited, REQUESTS_PER_PROGRAM, at).unwrap();
         let (report, mark) = register.report(&counted, at);
         board.record_report(report, at);
         let sum = board.total(counted.account, at);
-        register.learn(mark, sum, at);
-        let within = counted.within(sum);
+        register.record_sum(mark, sum, at);
+        let within = counted.is_within(sum);
         if !within {
-            register.undo(&counted);
+            register.refund(&counted);
         }
         within
     };
--- a/crates/gradedyke-gateway/tests/news/main.rs
+++ b/crates/gradedyke-gateway/tests/news/main.rs
@@ -94,7 +94,7 @@
         let follower = news::EntryFollower {
             mirror,
             peers: Arc::new(peers),
-            in_force: IN_FORCE,
+            propagation_limit: IN_FORCE,
         };
         let sources = move || network.keepers();
         follower.start(&mut self.tasks, &kv, sources, Instant::now(), &stop);
--- a/crates/gradedyke-gateway/tests/overload.rs
+++ b/crates/gradedyke-gateway/tests/overload.rs
@@ -232,14 +232,14 @@
         let throttle = &self.throttles[program.entry];
         let (Ok(took_ms) | Err(took_ms)) = result;
         let later = self.instant(ms + took_ms);
-        throttle.told(pressure, later);
+        throttle.record_pressure(pressure, later);
         match result {
             Ok(_) => {
-                throttle.let_in(Duration::from_secs_f64(took_ms / 1e3), later);
+                throttle.record_admitted(Duration::from_secs_f64(took_ms / 1e3), later);
                 self.schedule(ms + took_ms + TURN_MS, Event::CompleteTurn(index));
             }
             Err(_) => {
-                throttle.refused(later);
+                throttle.record_refused(later);
                 self.retry_turn(index, ms + took_ms);
             }
         }
@@ -271,7 +271,7 @@
             return;
         }
         let wait = if self.protected {
-            self.throttles[program.entry].wait(now)
+            self.throttles[program.entry].retry_after(now)
         } else {
             Duration::from_millis(250)
         };
--- a/crates/gradedyke-gateway/tests/placement.rs
+++ b/crates/gradedyke-gateway/tests/placement.rs
@@ -10,20 +10,20 @@
         in_flight,
         slots: 16,
         is_local: true,
-        unread_tokens,
+        uncached_tokens: unread_tokens,
         is_engine: true,
         has_idle_connection: false,
         times: Times {
-            answer_ms: 280.0,
-            first_ms: 20.0,
-            gap_ms: 30.0,
+            response_ms: 280.0,
+            first_event_ms: 20.0,
+            event_gap_ms: 30.0,
             gap_per_concurrent_ms: 1.5,
             events: 8.0,
-            read_ms: 1.0 / 60.0,
+            read_ms_per_token: 1.0 / 60.0,
         },
         slowness: 1.0,
         repeatable: false,
-        risk: 0.0,
+        failure_rate: 0.0,
         hash: 0,
     }
 }
@@ -89,7 +89,7 @@
         };
         let mut engines: Vec<Candidate> = (0..100).map(candidate).collect();
         idle += u32::from(policy.choose(&engines) == Some(7));
-        engines[9].unread_tokens = 200;
+        engines[9].uncached_tokens = 200;
         held += u32::from(policy.choose(&engines) == Some(9));
     }
     // Without sampling, all 200 requests would go to the idle engine.
--- a/crates/gradedyke-gateway/tests/settings.rs
+++ b/crates/gradedyke-gateway/tests/settings.rs
@@ -60,7 +60,14 @@
             revocation.unwrap_or_default()
         );
         let settings = read_with(&extra).unwrap();
-        assert_eq!(settings.in_force().as_millis(), expected, "{extra}");
+        assert_eq!(
+            settings.propagation_limit().as_millis(),
+            expected,
+            "{extra}"
+        );
     }
-    assert_eq!(read_with("").unwrap().in_force().as_millis(), 2_000);
+    assert_eq!(
+        read_with("").unwrap().propagation_limit().as_millis(),
+        2_000
+    );
 }
--- a/crates/gradedyke-load/src/decision.rs
+++ b/crates/gradedyke-load/src/decision.rs
@@ -5,7 +5,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
 
-use gradedyke_gateway::fleet::{Fleet, Question, Server};
+use gradedyke_gateway::fleet::{Fleet, Query, Server};
 use gradedyke_gateway::mechanism::Enabled;
 use gradedyke_gateway::placement;
 use gradedyke_gateway::prefix::Part;
@@ -37,10 +37,10 @@
             data_centre: "here".to_owned(),
             slots: 16,
             started_ms: None,
-            leaving: false,
-            warm_up: std::time::Duration::ZERO,
+            is_draining: false,
+            remaining_warm_up: std::time::Duration::ZERO,
         };
-        fleet.list(server, Instant::now());
+        fleet.upsert(server, Instant::now());
     }
     Ok(fleet)
 }
@@ -65,19 +65,19 @@
                 part("rules", 500)?,
                 part(&format!("talk{}", number % 64), 800)?,
             ];
-            let question = Question {
+            let question = Query {
                 service: "engines",
-                request: &request,
-                tried: &[],
-                holder: None,
+                request_id: &request,
+                excluded: &[],
+                cached_on: None,
                 prompt_tokens: 1_300,
-                held_tokens: 0,
+                cached_tokens: 0,
                 parts: &parts,
-                engine: true,
-                room: 100_000,
+                is_engine: true,
+                cache_capacity_tokens: 100_000,
                 repeatable: false,
-                warm_up_rate: None,
-                regions: None,
+                max_warm_up_rate_per_s: None,
+                allowed_regions: None,
                 now: start,
             };
             drop(fleet.choose(&question));
--- a/crates/gradedyke-load/src/usage.rs
+++ b/crates/gradedyke-load/src/usage.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use gradedyke_gateway::account::{Account, Allowance};
-use gradedyke_gateway::allowance::Register;
+use gradedyke_gateway::allowance::Limiter;
 use gradedyke_turns::message;
 use gradedyke_turns::record::Id;
 use gradedyke_turns::usage::Aggregator;
@@ -32,9 +32,9 @@
         };
         Ok(Account {
             name,
-            rank: None,
+            priority: None,
             allowance: Some(allowance),
-            regions: None,
+            allowed_regions: None,
         })
     };
     (0..count).map(account).collect()
@@ -42,23 +42,23 @@
 
 /// An entry's request of an account: what it tells a keeper, and the sum that answers it.
 /// Returns the bytes of the report.
-fn exchange(register: &Register, board: &mut Aggregator, account: &Account, now: Instant) -> usize {
-    let Some(counted) = register.count(account, 0, now) else {
+fn exchange(register: &Limiter, board: &mut Aggregator, account: &Account, now: Instant) -> usize {
+    let Some(counted) = register.charge(account, 0, now) else {
         return 0;
     };
     let (report, mark) = register.report(&counted, now);
     let bytes = message::encode(&report).len();
     board.record_report(report, now);
     let sum = board.total(counted.account, now);
-    register.learn(mark, sum, now);
+    register.record_sum(mark, sum, now);
     bytes
 }
 
 fn measure_one((entries, count, rate): (u64, usize, u64), rounds: u32) -> eyre::Result<Value> {
     let accounts = accounts(count)?;
     let start = Instant::now();
-    let registers = (0..entries).map(|n| Register::new(n, WINDOW, start));
-    let registers: Vec<Register> = registers.collect();
+    let registers = (0..entries).map(|n| Limiter::new(n, WINDOW, start));
+    let registers: Vec<Limiter> = registers.collect();
     let mut board = Aggregator::default();
     let mut least = f64::INFINITY;
     let mut bytes = 0;
--- a/crates/gradedyke-model/src/engine.rs
+++ b/crates/gradedyke-model/src/engine.rs
@@ -89,9 +89,9 @@
                 return;
             };
             // The last token of a prompt is always read.
-            let unread = self.cache.unread(&request.parts).max(1);
+            let unread = self.cache.uncached_tokens(&request.parts).max(1);
             let (answer, memory) = (u64::from(request.answer), self.figures.memory_tokens);
-            self.cache.keep(&request.parts, answer, memory);
+            self.cache.record_prompt(&request.parts, answer, memory);
             self.read_tokens += unread;
             self.running.push(Run {
                 program: request.program,
--- a/crates/gradedyke-model/src/world.rs
+++ b/crates/gradedyke-model/src/world.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use gradedyke_gateway::estimate::Stream;
-use gradedyke_gateway::fleet::{Choice, Fleet, Question, Server};
+use gradedyke_gateway::estimate::Timing;
+use gradedyke_gateway::fleet::{Choice, Fleet, Query, Server};
 use gradedyke_gateway::mechanism::{Enabled, Mechanism};
 use gradedyke_gateway::placement;
 use gradedyke_turns::load::{Aggregator, ServerLoad};
@@ -173,10 +173,10 @@
             data_centre: "here".to_owned(),
             slots: setup.figures.slots,
             started_ms: None,
-            leaving: false,
-            warm_up: Duration::ZERO,
+            is_draining: false,
+            remaining_warm_up: Duration::ZERO,
         };
-        fleet.list(server, start);
+        fleet.upsert(server, start);
     }
     Entry { fleet, number }
 }
@@ -306,7 +306,7 @@
         self.asked[program] = self.now_ms;
         let now = self.now();
         let entry = &self.entries[self.programs[program].entry];
-        let mut report = entry.fleet.report(now);
+        let mut report = entry.fleet.load_report(now);
         report.entry = entry.number;
         self.board.record_report(report, now);
         let load = self.board.total_excluding(entry.number, now);
@@ -318,22 +318,22 @@
         let answer = self.programs[program].ask();
         let state = &self.programs[program];
         let fleet = self.entries[state.entry].fleet.clone();
-        fleet.learn(load, now);
+        fleet.set_peer_load(load, now);
         let request = Id::parse(&format!("{program}-{}", state.turns.len()));
         let request = request.unwrap_or_else(|| unreachable!("it is a name"));
-        let chosen = fleet.choose(&Question {
+        let chosen = fleet.choose(&Query {
             service: "engines",
-            request: &request,
-            tried: &[],
-            holder: None,
+            request_id: &request,
+            excluded: &[],
+            cached_on: None,
             prompt_tokens: state.prompt_tokens(),
-            held_tokens: 0,
+            cached_tokens: 0,
             parts: &state.parts,
-            engine: true,
-            room: self.setup.figures.memory_tokens,
+            is_engine: true,
+            cache_capacity_tokens: self.setup.figures.memory_tokens,
             repeatable: false,
-            warm_up_rate: None,
-            regions: None,
+            max_warm_up_rate_per_s: None,
+            allowed_regions: None,
             now,
         });
         let choice = chosen.unwrap_or_else(|| unreachable!("all engines are listed"));
@@ -390,22 +390,22 @@
         let Some(turn) = self.turns[program].take() else {
             return;
         };
-        let (choice, view) = (&turn.choice, &turn.choice.view);
-        let since = (choice.since - self.start).as_secs_f64() * 1e3;
-        let stream = Stream {
-            beside: view.in_flight,
+        let (choice, view) = (&turn.choice, &turn.choice.candidate);
+        let since = (choice.chosen_at - self.start).as_secs_f64() * 1e3;
+        let stream = Timing {
+            concurrent: view.in_flight,
             slots: view.slots,
-            unread: view.unread_tokens,
-            first_ms: turn.first_ms - since,
-            rest_ms: end_ms - turn.first_ms,
+            uncached_tokens: view.uncached_tokens,
+            first_event_ms: turn.first_ms - since,
+            remaining_ms: end_ms - turn.first_ms,
             events: turn.answer / EVENT_TOKENS,
         };
         let state = &mut self.programs[program];
         let fleet = self.entries[state.entry].fleet.clone();
-        let gap = stream.rest_ms / f64::from(stream.events.max(1));
+        let gap = stream.remaining_ms / f64::from(stream.events.max(1));
         let gap = Duration::from_secs_f64(gap.max(0.0) / 1e3);
-        fleet.paced(choice.key, view.in_flight, gap, self.start + ms(end_ms));
-        fleet.streamed(choice.key, &state.parts, u64::from(turn.answer), &stream);
+        fleet.record_event_gap(choice.key, view.in_flight, gap, self.start + ms(end_ms));
+        fleet.record_stream(choice.key, &state.parts, u64::from(turn.answer), &stream);
         state.answered(turn.answer);
         let second = |ms: f64| (ms / 1e3) as usize;
         if let Some(ended) = self.outcome.ended.get_mut(second(end_ms)) {
