--- a/crates/gradedyke-cli/src/serve.rs
+++ b/crates/gradedyke-cli/src/serve.rs
@@ -6,8 +6,8 @@
 
 use gradedyke_gateway::process::{Environment, Process};
 use gradedyke_gateway::settings::Settings;
-use gradedyke_site::store::Store;
-use gradedyke_site::{SETTINGS_VARIABLE, Wire};
+use gradedyke_site::store::KeyValueClient;
+use gradedyke_site::{Adapter, SETTINGS_PATH_VARIABLE};
 use tokio::signal::unix::{SignalKind, signal};
 
 use crate::{Failure, logs, no_more};
@@ -21,10 +21,10 @@
     let role = args.subcommand()?.unwrap_or_default();
     let file: Option<PathBuf> = args.opt_value_from_str("--settings")?;
     no_more(args)?;
-    let named = || std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from);
+    let named = || std::env::var_os(SETTINGS_PATH_VARIABLE).map(PathBuf::from);
     let file = file.or_else(named).ok_or_else(|| {
         Failure::Usage(format!(
-            "no settings file; give --settings or set {SETTINGS_VARIABLE}"
+            "no settings file; give --settings or set {SETTINGS_PATH_VARIABLE}"
         ))
     })?;
     let settings = read(&file).map_err(Failure::Usage)?;
@@ -56,8 +56,8 @@
     let mut int = signal(SignalKind::interrupt()).map_err(io)?;
     let mut hup = signal(SignalKind::hangup()).map_err(io)?;
     let world = Environment {
-        dialect: Arc::new(Wire),
-        kv: Arc::new(Store::new(settings.platform)),
+        dialect: Arc::new(Adapter),
+        kv: Arc::new(KeyValueClient::new(settings.platform)),
     };
     let process = match role {
         "entry" => Process::entry(settings, world).await?,
--- a/crates/gradedyke-gateway/src/entry/attempt.rs
+++ b/crates/gradedyke-gateway/src/entry/attempt.rs
@@ -172,7 +172,7 @@
         time_left: left,
         priority: engine_priority(entry, call),
         account: call.account.as_deref(),
-        last_event_id: last_event_id,
+        last_event_id,
     };
     let mut request = Request::new(Full::new(body));
     *request.method_mut() = call.method.clone();
--- a/crates/gradedyke-gateway/src/lib.rs
+++ b/crates/gradedyke-gateway/src/lib.rs
@@ -26,7 +26,7 @@
 //! - [`link`]: connections to backend servers.
 //! - [`event`]: splitting of event streams.
 //! - [`entry`]: handling of requests and responses.
-//! - [`news`]: updates of a process's copy of the platform's data.
+//! - [`follow`]: updates of a process's copy of the platform's data.
 //! - [`meter`]: metrics recorder and metrics page.
 //! - [`process`]: start and shutdown of a process.
 
@@ -39,11 +39,11 @@
 pub mod estimate;
 pub mod event;
 pub mod fleet;
+pub mod follow;
 pub mod health;
 pub mod link;
 pub mod mechanism;
 pub mod meter;
-pub mod news;
 pub mod placement;
 pub mod prefix;
 pub mod process;
--- a/crates/gradedyke-gateway/src/process.rs
+++ b/crates/gradedyke-gateway/src/process.rs
@@ -31,7 +31,7 @@
 use crate::mechanism::Enabled;
 use crate::settings::Settings;
 use crate::throttle::Throttle;
-use crate::{meter, news, placement};
+use crate::{follow, meter, placement};
 
 /// External dependencies of a process.
 #[derive(Clone)]
@@ -170,7 +170,7 @@
         let mut process = Self::new(settings, Some(entry.clone()), stop.clone());
         let sources = follow_sources(process.settings.clone(), quorum.clone());
         let tasks = &mut process.tasks;
-        let follower = news::EntryFollower {
+        let follower = follow::EntryFollower {
             mirror,
             peers: quorum,
             propagation_limit: in_force,
@@ -255,7 +255,7 @@
         // Entries can read the mirror from this keeper while it still opens its disk.
         let disk = replica::load_or_create_disk_id(&folder)?;
         let reader = feed::Policy::new(Instant::now(), feed::KEEPER_START_GRACE, in_force);
-        let follower = news::KeeperFollower {
+        let follower = follow::KeeperFollower {
             own_address: peer,
             disk,
             seeds,
--- a/crates/gradedyke-gateway/tests/news/main.rs
+++ b/crates/gradedyke-gateway/tests/follow/main.rs
@@ -12,7 +12,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-use gradedyke_gateway::news;
+use gradedyke_gateway::follow;
 use gradedyke_platform::kv::KeyValue;
 use gradedyke_turns::mirror::{self, Mirror, Need};
 use network::{Loss, Network, PeerClient};
@@ -76,7 +76,7 @@
         self.keeper_cut_off = client.cut_off.clone();
         let (kv, stop) = (Arc::new(client), self.stop.clone());
         let need = || Need::High;
-        let follow = mirror::follow(mirror, kv, String::new(), need, news::KEEPER_PACE, stop);
+        let follow = mirror::follow(mirror, kv, String::new(), need, follow::KEEPER_PACE, stop);
         self.tasks.spawn(follow);
     }
 
@@ -91,7 +91,7 @@
         };
         let kv: Arc<dyn KeyValue> = Arc::new(Client::new(self.service.clone()));
         let (network, stop) = (self.network.clone(), self.stop.clone());
-        let follower = news::EntryFollower {
+        let follower = follow::EntryFollower {
             mirror,
             peers: Arc::new(peers),
             propagation_limit: IN_FORCE,
--- a/crates/gradedyke-turns/src/desk.rs
+++ b/crates/gradedyke-turns/src/desk.rs
@@ -17,7 +17,7 @@
 use crate::mirror::Mirror;
 use crate::pressure::{Meter, Pressure};
 use crate::replica::Replica;
-use crate::tally::{RequestKind, RequestStats};
+use crate::stats::{RequestKind, RequestStats};
 
 /// How long a request waits for a replica that is still opening before it is answered with
 /// [`Reply::Starting`]. Well below the timeout of the caller.
--- a/crates/gradedyke-turns/src/feed.rs
+++ b/crates/gradedyke-turns/src/feed.rs
@@ -1,9 +1,9 @@
 //! Follows another process's copy of the platform's key-value service, so that most
 //! processes never call the service themselves.
 //!
-//! `reader` decides which processes do, and when.
+//! `policy` decides which processes do, and when.
 
-mod reader;
+mod policy;
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -20,7 +20,7 @@
 use crate::mirror::{Cursor, Item, Mirror, Update};
 use crate::quorum::Quorum;
 
-pub use reader::{ENTRY_START_GRACE, KEEPER_START_GRACE, Policy, Standby};
+pub use policy::{ENTRY_START_GRACE, KEEPER_START_GRACE, Policy, Standby};
 
 /// How long a source may hold a request while it has no changes (long polling).
 const LONG_POLL_WAIT: Duration = Duration::from_millis(300);
--- a/crates/gradedyke-turns/src/index.rs
+++ b/crates/gradedyke-turns/src/index.rs
@@ -9,11 +9,11 @@
 //! an ID is hashed once for each record and ancestors are followed without hashing.
 //!
 //! - `request`: the entries for requests, programs and turns.
-//! - `answer`: rebuilds records from the index.
+//! - `lookup`: rebuilds records from the index.
 //! - `expire`: removes expired entries.
 
-mod answer;
 mod expire;
+mod lookup;
 mod request;
 
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
@@ -29,7 +29,7 @@
 use crate::record::{Id, Key, Kind, Record, Turn};
 use request::{Program, Request, TurnEntry, WriteState};
 
-pub use answer::Lookup;
+pub use lookup::Lookup;
 
 /// Added to the requested retention time: the caller measures it from the last byte
 /// it receives, the replica from when the record is applied.
@@ -128,15 +128,15 @@
     }
 
     /// Applies a record that is on disk at `location`. Caches the body of a turn only if
-    /// `cache_turn_body` is set. Returns whether the record is new.
+    /// `cache_body` is set. Returns whether the record is new.
     pub fn apply_stored(
         &mut self,
         record: &Record,
         location: Location,
-        cache_turn_body: bool,
+        cache_body: bool,
         now: Instant,
     ) -> bool {
-        let new = self.insert_record(record, location.segment, cache_turn_body, now);
+        let new = self.insert_record(record, location.segment, cache_body, now);
         if new {
             self.set_location(&record.key(), location);
         }
@@ -147,7 +147,7 @@
         &mut self,
         record: &Record,
         segment: Segment,
-        cache_turn_body: bool,
+        cache_body: bool,
         now: Instant,
     ) -> bool {
         let Key { kind, request } = record.key();
@@ -167,7 +167,7 @@
             }
             Record::Turn(turn) => {
                 self.insert_turn(key, turn, expires_at, now);
-                if cache_turn_body {
+                if cache_body {
                     self.cache_turn_body(key, turn);
                 }
             }
--- a/crates/gradedyke-turns/src/lib.rs
+++ b/crates/gradedyke-turns/src/lib.rs
@@ -17,9 +17,9 @@
 //! - [`record`]: the records; [`message`]: requests to a replica and their replies.
 //! - [`log`]: the records on disk; [`index`]: the records in memory; [`body`]: cache
 //!   of turn bodies; [`conversation`]: all turns up to a given one.
-//! - [`desk`] and [`replica`]: the server side; [`archive`] and [`recovery`]: serving
+//! - [`desk`] and [`replica`]: the server side; [`pending`] and [`recovery`]: serving
 //!   requests before all records on disk are indexed; [`sync`]: replication between
-//!   replicas; [`tally`] and [`backlog`]: statistics of received and in-flight requests;
+//!   replicas; [`stats`] and [`backlog`]: statistics of received and in-flight requests;
 //!   [`pressure`]: load feedback to callers; [`decay`]: decaying counters.
 //! - [`view`]: the set of replicas; [`membership`]: changes of the view.
 //! - [`quorum`]: the client side; [`detour`]: forwarding around broken network links;
@@ -30,7 +30,6 @@
 //!
 //! [`gradedyke_journal`]: https://docs.rs/gradedyke-journal
 
-pub mod archive;
 pub mod backlog;
 pub mod body;
 pub mod conversation;
@@ -44,13 +43,14 @@
 pub mod membership;
 pub mod message;
 pub mod mirror;
+pub mod pending;
 pub mod pressure;
 pub mod quorum;
 pub mod record;
 pub mod recovery;
 pub mod replica;
 pub mod snapshot;
+pub mod stats;
 pub mod sync;
-pub mod tally;
 pub mod usage;
 pub mod view;
--- a/crates/gradedyke-turns/src/archive.rs
+++ b/crates/gradedyke-turns/src/pending.rs
@@ -19,16 +19,16 @@
 }
 
 impl Segments {
-    /// Creates an archive from the tables of all segments, oldest first.
+    /// Creates the set from the tables of all segments, oldest first.
     ///
     /// ```
-    /// use gradedyke_turns::archive::Archive;
+    /// use gradedyke_turns::pending::Segments;
     /// use gradedyke_turns::log::Table;
     ///
-    /// let mut archive = Archive::new(vec![(1, Table::default()), (2, Table::default())]);
-    /// assert_eq!(archive.newest(), Some(2));
-    /// archive.remove(2);
-    /// assert_eq!(archive.newest(), Some(1));
+    /// let mut pending = Segments::new(vec![(1, Table::default()), (2, Table::default())]);
+    /// assert_eq!(pending.newest_segment(), Some(2));
+    /// pending.remove_segment(2);
+    /// assert_eq!(pending.newest_segment(), Some(1));
     /// ```
     pub fn new(tables: Vec<(Segment, Table)>) -> Self {
         Self {
--- a/crates/gradedyke-turns/src/quorum.rs
+++ b/crates/gradedyke-turns/src/quorum.rs
@@ -50,7 +50,7 @@
     Indeterminate,
     /// The program's token budget has no room for the reservation.
     #[error(
-        "token budget exceeded: budget {budget}, used {used}, requested {asked}; end the program"
+        "token budget exceeded: budget {budget}, used {used}, requested {requested}; end the program"
     )]
     BudgetExceeded {
         /// The budget, in tokens.
@@ -58,7 +58,7 @@
         /// Tokens used or reserved by other attempts.
         used: u64,
         /// Tokens requested.
-        asked: u32,
+        requested: u32,
     },
     /// Too few replicas answered; at least one is still recovering from its disk.
     #[error("replicas are still recovering from disk; retry soon")]
--- a/crates/gradedyke-turns/src/quorum/gathered.rs
+++ b/crates/gradedyke-turns/src/quorum/gathered.rs
@@ -175,7 +175,7 @@
         Err(Error::BudgetExceeded {
             budget,
             used,
-            asked: reserved.tokens,
+            requested: reserved.tokens,
         })
     }
 }
--- a/crates/gradedyke-turns/src/replica.rs
+++ b/crates/gradedyke-turns/src/replica.rs
@@ -10,7 +10,6 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-use crate::archive::Segments;
 use crate::body::Body;
 use crate::conversation::{Part, Transcript};
 use crate::index::{self, Index, Lookup, Position};
@@ -18,6 +17,7 @@
 use crate::log::{self, Location, Log};
 use crate::message::{Begin, Found, Keys, Reply, Request};
 use crate::mirror::Mirror;
+use crate::pending::Segments;
 use crate::pressure::Pressure;
 use crate::record::{Id, Key, Record};
 use crate::usage::{self, Total};
--- a/crates/gradedyke-turns/src/tally.rs
+++ b/crates/gradedyke-turns/src/stats.rs
@@ -103,7 +103,7 @@
     /// window if the replica was overloaded in it.
     ///
     /// ```
-    /// use gradedyke_turns::tally::{RequestKind, RequestStats};
+    /// use gradedyke_turns::stats::{RequestKind, RequestStats};
     /// use std::time::Duration;
     /// use tokio::time::Instant;
     ///
--- a/crates/gradedyke-turns/tests/quorum/main.rs
+++ b/crates/gradedyke-turns/tests/quorum/main.rs
@@ -1,10 +1,10 @@
 //! Attempts and records with real replicas over loopback, some of which fail.
 //!
-//! - `arrivals`: replicas that synchronise with each other, start up, or are overloaded.
-//! - `ways`: gateways that reach replicas through other gateways.
+//! - `replicas`: replicas that synchronise with each other, start up, or are overloaded.
+//! - `relay`: gateways that reach replicas through other gateways.
 
-mod arrivals;
-mod ways;
+mod relay;
+mod replicas;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -245,7 +245,7 @@
     let spent = Error::BudgetExceeded {
         budget: 100,
         used: 70,
-        asked: 40,
+        requested: 40,
     };
     assert_eq!(group.reserve("c", 40, 100).await, Err(spent.clone()));
     group.settle("c", 0).await;
