--- a/crates/gradedyke-cli/src/serve.rs
+++ b/crates/gradedyke-cli/src/serve.rs
@@ -55,13 +55,13 @@
     let mut term = signal(SignalKind::terminate()).map_err(io)?;
     let mut int = signal(SignalKind::interrupt()).map_err(io)?;
     let mut hup = signal(SignalKind::hangup()).map_err(io)?;
-    let world = Environment {
+    let environment = Environment {
         dialect: Arc::new(Adapter),
         kv: Arc::new(KeyValueClient::new(settings.platform)),
     };
     let process = match role {
-        "entry" => Process::entry(settings, world).await?,
-        "keeper" => Process::keeper(settings, world).await?,
+        "entry" => Process::entry(settings, environment).await?,
+        "keeper" => Process::keeper(settings, environment).await?,
         other => {
             return Err(Failure::Usage(format!(
                 "no role {other}; serve entry or keeper"
--- a/crates/gradedyke-gateway/src/account.rs
+++ b/crates/gradedyke-gateway/src/account.rs
@@ -1,7 +1,7 @@
 //! Client accounts and their API keys.
 //!
 //! Callers choose the names of their turns and programs themselves, and two accounts may
-//! choose the same name. Data is therefore stored under [`Account::scope`], so that no
+//! choose the same name. Data is therefore stored under [`Account::scoped_id`], so that no
 //! account can read data of another.
 
 use std::collections::HashMap;
@@ -20,8 +20,8 @@
     /// ```
     /// use gradedyke_gateway::account::Key;
     ///
-    /// assert_eq!(Key::of("8wuakn2f"), Key::of("8wuakn2f"));
-    /// assert_eq!(format!("{:?}", Key::of("8wuakn2f")), "Key");
+    /// assert_eq!(Key::hash("8wuakn2f"), Key::hash("8wuakn2f"));
+    /// assert_eq!(format!("{:?}", Key::hash("8wuakn2f")), "Key");
     /// ```
     pub fn hash(text: &str) -> Self {
         Self(*blake3::hash(text.as_bytes()).as_bytes())
@@ -70,7 +70,7 @@
     ///     regions: None,
     /// };
     /// let turn = Id::parse("t1").unwrap();
-    /// assert_ne!(account("a").scope(&turn), account("b").scope(&turn));
+    /// assert_ne!(account("a").scoped_id(&turn), account("b").scoped_id(&turn));
     /// ```
     pub fn scoped_id(&self, id: &Id) -> Id {
         id.scoped_to(&self.name)
--- a/crates/gradedyke-gateway/src/allowance.rs
+++ b/crates/gradedyke-gateway/src/allowance.rs
@@ -88,7 +88,7 @@
     }
 }
 
-/// Result of [`Register::verdict`].
+/// Result of [`Limiter::check`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
     /// The request is within the allowance.
@@ -122,7 +122,7 @@
 /// An account's usage, as one entry knows it.
 #[derive(Debug, Default)]
 struct AccountUsage {
-    tally: Counter,
+    counter: Counter,
     /// Everything that this entry has admitted since it started; the counts wrap around.
     admitted: Total,
     known: Option<KnownSum>,
@@ -155,11 +155,11 @@
 }
 
 /// The state at the time of a report, needed to interpret the answer in
-/// [`Register::learn`].
+/// [`Limiter::record_sum`].
 #[derive(Clone, Copy, Debug)]
 pub struct Snapshot {
     /// The request for which the report was made.
-    pub counted: Charge,
+    pub charge: Charge,
     /// [`AccountUsage::admitted`] of the request's account at the time of the report.
     admitted: Total,
 }
@@ -207,7 +207,7 @@
     /// request starts one, and 0 otherwise.
     pub fn charge(&self, account: &Account, planned: u32, now: Instant) -> Option<Charge> {
         let limit = limit(account.allowance.as_ref()?, self.window);
-        let counted = Charge {
+        let charge = Charge {
             account: usage::account_hash(&account.name),
             limit,
             amount: Total {
@@ -217,22 +217,22 @@
             bucket: self.bucket_number(now),
         };
         let mut accounts = self.lock();
-        let account_usage = accounts.entry(counted.account).or_default();
-        account_usage.tally.add(counted.bucket, counted.amount);
+        let account_usage = accounts.entry(charge.account).or_default();
+        account_usage.counter.add(charge.bucket, charge.amount);
         account_usage.admitted.requests = account_usage.admitted.requests.wrapping_add(1);
         account_usage.admitted.planned = account_usage.admitted.planned.wrapping_add(planned);
         account_usage.changed = true;
-        Some(counted)
+        Some(charge)
     }
 
     /// Removes a request that was counted but has not run.
-    pub fn refund(&self, counted: &Charge) {
+    pub fn refund(&self, charge: &Charge) {
         let mut accounts = self.lock();
-        let Some(account_usage) = accounts.get_mut(&counted.account) else {
+        let Some(account_usage) = accounts.get_mut(&charge.account) else {
             return;
         };
-        let amount = counted.amount;
-        account_usage.tally.subtract(counted.bucket, amount);
+        let amount = charge.amount;
+        account_usage.counter.subtract(charge.bucket, amount);
         account_usage.admitted.requests = account_usage
             .admitted
             .requests
@@ -243,13 +243,13 @@
     }
 
     /// Decides on a request without asking the keepers, where possible.
-    pub fn check(&self, counted: &Charge, now: Instant) -> Decision {
+    pub fn check(&self, charge: &Charge, now: Instant) -> Decision {
         let accounts = self.lock();
-        let estimate = accounts.get(&counted.account).and_then(|u| u.estimate(now));
+        let estimate = accounts.get(&charge.account).and_then(|u| u.estimate(now));
         match estimate {
-            Some(known) if known.age <= MAX_SUM_AGE => match counted.is_within(known.sum) {
+            Some(known) if known.age <= MAX_SUM_AGE => match charge.is_within(known.sum) {
                 false => Decision::Exceeded,
-                true if counted.has_headroom(&known) => Decision::Within,
+                true if charge.has_headroom(&known) => Decision::Within,
                 true => Decision::Unknown,
             },
             _ => Decision::Unknown,
@@ -260,16 +260,16 @@
     /// received within the last window and leaves enough headroom. No program can start
     /// without the keepers, so other entries admit only calls of running programs
     /// meanwhile.
-    pub fn admits_offline(&self, counted: &Charge, now: Instant) -> bool {
+    pub fn admits_offline(&self, charge: &Charge, now: Instant) -> bool {
         let accounts = self.lock();
-        let estimate = accounts.get(&counted.account).and_then(|u| u.estimate(now));
-        estimate.is_some_and(|known| known.age <= self.window && counted.has_headroom(&known))
+        let estimate = accounts.get(&charge.account).and_then(|u| u.estimate(now));
+        estimate.is_some_and(|known| known.age <= self.window && charge.has_headroom(&known))
     }
 
     /// Builds the usage report that is sent to the keepers with a request: the usage of
     /// its account, and of all accounts whose usage has changed or is due to be reported
     /// again.
-    pub fn report(&self, counted: &Charge, now: Instant) -> (Report, Snapshot) {
+    pub fn report(&self, charge: &Charge, now: Instant) -> (Report, Snapshot) {
         let bucket = self.bucket_number(now);
         let mut accounts = self.lock();
         let mut rows = Vec::new();
@@ -277,41 +277,41 @@
             let overdue = account_usage
                 .reported_at
                 .is_none_or(|t| now.saturating_duration_since(t) >= REPORT_INTERVAL);
-            if !account_usage.changed && !overdue && *account != counted.account {
+            if !account_usage.changed && !overdue && *account != charge.account {
                 continue;
             }
-            let parts = account_usage.tally.window_buckets(bucket);
-            if parts.is_empty() && !account_usage.changed {
+            let buckets = account_usage.counter.window_buckets(bucket);
+            if buckets.is_empty() && !account_usage.changed {
                 continue;
             }
             (account_usage.changed, account_usage.reported_at) = (false, Some(now));
             rows.push(Row {
                 account: *account,
-                parts,
+                buckets,
             });
         }
-        let admitted = accounts.get(&counted.account).map(|u| u.admitted);
-        let mark = Snapshot {
-            counted: *counted,
+        let admitted = accounts.get(&charge.account).map(|u| u.admitted);
+        let snapshot = Snapshot {
+            charge: *charge,
             admitted: admitted.unwrap_or_default(),
         };
         let report = Report {
             entry: self.entry,
             part_ms: u32::try_from(self.bucket_len().as_millis()).unwrap_or(u32::MAX),
-            asked: counted.account,
+            asked: charge.account,
             rows,
         };
-        (report, mark)
+        (report, snapshot)
     }
 
     /// Records the sum that the keepers answered to a report.
-    pub fn record_sum(&self, mark: Snapshot, sum: Total, now: Instant) {
+    pub fn record_sum(&self, snapshot: Snapshot, sum: Total, now: Instant) {
         let mut accounts = self.lock();
-        let account_usage = accounts.entry(mark.counted.account).or_default();
+        let account_usage = accounts.entry(snapshot.charge.account).or_default();
         account_usage.known = Some(KnownSum {
             received_at: now,
             sum,
-            admitted: mark.admitted,
+            admitted: snapshot.admitted,
         });
     }
 }
--- a/crates/gradedyke-gateway/src/demand.rs
+++ b/crates/gradedyke-gateway/src/demand.rs
@@ -38,8 +38,8 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Records a turn. `begins` says whether it is the first of its program.
-    pub fn record_turn(&self, route: &str, begins: bool, now: Instant) {
+    /// Records a turn. `starts_program` says whether it is the first of its program.
+    pub fn record_turn(&self, route: &str, starts_program: bool, now: Instant) {
         let mut counts = self.lock();
         counts.turns.increment(HALF_LIFE, now);
         if !counts.routes.contains_key(route) {
@@ -51,7 +51,7 @@
             return;
         };
         route.turns.increment(HALF_LIFE, now);
-        if begins {
+        if starts_program {
             route.started.increment(HALF_LIFE, now);
         }
     }
@@ -70,11 +70,11 @@
     /// let now = tokio::time::Instant::now();
     /// let demand = Demand::default();
     /// for turn in 0..40 {
-    ///     demand.turn("draft", turn % 4 == 0, now);
-    ///     demand.call(now);
+    ///     demand.record_turn("draft", turn % 4 == 0, now);
+    ///     demand.record_call(now);
     /// }
-    /// assert_eq!(demand.requests("draft", now), 8);
-    /// assert_eq!(demand.requests("other", now), 1);
+    /// assert_eq!(demand.expected_requests("draft", now), 8);
+    /// assert_eq!(demand.expected_requests("other", now), 1);
     /// ```
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     pub fn expected_requests(&self, route: &str, now: Instant) -> u32 {
--- a/crates/gradedyke-gateway/src/dialect.rs
+++ b/crates/gradedyke-gateway/src/dialect.rs
@@ -128,7 +128,7 @@
     ///
     /// # Errors
     ///
-    /// [`Invalid`] if the value is not a valid configuration.
+    /// [`Error`] if the value is not a valid configuration.
     fn config(&self, value: &[u8]) -> Result<Config, Error>;
 
     /// The prefix of the keys of backend servers.
@@ -138,7 +138,7 @@
     ///
     /// # Errors
     ///
-    /// [`Invalid`] if the item does not describe a backend server.
+    /// [`Error`] if the item does not describe a backend server.
     fn server(&self, key: &str, value: &[u8]) -> ServerResult;
 
     /// The prefix of the keys that each request the evacuation of a data centre; the rest of
--- a/crates/gradedyke-gateway/src/entry/admission.rs
+++ b/crates/gradedyke-gateway/src/entry/admission.rs
@@ -44,28 +44,28 @@
         let is_program_start = Call::is_program_start(route, meta)
             && self.mechanisms.is_enabled(Mechanism::WholePrograms);
         let planned = is_program_start.then(|| self.demand.expected_requests(&route.name, now));
-        let counted = self.limiter.charge(account, planned.unwrap_or(0), now);
-        let Some(counted) = counted else {
+        let charge = self.limiter.charge(account, planned.unwrap_or(0), now);
+        let Some(charge) = charge else {
             return Ok(None);
         };
-        if self.limiter.check(&counted, now) == Decision::Exceeded {
-            self.limiter.refund(&counted);
+        if self.limiter.check(&charge, now) == Decision::Exceeded {
+            self.limiter.refund(&charge);
             return Err(Refusal::Exceeded);
         }
-        Ok(Some(counted))
+        Ok(Some(charge))
     }
 
     /// Records the account's `total` usage, as the keepers returned it for the report with
-    /// this `mark`. Returns whether the request is within its allowance.
-    pub(super) fn record_usage(&self, call: &Call, mark: Snapshot, total: Total) -> bool {
-        self.limiter.record_sum(mark, total, Instant::now());
-        let counted = mark.counted;
-        let within = counted.is_within(total);
+    /// this `snapshot`. Returns whether the request is within its allowance.
+    pub(super) fn record_usage(&self, call: &Call, snapshot: Snapshot, total: Total) -> bool {
+        self.limiter.record_sum(snapshot, total, Instant::now());
+        let charge = snapshot.charge;
+        let within = charge.is_within(total);
         if !within {
             tracing::info!(event = "beyond_allowance", request = %call.id,
                 account = call.account.as_ref().map_or("none", |a| a.name.as_str()),
-                begins = counted.starts_program(), requests = total.requests, planned = total.planned,
-                limit = counted.limit);
+                begins = charge.starts_program(), requests = total.requests, planned = total.planned,
+                limit = charge.limit);
         }
         within
     }
@@ -82,10 +82,10 @@
         if call.meta.program.is_some() {
             self.demand.record_call(now);
         }
-        let Some(counted) = &call.counted else {
+        let Some(charge) = &call.charge else {
             return Ok(());
         };
-        match self.limiter.check(counted, now) {
+        match self.limiter.check(charge, now) {
             Decision::Within => return Ok(()),
             Decision::Exceeded => return Err(Refusal::Exceeded),
             Decision::Unknown => {}
@@ -94,14 +94,14 @@
         let mut backoff = Backoff::endless(MIN_BACKOFF, MAX_BACKOFF);
         loop {
             metrics::counter!("gradedyke_usage_asked_total").increment(1);
-            let (report, mark) = self.limiter.report(counted, Instant::now());
+            let (report, snapshot) = self.limiter.report(charge, Instant::now());
             let query_deadline = deadline.min(Instant::now() + USAGE_QUERY_TIMEOUT);
             if let Ok(Some(total)) = self.quorum.report_usage(&report, query_deadline).await {
-                let within = self.record_usage(call, mark, total);
+                let within = self.record_usage(call, snapshot, total);
                 return within.then_some(()).ok_or(Refusal::Exceeded);
             }
             let now = Instant::now();
-            if self.limiter.admits_offline(counted, now) {
+            if self.limiter.admits_offline(charge, now) {
                 tracing::info!(event = "let_through_unasked", request = %call.id);
                 return Ok(());
             }
--- a/crates/gradedyke-gateway/src/entry/attempt.rs
+++ b/crates/gradedyke-gateway/src/entry/attempt.rs
@@ -163,13 +163,13 @@
     last_event_id: Option<&[u8]>,
 ) -> Outcome {
     let now = Instant::now();
-    let left = call.time_left(now);
-    if left < MIN_SEND_TIME {
+    let time_left = call.time_left(now);
+    if time_left < MIN_SEND_TIME {
         return Outcome::NotRun(NotRunReason::NoTime);
     }
     let outbound = Outbound {
         server: &choice.id,
-        time_left: left,
+        time_left,
         priority: engine_priority(entry, call),
         account: call.account.as_deref(),
         last_event_id,
--- a/crates/gradedyke-gateway/src/entry/call.rs
+++ b/crates/gradedyke-gateway/src/entry/call.rs
@@ -31,7 +31,7 @@
     /// key.
     pub account: Option<Arc<Account>>,
     /// How the request was counted for its account; `None` if the account has no limit.
-    pub counted: Option<Charge>,
+    pub charge: Option<Charge>,
     /// Regions in which the request may run; `None` for all.
     pub regions: Option<Vec<String>>,
     /// Request properties from the caller's headers.
--- a/crates/gradedyke-gateway/src/entry/mod.rs
+++ b/crates/gradedyke-gateway/src/entry/mod.rs
@@ -221,10 +221,10 @@
             Kind::Stream => turn::serve(self, call).await,
             Kind::Idempotent | Kind::AtMostOnce => self.serve_buffered(call).await,
         };
-        if let (Err(refusal), Some(counted)) = (&result, &refused_call.counted)
+        if let (Err(refusal), Some(charge)) = (&result, &refused_call.charge)
             && refusal.is_unexecuted()
         {
-            self.limiter.refund(counted);
+            self.limiter.refund(charge);
         }
         result.map_err(|refusal| RefusedRequest {
             refusal,
@@ -329,7 +329,7 @@
             .target(affinity_id)
             .ok_or(Refusal::NoServer)?
             .to_owned();
-        let counted = self.count_request(account.as_deref(), &route, &meta, arrived)?;
+        let charge = self.count_request(account.as_deref(), &route, &meta, arrived)?;
         let regions = Call::allowed_regions(&route, account.as_deref());
         Ok(Call {
             id,
@@ -338,7 +338,7 @@
             regions,
             service,
             account,
-            counted,
+            charge,
             meta,
             method: head.method,
             uri: head.uri,
--- a/crates/gradedyke-gateway/src/entry/relay.rs
+++ b/crates/gradedyke-gateway/src/entry/relay.rs
@@ -207,10 +207,10 @@
     /// it passes. If that is not possible, the deadline is that of the call.
     fn next_event_deadline(&self) -> (Instant, bool) {
         let now = Instant::now();
-        let view = &self.choice.candidate;
+        let candidate = &self.choice.candidate;
         let expected = match self.event_times {
-            Some(_) => view.times.event_gap_ms(view.concurrent()),
-            None => view.first_event_ms(),
+            Some(_) => candidate.times.event_gap_ms(candidate.concurrent()),
+            None => candidate.first_event_ms(),
         };
         let stalled_at = now + attempt::event_timeout(&self.call, expected);
         let switch_server = stalled_at < self.call.deadline && self.upstream.can_resume(&self.call);
@@ -294,11 +294,11 @@
         let (Some(first), Some(rest)) = (self.time_to_first_event(), self.streaming_time()) else {
             return;
         };
-        let view = &self.choice.candidate;
+        let candidate = &self.choice.candidate;
         let stream = Timing {
-            concurrent: view.in_flight,
-            slots: view.slots,
-            uncached_tokens: view.uncached_tokens,
+            concurrent: candidate.in_flight,
+            slots: candidate.slots,
+            uncached_tokens: candidate.uncached_tokens,
             first_event_ms: first.as_secs_f64() * 1e3,
             remaining_ms: rest.as_secs_f64() * 1e3,
             events: self.event_count.saturating_sub(1),
@@ -314,9 +314,9 @@
         self.event_times = Some((first, now));
         self.event_count += 1;
         if self.event_count == PACE_SAMPLE_EVENTS {
-            let (key, beside) = (self.choice.key, self.choice.candidate.in_flight);
+            let (key, concurrent) = (self.choice.key, self.choice.candidate.in_flight);
             let gap = (now - first) / (PACE_SAMPLE_EVENTS - 1);
-            self.entry.fleet.record_event_gap(key, beside, gap, now);
+            self.entry.fleet.record_event_gap(key, concurrent, gap, now);
         }
         if let Some(data) = self.entry.dialect.event_data(event) {
             self.output.extend_from_slice(data);
@@ -354,16 +354,16 @@
         });
         let started = Instant::now();
         let deadline = self.call.deadline.min(started + STORE_TIMEOUT);
-        let register = &self.entry.limiter;
-        let usage_report = self.call.counted.map(|c| register.report(&c, started));
-        let (usage, mark) = usage_report.unzip();
+        let limiter = &self.entry.limiter;
+        let usage_report = self.call.charge.map(|c| limiter.report(&c, started));
+        let (usage, snapshot) = usage_report.unzip();
         let result = self
             .entry
             .quorum
             .store(&record, usage.as_ref(), deadline)
             .await;
-        if let (Some(mark), Ok(Some(total))) = (mark, &result) {
-            register.record_sum(mark, *total, Instant::now());
+        if let (Some(snapshot), Ok(Some(total))) = (snapshot, &result) {
+            limiter.record_sum(snapshot, *total, Instant::now());
         }
         metrics::histogram!("gradedyke_keep_seconds").record(started.elapsed().as_secs_f64());
         if let Err(error) = &result {
--- a/crates/gradedyke-gateway/src/entry/turn.rs
+++ b/crates/gradedyke-gateway/src/entry/turn.rs
@@ -38,12 +38,12 @@
 ///
 /// The [`Refusal`] to answer with. Nothing has been sent to the caller then.
 pub async fn serve(entry: &Arc<Entry>, call: Arc<Call>) -> Result<Response<Body>, Refusal> {
-    let (chain, reservation) = begin_turn(entry, &call).await?;
-    let body = match &chain {
-        Some(chain) => concat(&chain.body, &call.body),
+    let (transcript, reservation) = begin_turn(entry, &call).await?;
+    let body = match &transcript {
+        Some(transcript) => concat(&transcript.body, &call.body),
         None => call.body.clone(),
     };
-    let upstream = Upstream::new(chain, body);
+    let upstream = Upstream::new(transcript, body);
     let response = match upstream.open(entry, &call, None).await {
         Ok(response) => response,
         Err(refusal) => {
@@ -71,14 +71,14 @@
     if !is_admitted(entry, call, started) {
         return Err(Refusal::Overload);
     }
-    let reserve = budget_request(call);
-    let reservation = Reservation::new(reserve.as_ref().map(|(r, _)| r.clone()));
+    let budget_request = budget_request(call);
+    let reservation = Reservation::new(budget_request.as_ref().map(|(r, _)| r.clone()));
     let parent = call.route.retention.and(call.meta.parent.as_ref());
     let parent = parent.map(|p| call.scope_id(p));
-    let usage_report = call.counted.map(|c| entry.limiter.report(&c, started));
-    let (usage, mark) = usage_report.unzip();
-    let request = BeginParams {
-        reservation: reserve,
+    let usage_report = call.charge.map(|c| entry.limiter.report(&c, started));
+    let (usage, snapshot) = usage_report.unzip();
+    let params = BeginParams {
+        reservation: budget_request,
         parent,
         is_first_turn: Call::is_program_start(&call.route, &call.meta),
         load: entry.fleet.load_report(started),
@@ -86,7 +86,7 @@
         try_timeout: BEGIN_TIMEOUT,
         deadline: call.deadline.min(started + QUORUM_RECOVERY_TIMEOUT),
     };
-    let result = entry.quorum.begin(&request).await;
+    let result = entry.quorum.begin(&params).await;
     if let Some((pressure, at)) = entry.quorum.pressure() {
         entry.throttle.record_pressure(pressure, at);
     }
@@ -99,8 +99,8 @@
             if let Some(load) = begun.load {
                 entry.fleet.set_peer_load(&load, Instant::now());
             }
-            if let (Some(mark), Some(total)) = (mark, begun.usage)
-                && !entry.record_usage(call, mark, total)
+            if let (Some(snapshot), Some(total)) = (snapshot, begun.usage)
+                && !entry.record_usage(call, snapshot, total)
             {
                 reservation.settle(entry, 0);
                 return Err(Refusal::Exceeded);
@@ -109,7 +109,7 @@
             entry
                 .demand
                 .record_turn(&call.route.name, is_program_start, Instant::now());
-            Ok((begun.chain, reservation))
+            Ok((begun.transcript, reservation))
         }
         Err(error) => {
             tracing::info!(event = "turn_refused", request = %call.id,
@@ -147,11 +147,11 @@
     {
         return true;
     }
-    let draw = match &call.meta.program {
+    let fraction = match &call.meta.program {
         Some(program) if !stores_turns => throttle::hash_fraction(program),
         _ => rand::random(),
     };
-    entry.throttle.admits(draw, now)
+    entry.throttle.admits(fraction, now)
 }
 
 /// Returns the tokens to reserve for the request and the total budget of its program; `None`
--- a/crates/gradedyke-gateway/src/entry/upstream.rs
+++ b/crates/gradedyke-gateway/src/entry/upstream.rs
@@ -12,17 +12,17 @@
 
 /// The request for a stream, with the servers it was sent to.
 pub(super) struct Upstream {
-    chain: Option<Transcript>,
+    transcript: Option<Transcript>,
     body: Bytes,
     attempts: Attempts,
 }
 
 impl Upstream {
-    /// Creates the request with this complete `body`. `chain` is the stored conversation that
+    /// Creates the request with this complete `body`. `transcript` is the stored conversation that
     /// it continues.
-    pub(super) fn new(chain: Option<Transcript>, body: Bytes) -> Self {
+    pub(super) fn new(transcript: Option<Transcript>, body: Bytes) -> Self {
         Self {
-            chain,
+            transcript,
             body,
             attempts: Attempts::default(),
         }
@@ -37,7 +37,7 @@
         call: &Call,
         last_event_id: Option<&[u8]>,
     ) -> Result<ServerResponse, Refusal> {
-        let query = server_query(call, self.chain.as_ref());
+        let query = server_query(call, self.transcript.as_ref());
         loop {
             let (attempts, body) = (&self.attempts, &self.body);
             let result =
@@ -59,23 +59,23 @@
 
 /// Estimates how many prompt tokens belong to the stored conversation, by its share of the
 /// bytes. The server that ran its last turn has them in its cache.
-fn cached_tokens(call: &Call, chain: &Transcript) -> u64 {
+fn cached_tokens(call: &Call, transcript: &Transcript) -> u64 {
     let prompt = call.meta.usage.map_or(0, |u| u.prompt);
-    let (stored_bytes, new_bytes) = (chain.body.len() as u64, call.body.len() as u64);
+    let (stored_bytes, new_bytes) = (transcript.body.len() as u64, call.body.len() as u64);
     (prompt * stored_bytes)
         .checked_div(stored_bytes + new_bytes)
         .unwrap_or(0)
 }
 
 /// Builds the query by which the fleet chooses a server for the request.
-fn server_query<'a>(call: &'a Call, chain: Option<&'a Transcript>) -> Query<'a> {
+fn server_query<'a>(call: &'a Call, transcript: Option<&'a Transcript>) -> Query<'a> {
     Query {
         service: &call.service,
         request_id: &call.id,
         excluded: &[],
-        cached_on: chain.map(|c| &c.server),
+        cached_on: transcript.map(|c| &c.server),
         prompt_tokens: call.meta.usage.map_or(0, |u| u.prompt),
-        cached_tokens: chain.map_or(0, |c| cached_tokens(call, c)),
+        cached_tokens: transcript.map_or(0, |c| cached_tokens(call, c)),
         parts: &call.meta.parts,
         is_engine: true,
         cache_capacity_tokens: call.engine().map_or(0, |e| e.cache_tokens),
--- a/crates/gradedyke-gateway/src/estimate.rs
+++ b/crates/gradedyke-gateway/src/estimate.rs
@@ -295,9 +295,9 @@
 impl ServiceEstimate {
     /// Ratio of an observed time between events to the time expected with `concurrent`
     /// other requests in flight.
-    pub fn gap_ratio(&self, concurrent: u32, slots: u32, gap_ms: f64) -> f64 {
+    pub fn gap_ratio(&self, concurrent: u32, slots: u32, event_gap_ms: f64) -> f64 {
         let expected_ms = self.gap.predict(f64::from(concurrent.min(slots)));
-        gap_ms / expected_ms.max(MIN_EXPECTED_MS)
+        event_gap_ms / expected_ms.max(MIN_EXPECTED_MS)
     }
 
     /// Records a streamed response of an engine.
@@ -310,8 +310,8 @@
         self.events.add(f64::from(stream.events));
         if stream.events > 0 {
             let concurrent = f64::from(stream.concurrent.min(stream.slots));
-            let gap_ms = stream.remaining_ms / f64::from(stream.events);
-            self.gap.add(concurrent, gap_ms);
+            let event_gap_ms = stream.remaining_ms / f64::from(stream.events);
+            self.gap.add(concurrent, event_gap_ms);
         }
     }
 
@@ -336,12 +336,12 @@
             };
         }
         let events = self.events.value();
-        let first_ms = self.first_event.predict(0.0).max(0.0);
-        let gap_ms = self.gap.predict(0.0).max(0.0);
+        let first_event_ms = self.first_event.predict(0.0).max(0.0);
+        let event_gap_ms = self.gap.predict(0.0).max(0.0);
         Times {
-            response_ms: first_ms + events * gap_ms,
-            first_event_ms: first_ms,
-            event_gap_ms: gap_ms,
+            response_ms: first_event_ms + events * event_gap_ms,
+            first_event_ms,
+            event_gap_ms,
             gap_per_concurrent_ms: self.gap.slope(),
             events,
             read_ms_per_token: self.first_event.slope(),
--- a/crates/gradedyke-gateway/src/fleet/location.rs
+++ b/crates/gradedyke-gateway/src/fleet/location.rs
@@ -2,10 +2,10 @@
 
 use std::collections::HashMap;
 
-/// The data centre of this instance and the region of each data centre.
+/// The data centre of this entry and the region of each data centre.
 #[derive(Clone, Debug, Default)]
 pub struct Location {
-    /// The data centre of this instance.
+    /// The data centre of this entry.
     pub data_centre: String,
     /// Maps the name of a data centre to its region.
     pub regions: HashMap<String, String>,
--- a/crates/gradedyke-gateway/src/fleet/mod.rs
+++ b/crates/gradedyke-gateway/src/fleet/mod.rs
@@ -42,7 +42,7 @@
     pub struct Key;
 }
 
-/// How long the load reported by other instances is used.
+/// How long the load reported by other entries is used.
 const PEER_LOAD_TTL: Duration = Duration::from_millis(1_500);
 
 /// The directory record of a backend server.
@@ -121,7 +121,7 @@
     /// Whether the request may be run more than once.
     pub repeatable: bool,
     /// Limit on the request rate of a warming server, in requests per second over all
-    /// instances; `None` for no limit.
+    /// entries; `None` for no limit.
     pub max_warm_up_rate_per_s: Option<f64>,
     /// The regions in which the request may run; `None` for all.
     pub allowed_regions: Option<&'a [String]>,
@@ -156,33 +156,33 @@
     }
 }
 
-/// The backend servers as this instance sees them.
+/// The backend servers as this entry sees them.
 pub struct Fleet {
     location: Location,
     policy: Arc<dyn Policy>,
-    enabled: Enabled,
+    mechanisms: Enabled,
     /// Random ID of this process in load reports.
     report_id: u64,
-    /// Address at which this instance relays requests for others.
-    relay_address: Option<SocketAddr>,
+    /// Address at which this entry forwards requests for others.
+    forwarding_address: Option<SocketAddr>,
     registry: Mutex<Registry>,
 }
 
 impl Fleet {
-    /// Creates an empty fleet for an instance at `location`, which relays requests for
-    /// other instances at `relay_address`.
+    /// Creates an empty fleet for an entry at `location`, which forwards requests for
+    /// other entries at `forwarding_address`.
     pub fn new(
         location: impl Into<Location>,
-        relay_address: Option<SocketAddr>,
+        forwarding_address: Option<SocketAddr>,
         policy: Arc<dyn Policy>,
-        enabled: Enabled,
+        mechanisms: Enabled,
     ) -> Arc<Self> {
         Arc::new(Self {
             location: location.into(),
             policy,
-            enabled,
+            mechanisms,
             report_id: rand::random(),
-            relay_address,
+            forwarding_address,
             registry: Mutex::default(),
         })
     }
@@ -243,37 +243,35 @@
     }
 
     /// Chooses a server and counts the request as in flight there.
-    pub fn choose(self: &Arc<Self>, question: &Query<'_>) -> Option<Choice> {
+    pub fn choose(self: &Arc<Self>, query: &Query<'_>) -> Option<Choice> {
         let mut registry = self.lock();
         if registry
             .peer_load_received
-            .is_some_and(|at| question.now - at > PEER_LOAD_TTL)
+            .is_some_and(|at| query.now - at > PEER_LOAD_TTL)
         {
             registry.clear_peer_load();
         }
-        let use_backoff = self.enabled.is_enabled(Mechanism::Rests);
-        let keys = registry.eligible(question, &self.location, use_backoff);
-        if question.max_warm_up_rate_per_s.is_some() {
-            registry.count_request(question, keys.is_empty());
+        let use_backoff = self.mechanisms.is_enabled(Mechanism::Rests);
+        let keys = registry.eligible(query, &self.location, use_backoff);
+        if query.max_warm_up_rate_per_s.is_some() {
+            registry.count_request(query, keys.is_empty());
         }
-        let times = if self.enabled.is_enabled(Mechanism::LearnedTimes) {
-            registry.times(question.service, question.is_engine)
+        let times = if self.mechanisms.is_enabled(Mechanism::LearnedTimes) {
+            registry.times(query.service, query.is_engine)
         } else {
-            estimate::ServiceEstimate::default().times(question.is_engine)
+            estimate::ServiceEstimate::default().times(query.is_engine)
         };
         let candidates: Vec<Candidate> = keys
             .iter()
-            .map(|key| self.candidate(&registry.servers[*key], question, times))
+            .map(|key| self.candidate(&registry.servers[*key], query, times))
             .collect();
         let index = self.policy.choose(&candidates)?;
-        let (key, view) = (keys[index], candidates[index]);
+        let (key, candidate) = (keys[index], candidates[index]);
         let state = registry.servers.get_mut(key)?;
         state.in_flight += 1;
-        let capacity = state.own_share(question.now) * question.cache_capacity_tokens as f64;
-        if self.enabled.is_enabled(Mechanism::Prefixes) {
-            state
-                .cache
-                .record_prompt(question.parts, 0, capacity as u64);
+        let capacity = state.own_share(query.now) * query.cache_capacity_tokens as f64;
+        if self.mechanisms.is_enabled(Mechanism::Prefixes) {
+            state.cache.record_prompt(query.parts, 0, capacity as u64);
         }
         let choice = Choice {
             fleet: self.clone(),
@@ -282,8 +280,8 @@
             incarnation: state.incarnation.clone(),
             process_ended: state.process_ended.clone(),
             pool: state.pool.clone(),
-            chosen_at: question.now,
-            candidate: view,
+            chosen_at: query.now,
+            candidate,
         };
         registry.mark_used(key);
         Some(choice)
@@ -302,49 +300,47 @@
         Duration::from_secs_f64(min_wait_ms.max(0.0) / 1e3)
     }
 
-    /// Returns this instance's requests in flight and recent failures, for other instances.
+    /// Returns this entry's requests in flight and recent failures, for other entries.
     pub fn load_report(&self, now: Instant) -> Report {
         Report {
             entry: self.report_id,
-            address: self.relay_address,
+            address: self.forwarding_address,
             busy: self.lock().report(now),
         }
     }
 
-    /// Replaces the load reported by other instances.
+    /// Replaces the load reported by other entries.
     pub fn set_peer_load(&self, load: &[ServerLoad], now: Instant) {
-        if self.enabled.is_enabled(Mechanism::SharedLoad) {
+        if self.mechanisms.is_enabled(Mechanism::SharedLoad) {
             self.lock().set_peer_load(load, now);
         }
     }
 
-    fn candidate(&self, state: &ServerState, question: &Query<'_>, times: Times) -> Candidate {
-        let is_holder = question.cached_on == Some(&state.incarnation);
-        let cached_tokens = if is_holder { question.cached_tokens } else { 0 };
-        let unread = question.prompt_tokens.saturating_sub(cached_tokens);
-        let unread = match question.parts {
-            [] => unread,
-            parts => unread.min(state.cache.uncached_tokens(parts)),
+    fn candidate(&self, state: &ServerState, query: &Query<'_>, times: Times) -> Candidate {
+        let is_holder = query.cached_on == Some(&state.incarnation);
+        let cached_tokens = if is_holder { query.cached_tokens } else { 0 };
+        let uncached = query.prompt_tokens.saturating_sub(cached_tokens);
+        let uncached = match query.parts {
+            [] => uncached,
+            parts => uncached.min(state.cache.uncached_tokens(parts)),
         };
         Candidate {
             in_flight: state.total_in_flight(),
             slots: state.server.slots,
             is_local: state.server.data_centre == self.location.data_centre,
-            uncached_tokens: unread,
-            is_engine: question.is_engine,
-            has_idle_connection: state
-                .pool
-                .has_idle_connection(question.repeatable, question.now),
+            uncached_tokens: uncached,
+            is_engine: query.is_engine,
+            has_idle_connection: state.pool.has_idle_connection(query.repeatable, query.now),
             times,
-            slowness: state.slowness(question.now),
-            repeatable: question.repeatable,
-            failure_rate: state.failure_rate(question.now),
-            hash: request_hash(question.request_id, &state.server.id),
+            slowness: state.slowness(query.now),
+            repeatable: query.repeatable,
+            failure_rate: state.failure_rate(query.now),
+            hash: request_hash(query.request_id, &state.server.id),
         }
     }
 
     /// Records that a server responded, `time` after the request was sent. `time` is
-    /// `None` for an engine, whose times are recorded by [`Fleet::streamed`].
+    /// `None` for an engine, whose times are recorded by [`Fleet::record_stream`].
     pub fn record_success(&self, key: Key, time: Option<Duration>, now: Instant) {
         let mut registry = self.lock();
         let Some(state) = registry.servers.get_mut(key) else {
@@ -368,7 +364,7 @@
         let Some(state) = registry.servers.get_mut(key) else {
             return;
         };
-        if self.enabled.is_enabled(Mechanism::Prefixes) {
+        if self.mechanisms.is_enabled(Mechanism::Prefixes) {
             state.cache.append_response(parts, tokens);
         }
         let service = state.server.service.clone();
@@ -394,17 +390,17 @@
     }
 
     /// Records a request that failed because of the server.
-    pub fn record_failure(&self, key: Key, fault: Failure, now: Instant) {
+    pub fn record_failure(&self, key: Key, failure: Failure, now: Instant) {
         let mut registry = self.lock();
         let Some(state) = registry.servers.get_mut(key) else {
             return;
         };
-        let backoff = state.health.record_failure(fault, now);
+        let backoff = state.health.record_failure(failure, now);
         if backoff.is_some() {
             state.pool.close_idle();
         }
         tracing::info!(event = "server_failed", server = %state.server.id,
-            fault = fault.name(), rest_ms = backoff.map(|b| b.as_millis()),
+            fault = failure.name(), rest_ms = backoff.map(|b| b.as_millis()),
             risk = state.failure_rate(now));
         registry.mark_reportable(key);
     }
--- a/crates/gradedyke-gateway/src/fleet/registry.rs
+++ b/crates/gradedyke-gateway/src/fleet/registry.rs
@@ -45,15 +45,15 @@
     by_load_id: HashMap<load::ServerHash, Key>,
     /// Recently used servers of each service.
     recent: HashMap<String, RecentServers>,
-    /// Servers that may have to be included in this instance's load report.
+    /// Servers that may have to be included in this entry's load report.
     reportable: HashSet<Key>,
-    /// Servers with load reported by other instances.
+    /// Servers with load reported by other entries.
     with_peer_load: Vec<Key>,
     /// Learned times of each service.
     pub(super) estimates: HashMap<String, estimate::ServiceEstimate>,
     /// IDs of unknown servers whose records could not be parsed.
     unreadable: HashSet<Id>,
-    /// When load from other instances was last received.
+    /// When load from other entries was last received.
     pub(super) peer_load_received: Option<Instant>,
     /// Recent requests to each service that has a warm-up limit; those that found no
     /// server count as failures.
@@ -71,7 +71,7 @@
         estimate.unwrap_or_default().times(engine)
     }
 
-    /// Discards the load reported by other instances.
+    /// Discards the load reported by other entries.
     pub(super) fn clear_peer_load(&mut self) {
         self.peer_load_received = None;
         for key in std::mem::take(&mut self.with_peer_load) {
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Replaces the load reported by other instances.
+    /// Replaces the load reported by other entries.
     pub(super) fn set_peer_load(&mut self, load: &[ServerLoad], now: Instant) {
         self.clear_peer_load();
         self.peer_load_received = Some(now);
@@ -95,7 +95,7 @@
         }
     }
 
-    /// The load that this instance reports to others.
+    /// The load that this entry reports to others.
     pub(super) fn report(&mut self, now: Instant) -> Vec<ServerLoad> {
         let mut report = Vec::new();
         let servers = &self.servers;
@@ -309,19 +309,16 @@
     /// backing off are returned only if there are no others.
     pub(super) fn eligible(
         &self,
-        question: &Query<'_>,
+        query: &Query<'_>,
         location: &Location,
         use_backoff: bool,
     ) -> Vec<Key> {
         let rank = |key: &Key| {
             let state = &self.servers[*key];
             let is_unlisted = state.directory_state != DirectoryState::Listed;
-            (
-                is_unlisted,
-                use_backoff && state.is_backing_off(question.now),
-            )
+            (is_unlisted, use_backoff && state.is_backing_off(query.now))
         };
-        let servers = self.limit_warming(question, location, self.preselect(question, location));
+        let servers = self.limit_warming(query, location, self.preselect(query, location));
         let best = servers.iter().map(rank).min();
         servers
             .into_iter()
@@ -330,33 +327,33 @@
     }
 
     /// Whether a server can be sent the request, regardless of its load.
-    fn can_run(&self, key: Key, question: &Query<'_>, location: &Location) -> bool {
+    fn can_run(&self, key: Key, query: &Query<'_>, location: &Location) -> bool {
         let state = &self.servers[key];
         let data_centre = &state.server.data_centre;
         !state.server.is_draining
             && !state.is_unreadable
             && !state.is_replaced
-            && !question.excluded.contains(&key)
+            && !query.excluded.contains(&key)
             && !self.evacuated.contains(data_centre)
-            && location.allows(question.allowed_regions, data_centre)
+            && location.allows(query.allowed_regions, data_centre)
     }
 
     /// The servers to compare: all that can run the request or, if the service has very
     /// many, a sample of them with the recently used ones and the holder of the
     /// conversation.
-    fn preselect(&self, question: &Query<'_>, location: &Location) -> Vec<Key> {
-        let Some(keys) = self.by_service.get(question.service) else {
+    fn preselect(&self, query: &Query<'_>, location: &Location) -> Vec<Key> {
+        let Some(keys) = self.by_service.get(query.service) else {
             return Vec::new();
         };
-        let can_run = |key: Key| self.can_run(key, question, location);
+        let can_run = |key: Key| self.can_run(key, query, location);
         if keys.len() <= sample::MAX_UNSAMPLED_SERVERS {
             return keys.iter().copied().filter(|k| can_run(*k)).collect();
         }
         let is_local = |key: Key| self.servers[key].server.data_centre == location.data_centre;
-        let mut selected = sample::sample(keys, question.request_id, can_run, is_local);
-        let recent = self.recent.get(question.service).into_iter();
+        let mut selected = sample::sample(keys, query.request_id, can_run, is_local);
+        let recent = self.recent.get(query.service).into_iter();
         let recent = recent.flat_map(RecentServers::keys);
-        let holder = question.cached_on.and_then(|h| self.by_incarnation.get(h));
+        let holder = query.cached_on.and_then(|h| self.by_incarnation.get(h));
         for key in recent.chain(holder.copied()) {
             if can_run(key) && !selected.contains(&key) {
                 selected.push(key);
@@ -367,26 +364,21 @@
 
     /// Removes warming servers from `servers`, except those whose rate limit allows the
     /// request.
-    fn limit_warming(
-        &self,
-        question: &Query<'_>,
-        location: &Location,
-        servers: Vec<Key>,
-    ) -> Vec<Key> {
-        let Some(rate) = question.max_warm_up_rate_per_s else {
+    fn limit_warming(&self, query: &Query<'_>, location: &Location, servers: Vec<Key>) -> Vec<Key> {
+        let Some(rate) = query.max_warm_up_rate_per_s else {
             return servers;
         };
-        let is_warm = |key: &Key| self.servers[*key].is_warm(question.now);
+        let is_warm = |key: &Key| self.servers[*key].is_warm(query.now);
         let (mut allowed, warming): (Vec<Key>, Vec<Key>) = servers.into_iter().partition(is_warm);
         if warming.is_empty() {
             return allowed;
         }
-        let load = self.service_load(question, location);
+        let load = self.service_load(query, location);
         let candidates = warming.iter().map(|key| {
             let state = &self.servers[*key];
             slow_start::Candidate {
                 in_flight: state.total_in_flight(),
-                hash: request_hash(question.request_id, &state.server.id),
+                hash: request_hash(query.request_id, &state.server.id),
             }
         });
         let candidates: Vec<_> = candidates.collect();
@@ -397,39 +389,39 @@
 
     /// Counts a request to a service that has a warm-up limit. `found_none` says that no
     /// server was eligible.
-    pub(super) fn count_request(&mut self, question: &Query<'_>, found_none: bool) {
+    pub(super) fn count_request(&mut self, query: &Query<'_>, found_none: bool) {
         let counts = Counts {
             failures: u32::from(found_none),
             requests: 1,
         };
-        let service = question.service;
+        let service = query.service;
         if !self.recent_requests.contains_key(service) {
             self.recent_requests
                 .insert(service.to_owned(), Window::default());
         }
         if let Some(requests) = self.recent_requests.get_mut(service) {
-            requests.add(counts, question.now);
+            requests.add(counts, query.now);
         }
     }
 
-    /// The load of a service, over all instances whose load is known.
-    fn service_load(&self, question: &Query<'_>, location: &Location) -> slow_start::ServiceLoad {
-        let times = self.times(question.service, question.is_engine);
-        let requests = self.recent_requests.get(question.service);
+    /// The load of a service, over all entries whose load is known.
+    fn service_load(&self, query: &Query<'_>, location: &Location) -> slow_start::ServiceLoad {
+        let times = self.times(query.service, query.is_engine);
+        let requests = self.recent_requests.get(query.service);
         let mut load = slow_start::ServiceLoad {
-            recent_requests: requests.map_or(Counts::default(), |r| r.sum(question.now)),
+            recent_requests: requests.map_or(Counts::default(), |r| r.sum(query.now)),
             has_peer_load: self.peer_load_received.is_some(),
             in_flight: 0,
             recently_ended: 0,
             answer_ms: times.response_ms,
             warming_servers: 0,
         };
-        let keys = self.by_service.get(question.service).into_iter().flatten();
+        let keys = self.by_service.get(query.service).into_iter().flatten();
         for key in keys {
             let state = &self.servers[*key];
             load.in_flight += state.total_in_flight();
-            load.recently_ended += state.recently_ended(question.now);
-            let is_warming = !state.is_warm(question.now) && self.can_run(*key, question, location);
+            load.recently_ended += state.recently_ended(query.now);
+            let is_warming = !state.is_warm(query.now) && self.can_run(*key, query, location);
             load.warming_servers += u32::from(is_warming);
         }
         load
--- a/crates/gradedyke-gateway/src/fleet/server_state.rs
+++ b/crates/gradedyke-gateway/src/fleet/server_state.rs
@@ -1,4 +1,4 @@
-//! The state of one backend server as this instance sees it.
+//! The state of one backend server as this entry sees it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,8 +15,8 @@
 use crate::prefix::Cache;
 use crate::window::Window;
 
-/// Number of other instances that must report a server as unreachable before it is
-/// avoided. More than one, because a single instance may be cut off itself.
+/// Number of other entries that must report a server as unreachable before it is
+/// avoided. More than one, because a single entry may be cut off itself.
 const MIN_UNREACHABLE_REPORTS: u32 = 2;
 /// Time that servers have to renew their records after the directory becomes available
 /// again: two heartbeats and the network delay.
@@ -53,9 +53,9 @@
     /// When its warm-up ends.
     pub(super) warm_up_end: Instant,
     pub(super) pool: Arc<Pool>,
-    /// Requests in flight from this instance.
+    /// Requests in flight from this entry.
     pub(super) in_flight: u32,
-    /// Load from other instances, as last reported.
+    /// Load from other entries, as last reported.
     pub(super) peer_load: ServerLoad,
     pub(super) health: Health,
     /// Recent latencies relative to those expected for the service.
@@ -99,7 +99,7 @@
         now >= self.warm_up_end
     }
 
-    /// Number of requests that ended there recently, over all instances.
+    /// Number of requests that ended there recently, over all entries.
     pub(super) fn recently_ended(&self, now: Instant) -> u32 {
         self.health.report(now).counts.requests + self.peer_load.ended
     }
@@ -146,7 +146,7 @@
         }
     }
 
-    /// The load and failures that this instance reports to others.
+    /// The load and failures that this entry reports to others.
     pub(super) fn report(&self, now: Instant) -> ServerLoad {
         let health = self.health.report(now);
         let latency = self.latency.sum(now);
@@ -161,12 +161,12 @@
         }
     }
 
-    /// Known number of requests in flight there, over all instances.
+    /// Known number of requests in flight there, over all entries.
     pub(super) fn total_in_flight(&self) -> u32 {
         self.in_flight + self.peer_load.requests
     }
 
-    /// Recent latency relative to what is expected, over all instances; 1 is normal.
+    /// Recent latency relative to what is expected, over all entries; 1 is normal.
     pub(super) fn slowness(&self, now: Instant) -> f64 {
         let peer_latency = LatencyRatioSum {
             responses: self.peer_load.paced,
@@ -175,14 +175,14 @@
         (self.latency.sum(now) + peer_latency).slowness()
     }
 
-    /// This instance's share of the server's recent requests, 0 to 1. Estimates how much
-    /// of the server's prompt cache this instance's requests occupy.
+    /// This entry's share of the server's recent requests, 0 to 1. Estimates how much
+    /// of the server's prompt cache this entry's requests occupy.
     pub(super) fn own_share(&self, now: Instant) -> f64 {
         let own = f64::from(self.health.report(now).counts.requests + 1);
         own / (own + f64::from(self.peer_load.ended))
     }
 
-    /// Health as reported by other instances.
+    /// Health as reported by other entries.
     pub(super) fn peer_health(&self) -> HealthReport {
         HealthReport {
             counts: Counts {
--- a/crates/gradedyke-gateway/src/fleet/slow_start.rs
+++ b/crates/gradedyke-gateway/src/fleet/slow_start.rs
@@ -1,9 +1,9 @@
 //! Limits the request rate of servers that are warming up.
 //!
 //! A server that has just started can handle only a few requests per second, over all
-//! instances together. Instances do not coordinate each request. Instead, each one
+//! entries together. Entries do not coordinate each request. Instead, each one
 //! considers a warming server for a random fraction of its requests, chosen so that the
-//! total rate stays below the limit even if some instances have outdated load figures.
+//! total rate stays below the limit even if some entries have outdated load figures.
 
 use crate::health::Counts;
 use crate::window;
@@ -12,10 +12,10 @@
 /// the rate over any single second must stay below the limit.
 const TARGET_UTILIZATION: f64 = 0.6;
 
-/// The load of a service over all instances.
+/// The load of a service over all entries.
 #[derive(Clone, Copy, Debug)]
 pub struct ServiceLoad {
-    /// Whether the load from other instances is known.
+    /// Whether the load from other entries is known.
     pub has_peer_load: bool,
     /// Requests in flight.
     pub in_flight: u32,
@@ -27,13 +27,13 @@
     /// Number of warming servers that could run the request, including those that are
     /// not in its sample.
     pub warming_servers: u32,
-    /// Recent requests at this instance; those that found no server count as failures.
+    /// Recent requests at this entry; those that found no server count as failures.
     pub recent_requests: Counts,
 }
 
 impl ServiceLoad {
     /// Arrival rate of requests, per second. Requests that found no server are included
-    /// on the assumption that other instances have the same share of them.
+    /// on the assumption that other entries have the same share of them.
     fn requests_per_s(&self) -> f64 {
         let requests = f64::from(self.recent_requests.requests.max(1));
         let placed =
--- a/crates/gradedyke-gateway/src/follow.rs
+++ b/crates/gradedyke-gateway/src/follow.rs
@@ -21,7 +21,7 @@
 const HEDGE_DELAY: Duration = Duration::from_millis(400);
 
 /// Poll and retry intervals of a keeper that reads the service.
-pub const KEEPER_PACE: mirror::Timing = mirror::Timing {
+pub const KEEPER_TIMING: mirror::Timing = mirror::Timing {
     poll_interval: Duration::from_millis(100),
     hedge_delay: Some(HEDGE_DELAY),
     initial_max_delay: Duration::from_millis(50),
@@ -31,11 +31,11 @@
 
 /// Poll and retry intervals of an entry. They are longer than those of a keeper, because
 /// many entries retry at the same time in an outage of the service.
-const ENTRY_PACE: mirror::Timing = mirror::Timing {
+const ENTRY_TIMING: mirror::Timing = mirror::Timing {
     hedge_delay: None,
     initial_max_delay: Duration::from_millis(400),
     low_need_max_delay: Duration::from_millis(2_500),
-    ..KEEPER_PACE
+    ..KEEPER_TIMING
 };
 
 /// Spawns one task per prefix, which reads the service as urgently as `need` says.
@@ -44,7 +44,7 @@
     mirror: &Arc<Mirror>,
     kv: &Arc<dyn KeyValue>,
     need: impl Fn() -> Need + Clone + Send + Sync + 'static,
-    pace: mirror::Timing,
+    timing: mirror::Timing,
     stop: &CancellationToken,
 ) {
     for prefix in mirror.prefixes().to_vec() {
@@ -53,7 +53,7 @@
             kv.clone(),
             prefix,
             need.clone(),
-            pace,
+            timing,
             stop.clone(),
         ));
     }
@@ -81,7 +81,7 @@
         now: Instant,
         stop: &CancellationToken,
     ) {
-        let reader = Arc::new(feed::Policy::new(
+        let policy = Arc::new(feed::Policy::new(
             now,
             feed::ENTRY_START_GRACE,
             self.propagation_limit,
@@ -89,16 +89,16 @@
         tasks.spawn(feed::run(
             self.mirror.clone(),
             self.peers,
-            reader.clone(),
+            policy.clone(),
             sources,
             stop.clone(),
         ));
         let mirror = self.mirror.clone();
         let need = move || {
             let now = Instant::now();
-            reader.need(mirror.age(now), now)
+            policy.need(mirror.age(now), now)
         };
-        follow(tasks, &self.mirror, kv, need, ENTRY_PACE, stop);
+        follow(tasks, &self.mirror, kv, need, ENTRY_TIMING, stop);
     }
 }
 
@@ -115,7 +115,7 @@
     /// Client for the other keepers.
     pub(crate) quorum: Arc<Quorum>,
     /// Decides when a keeper that is not a watcher reads the service.
-    pub(crate) reader: Arc<feed::Policy>,
+    pub(crate) policy: Arc<feed::Policy>,
     /// Decides when another watcher reads the service in place of the first one.
     pub(crate) standby: feed::Standby,
 }
@@ -135,7 +135,7 @@
                 let down = self.quorum.client(first.address).is_down();
                 self.standby.need(age, down, now)
             }
-            _ => self.reader.need(age, now),
+            _ => self.policy.need(age, now),
         }
     }
 
@@ -166,12 +166,12 @@
         tasks.spawn(feed::run(
             keeper.mirror.clone(),
             keeper.quorum.clone(),
-            keeper.reader.clone(),
+            keeper.policy.clone(),
             move || follower.sources(),
             stop.clone(),
         ));
         let mirror = keeper.mirror.clone();
         let need = move || keeper.need(Instant::now());
-        follow(tasks, &mirror, kv, need, KEEPER_PACE, stop);
+        follow(tasks, &mirror, kv, need, KEEPER_TIMING, stop);
     }
 }
--- a/crates/gradedyke-gateway/src/health.rs
+++ b/crates/gradedyke-gateway/src/health.rs
@@ -3,7 +3,7 @@
 //! Two signals are kept. After a connection failure, a malformed response or a timeout,
 //! the server is in *backoff*: it gets no requests while others are available.
 //! Independently, the *failure rate* is the share of its requests over the last seconds
-//! and over all instances that failed, were rejected or took far too long. Placement
+//! and over all entries that failed, were rejected or took far too long. Placement
 //! policies weigh it against the cost of a failure.
 
 use std::ops::Add;
@@ -17,7 +17,7 @@
 const INITIAL_BACKOFF: Duration = Duration::from_millis(500);
 /// Upper limit on the backoff.
 const MAX_BACKOFF: Duration = Duration::from_secs(4);
-/// How long other instances are told that a server is unreachable. Short, because a server
+/// How long other entries are told that a server is unreachable. Short, because a server
 /// that recovers is noticed only when a request succeeds.
 const UNREACHABLE_REPORT_TTL: Duration = Duration::from_secs(2);
 /// Number of successes added to the observed requests, so that a single failure does not
@@ -98,16 +98,16 @@
     }
 }
 
-/// Health of a server as reported by one or more instances.
+/// Health of a server as reported by one or more entries.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HealthReport {
     /// Recent requests.
     pub counts: Counts,
-    /// Number of instances that recently failed to connect to the server.
+    /// Number of entries that recently failed to connect to the server.
     pub unreachable: u32,
 }
 
-/// Health of one server as this instance sees it.
+/// Health of one server as this entry sees it.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
     /// Number of consecutive failures that triggered a backoff.
@@ -122,16 +122,16 @@
     /// Records a failure. Returns the resulting backoff, if any.
     ///
     /// ```
-    /// use gradedyke_gateway::health::{Fault, Health, HealthReport};
+    /// use gradedyke_gateway::health::{Failure, Health, HealthReport};
     ///
     /// let now = tokio::time::Instant::now();
     /// let mut health = Health::default();
-    /// assert!(health.record_failure(Fault::Lost, now).is_some());
+    /// assert!(health.record_failure(Failure::ConnectionLost, now).is_some());
     /// assert!(health.is_backing_off(now));
     /// assert!(health.failure_rate(HealthReport::default(), now) > 0.0);
     /// ```
-    pub fn record_failure(&mut self, fault: Failure, now: Instant) -> Option<Duration> {
-        if fault == Failure::Unreachable {
+    pub fn record_failure(&mut self, failure: Failure, now: Instant) -> Option<Duration> {
+        if failure == Failure::Unreachable {
             self.unreachable_at = Some(now);
         } else {
             let failed = Counts {
@@ -140,7 +140,7 @@
             };
             self.recent.add(failed, now);
         }
-        if !fault.triggers_backoff() {
+        if !failure.triggers_backoff() {
             return None;
         }
         let backoff = INITIAL_BACKOFF * 2_u32.saturating_pow(self.backoffs.min(10));
@@ -168,12 +168,12 @@
     }
 
     /// Estimated share of requests that fail there, 0 to 1, including the requests that
-    /// other instances reported.
+    /// other entries reported.
     pub fn failure_rate(&self, peers: HealthReport, now: Instant) -> f64 {
         (self.recent.sum(now) + peers.counts).failure_rate()
     }
 
-    /// The report for other instances.
+    /// The report for other entries.
     pub fn report(&self, now: Instant) -> HealthReport {
         let is_recent = |at: Instant| now.saturating_duration_since(at) < UNREACHABLE_REPORT_TTL;
         HealthReport {
--- a/crates/gradedyke-gateway/src/link.rs
+++ b/crates/gradedyke-gateway/src/link.rs
@@ -95,7 +95,7 @@
 }
 
 /// A connection in use. Dropping it closes the connection and cancels the request on it;
-/// [`Pool::rest`] returns it to the pool instead.
+/// [`Pool::put_back`] returns it to the pool instead.
 pub struct Connection {
     sender: SendRequest<Body>,
     /// Whether the connection has carried an earlier request.
@@ -166,7 +166,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error::NotSent`] if the request certainly has not run, [`Error::Broken`] if it may
+    /// [`Error::NotSent`] if the request certainly has not run, [`Error::Interrupted`] if it may
     /// have.
     pub async fn send(
         &self,
@@ -174,9 +174,9 @@
         repeatable: bool,
         now: Instant,
     ) -> Result<(Response<Incoming>, Connection), Error> {
-        if let Some(mut link) = self.take_idle(repeatable, now) {
-            match link.sender.try_send_request(request).await {
-                Ok(response) => return Ok((response, link)),
+        if let Some(mut connection) = self.take_idle(repeatable, now) {
+            match connection.sender.try_send_request(request).await {
+                Ok(response) => return Ok((response, connection)),
                 Err(mut failed) => match failed.take_message() {
                     // The connection closed before it accepted the request.
                     Some(unsent) => request = unsent,
@@ -186,9 +186,9 @@
                 },
             }
         }
-        let mut link = self.connect().await?;
-        match link.sender.try_send_request(request).await {
-            Ok(response) => Ok((response, link)),
+        let mut connection = self.connect().await?;
+        match connection.sender.try_send_request(request).await {
+            Ok(response) => Ok((response, connection)),
             Err(mut failed) => {
                 let sent = failed.take_message().is_none();
                 let cause = failed.error().to_string();
@@ -203,14 +203,14 @@
 
     /// Returns a connection to the pool after its response was read to the end. `idle_timeout`
     /// is that of the server, if known.
-    pub fn put_back(&self, link: Connection, idle_timeout: Option<Duration>, now: Instant) {
+    pub fn put_back(&self, connection: Connection, idle_timeout: Option<Duration>, now: Instant) {
         let max_idle = idle_timeout.map_or(MAX_IDLE_REPEATABLE, |t| {
             t.saturating_sub(IDLE_TIMEOUT_MARGIN)
         });
         let mut idle = self.lock_idle(now);
-        if idle.len() < MAX_IDLE_CONNECTIONS && !link.sender.is_closed() {
+        if idle.len() < MAX_IDLE_CONNECTIONS && !connection.sender.is_closed() {
             idle.push(IdleConnection {
-                sender: link.sender,
+                sender: connection.sender,
                 idle_since: now,
                 max_idle,
             });
--- a/crates/gradedyke-gateway/src/mechanism.rs
+++ b/crates/gradedyke-gateway/src/mechanism.rs
@@ -27,7 +27,7 @@
     Risk,
     /// The prompt prefixes that each engine has cached are tracked.
     Prefixes,
-    /// Instances report their requests in flight to each other.
+    /// Entries report their requests in flight to each other.
     SharedLoad,
     /// Expected times are learned from observed ones.
     LearnedTimes,
@@ -61,8 +61,8 @@
     /// use gradedyke_gateway::mechanism::{Enabled, Mechanism};
     ///
     /// let enabled = Enabled::without(&[Mechanism::Warm]);
-    /// assert!(!enabled.has(Mechanism::Warm));
-    /// assert!(enabled.has(Mechanism::Risk));
+    /// assert!(!enabled.is_enabled(Mechanism::Warm));
+    /// assert!(enabled.is_enabled(Mechanism::Risk));
     /// ```
     pub fn without(disabled: &[Mechanism]) -> Self {
         let bits = disabled.iter().fold(0, |bits, m| bits | bit(*m));
--- a/crates/gradedyke-gateway/src/placement/cost.rs
+++ b/crates/gradedyke-gateway/src/placement/cost.rs
@@ -39,7 +39,7 @@
 const REPEATABLE_LOSS_MS: f64 = 200.0;
 
 /// Number of engines without any of the prompt that are considered. Load reports are
-/// slightly out of date, so if all instances considered all engines, they would send
+/// slightly out of date, so if all entries considered all engines, they would send
 /// new prompts to the same few idle engines at once.
 const MAX_SAMPLED_ENGINES: usize = 8;
 /// How many of the sampled engines are taken from the local data centre first, because
--- a/crates/gradedyke-gateway/src/placement/mod.rs
+++ b/crates/gradedyke-gateway/src/placement/mod.rs
@@ -19,11 +19,11 @@
 /// A server that could run the request, as a policy sees it.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
-    /// Requests in flight there, from this instance and as reported by others.
+    /// Requests in flight there, from this entry and as reported by others.
     pub in_flight: u32,
     /// Number of requests it runs concurrently.
     pub slots: u32,
-    /// Whether it is in this instance's data centre.
+    /// Whether it is in this entry's data centre.
     pub is_local: bool,
     /// Tokens of the prompt that are not in its cache; 0 for a service that runs no
     /// model.
--- a/crates/gradedyke-gateway/src/prefix.rs
+++ b/crates/gradedyke-gateway/src/prefix.rs
@@ -48,20 +48,20 @@
     ///
     /// let part = |name, tokens| Part { id: Id::parse(name).unwrap(), tokens };
     /// let mut cache = Cache::default();
-    /// cache.keep(&[part("rules", 500), part("talk", 300)], 40, 10_000);
+    /// cache.record_prompt(&[part("rules", 500), part("talk", 300)], 40, 10_000);
     /// // The conversation has grown by the response and by a new message.
-    /// assert_eq!(cache.unread(&[part("rules", 500), part("talk", 400)]), 60);
-    /// assert_eq!(cache.unread(&[part("other", 500), part("talk", 400)]), 900);
+    /// assert_eq!(cache.uncached(&[part("rules", 500), part("talk", 400)]), 60);
+    /// assert_eq!(cache.uncached(&[part("other", 500), part("talk", 400)]), 900);
     /// ```
     pub fn uncached_tokens(&self, prompt: &[Part]) -> u64 {
-        let mut unread = 0;
+        let mut uncached = 0;
         for part in prompt {
             let cached = self.parts.get(&part.id).map_or(0, |c| c.tokens);
             // Only a prefix without gaps can be reused.
-            let usable = if unread == 0 { cached } else { 0 };
-            unread += part.tokens.saturating_sub(usable);
+            let usable = if uncached == 0 { cached } else { 0 };
+            uncached += part.tokens.saturating_sub(usable);
         }
-        unread
+        uncached
     }
 
     /// Records that the engine caches a prompt and a response of `response_tokens`, and
--- a/crates/gradedyke-gateway/src/process.rs
+++ b/crates/gradedyke-gateway/src/process.rs
@@ -119,10 +119,10 @@
     ///
     /// Fails if a required setting is missing, the placement policy does not exist, or a
     /// listener cannot be bound.
-    pub async fn entry(settings: Settings, world: Environment) -> eyre::Result<Self> {
+    pub async fn entry(settings: Settings, environment: Environment) -> eyre::Result<Self> {
         let caller = require(settings.listen.caller, "listen.caller")?;
         let ready = require(settings.listen.ready, "listen.ready")?;
-        let mirror = Mirror::new(&prefixes(&*world.dialect));
+        let mirror = Mirror::new(&prefixes(&*environment.dialect));
         let peer_listener = match settings.listen.peer {
             Some(address) => {
                 let listener = TcpListener::bind(address).await;
@@ -138,9 +138,9 @@
             .transpose()?;
         let quorum = Quorum::new(mirror.clone(), &settings.data_centre, own_address);
         let decisions = settings.decisions.clone();
-        let enabled = Enabled::without(&decisions.off);
-        let in_force = settings.propagation_limit();
-        let policy = placement::policies(enabled).remove(decisions.placement.as_str());
+        let mechanisms = Enabled::without(&decisions.off);
+        let propagation_limit = settings.propagation_limit();
+        let policy = placement::policies(mechanisms).remove(decisions.placement.as_str());
         let policy = policy.ok_or_else(|| {
             eyre!(
                 "no placement policy named {}; change decisions.placement",
@@ -150,18 +150,18 @@
         tracing::info!(event = "deciding", placement = decisions.placement,
             off = ?decisions.off);
         let entry = Arc::new(Entry {
-            dialect: world.dialect.clone(),
+            dialect: environment.dialect.clone(),
             mirror: mirror.clone(),
             config: ArcSwapOption::empty(),
-            fleet: Fleet::new(settings.location(), own_address, policy, enabled),
+            fleet: Fleet::new(settings.location(), own_address, policy, mechanisms),
             quorum: quorum.clone(),
             limiter: Limiter::new(rand::random(), settings.allowance_window(), Instant::now()),
             demand: Demand::default(),
             throttle: Throttle::default(),
-            mechanisms: enabled,
+            mechanisms,
             drain: CancellationToken::new(),
             config_revision: Mutex::default(),
-            propagation_limit: in_force,
+            propagation_limit,
             max_key_age: settings.revocation().map(entry::max_key_age),
             mirror_cursor: Mutex::new(0),
             active_requests: AtomicUsize::new(0),
@@ -173,9 +173,9 @@
         let follower = follow::EntryFollower {
             mirror,
             peers: quorum,
-            propagation_limit: in_force,
+            propagation_limit,
         };
-        follower.start(tasks, &world.kv, sources, Instant::now(), &stop);
+        follower.start(tasks, &environment.kv, sources, Instant::now(), &stop);
         tasks.spawn(refresh(entry.clone(), stop.clone()));
         if let Some(listener) = peer_listener {
             let forwarder = Arc::new(Forwarder::new(entry.quorum.clone()));
@@ -208,11 +208,11 @@
     ///
     /// Fails if a required setting is missing, the data folder cannot be used, or a listener
     /// cannot be bound.
-    pub async fn keeper(settings: Settings, world: Environment) -> eyre::Result<Self> {
+    pub async fn keeper(settings: Settings, environment: Environment) -> eyre::Result<Self> {
         let peer = require(settings.listen.peer, "listen.peer")?;
         let folder = require(settings.data_folder.clone(), "data_folder")?;
         let stop = CancellationToken::new();
-        let mirror = Mirror::new(&prefixes(&*world.dialect));
+        let mirror = Mirror::new(&prefixes(&*environment.dialect));
         let listener = TcpListener::bind(peer).await;
         let listener = listener
             .wrap_err_with(|| format!("cannot listen on {peer}; free it or change listen.peer"))?;
@@ -235,7 +235,7 @@
             join_delay: join_delay(&settings),
         };
         let seeds = settings.seeds.clone();
-        let in_force = settings.propagation_limit();
+        let propagation_limit = settings.propagation_limit();
         let mut process = Self::new(settings, None, stop.clone());
         process.addresses.peer = Some(peer);
         let (replica_sender, replica) = watch::channel(None);
@@ -254,17 +254,17 @@
         ));
         // Entries can read the mirror from this keeper while it still opens its disk.
         let disk = replica::load_or_create_disk_id(&folder)?;
-        let reader = feed::Policy::new(Instant::now(), feed::KEEPER_START_GRACE, in_force);
+        let policy = feed::Policy::new(Instant::now(), feed::KEEPER_START_GRACE, propagation_limit);
         let follower = follow::KeeperFollower {
             own_address: peer,
             disk,
             seeds,
             mirror: mirror.clone(),
             quorum: Quorum::new(mirror.clone(), &config.data_centre, None),
-            reader: Arc::new(reader),
+            policy: Arc::new(policy),
             standby: feed::Standby::default(),
         };
-        follower.start(tasks, &world.kv, &stop);
+        follower.start(tasks, &environment.kv, &stop);
         let (replica_mirror, replica_stop, replica_folder) =
             (mirror.clone(), stop.clone(), folder.clone());
         let open = move || {
@@ -274,7 +274,8 @@
         };
         let replica = tokio::task::spawn_blocking(open).await??;
         replica_sender.send_replace(Some(replica.clone()));
-        let membership = Membership::new(config, replica.clone(), world.kv, world.dialect);
+        let membership =
+            Membership::new(config, replica.clone(), environment.kv, environment.dialect);
         tasks.spawn(snapshot::save_usage_periodically(
             replica.clone(),
             folder,
--- a/crates/gradedyke-gateway/src/settings.rs
+++ b/crates/gradedyke-gateway/src/settings.rs
@@ -130,7 +130,7 @@
     2_000
 }
 
-/// Lower bound of [`Settings::in_force`], in milliseconds: the longest time that a change
+/// Lower bound of [`Settings::propagation_limit`], in milliseconds: the longest time that a change
 /// takes to reach an entry.
 const MIN_IN_FORCE_MS: u64 = 2_000;
 
--- a/crates/gradedyke-gateway/src/throttle.rs
+++ b/crates/gradedyke-gateway/src/throttle.rs
@@ -65,7 +65,7 @@
 /// use gradedyke_turns::record::Id;
 ///
 /// let program = Id::parse("p").unwrap();
-/// assert!((0.0..1.0).contains(&throttle::draw(&program)));
+/// assert!((0.0..1.0).contains(&throttle::hash_fraction(&program)));
 /// ```
 pub fn hash_fraction(program: &Id) -> f64 {
     use std::hash::{DefaultHasher, Hash, Hasher};
@@ -86,8 +86,8 @@
     /// Records that keepers admitted a turn, and how long the exchange took. A slow
     /// exchange counts as a refusal: it is an earlier sign of overload, while refusals
     /// already fail running programs.
-    pub fn record_admitted(&self, took: Duration, now: Instant) {
-        if took > SLOW_EXCHANGE {
+    pub fn record_admitted(&self, elapsed: Duration, now: Instant) {
+        if elapsed > SLOW_EXCHANGE {
             return self.record_refused(now);
         }
         self.lock().admitted.increment(COUNT_HALF_LIFE, now);
@@ -112,7 +112,7 @@
     /// let now = tokio::time::Instant::now();
     /// let throttle = Throttle::default();
     /// assert_eq!(throttle.admission_ratio(now), 1.0);
-    /// (0..20).for_each(|_| throttle.refused(now));
+    /// (0..20).for_each(|_| throttle.record_refused(now));
     /// assert!(throttle.admission_ratio(now) < 0.1);
     /// ```
     pub fn admission_ratio(&self, now: Instant) -> f64 {
@@ -122,10 +122,10 @@
         ratio.clamp(MIN_ADMISSION_RATIO, 1.0)
     }
 
-    /// Whether a program is admitted. `draw` is the program's number in `0.0..1.0`, either
-    /// random or from [`draw`].
-    pub fn admits(&self, draw: f64, now: Instant) -> bool {
-        draw < self.admission_ratio(now)
+    /// Whether a program is admitted. `fraction` is the program's number in `0.0..1.0`, either
+    /// random or from [`hash_fraction`].
+    pub fn admits(&self, fraction: f64, now: Instant) -> bool {
+        fraction < self.admission_ratio(now)
     }
 
     /// How long a caller whose program was refused should wait before it retries: the
@@ -136,7 +136,7 @@
     /// use std::time::Duration;
     ///
     /// let throttle = Throttle::default();
-    /// let wait = throttle.wait(tokio::time::Instant::now());
+    /// let wait = throttle.retry_after(tokio::time::Instant::now());
     /// assert_eq!(wait, Duration::from_millis(250));
     /// ```
     pub fn retry_after(&self, now: Instant) -> Duration {
--- a/crates/gradedyke-gateway/tests/allowance.rs
+++ b/crates/gradedyke-gateway/tests/allowance.rs
@@ -39,9 +39,9 @@
     arrival_ms: u64,
     entry: usize,
     program: usize,
-    counted: Charge,
+    charge: Charge,
     report: Report,
-    mark: Snapshot,
+    snapshot: Snapshot,
 }
 
 struct Program {
@@ -67,8 +67,8 @@
     rng: StdRng,
     start: Instant,
     accounts: Vec<Account>,
-    registers: Vec<Limiter>,
-    boards: Vec<Aggregator>,
+    limiters: Vec<Limiter>,
+    aggregators: Vec<Aggregator>,
     pending: VecDeque<PendingReport>,
     programs: Vec<Program>,
     outcomes: Vec<Outcome>,
@@ -109,8 +109,8 @@
             rng: StdRng::seed_from_u64(seed),
             start,
             accounts: accounts.map(|n| account(n, load.per_second)).collect(),
-            registers: entries.map(|n| Limiter::new(n, WINDOW, start)).collect(),
-            boards: (0..5).map(|_| Aggregator::default()).collect(),
+            limiters: entries.map(|n| Limiter::new(n, WINDOW, start)).collect(),
+            aggregators: (0..5).map(|_| Aggregator::default()).collect(),
             pending: VecDeque::new(),
             programs: Vec::new(),
             outcomes: vec![Outcome::default(); load.accounts],
@@ -170,26 +170,26 @@
         );
         let planned = if first { self.planned } else { 0 };
         let (entry, now) = (program.entry, self.at(ms));
-        let register = &self.registers[entry];
+        let limiter = &self.limiters[entry];
         let account = &self.accounts[program.account];
-        let counted = register.charge(account, planned, now).unwrap();
-        match register.check(&counted, now) {
+        let charge = limiter.charge(account, planned, now).unwrap();
+        match limiter.check(&charge, now) {
             Decision::Exceeded => {
-                register.refund(&counted);
+                limiter.refund(&charge);
                 self.refuse(index);
             }
             Decision::Within if !turn => self.admit(index, ms),
             Decision::Within | Decision::Unknown => {
-                let (report, mark) = register.report(&counted, now);
+                let (report, snapshot) = limiter.report(&charge, now);
                 self.calls_asked += u64::from(!turn);
                 let jitter_ms = self.rng.random_range(0..4);
                 self.pending.push_back(PendingReport {
                     arrival_ms: ms + LATENCY_MS + jitter_ms,
                     entry,
                     program: index,
-                    counted,
+                    charge,
                     report,
-                    mark,
+                    snapshot,
                 });
                 // The program sends nothing else until the answer arrives.
                 self.programs[index].next_ms = u64::MAX;
@@ -209,16 +209,16 @@
             }
             let now = self.at(ms);
             let mut sum = Total::default();
-            for board in &mut self.boards {
-                board.record_report(pending.report.clone(), now);
-                sum = sum.max(board.total(pending.counted.account, now));
+            for aggregator in &mut self.aggregators {
+                aggregator.record_report(pending.report.clone(), now);
+                sum = sum.max(aggregator.total(pending.charge.account, now));
             }
-            let register = &self.registers[pending.entry];
-            register.record_sum(pending.mark, sum, now);
-            if pending.counted.is_within(sum) {
+            let limiter = &self.limiters[pending.entry];
+            limiter.record_sum(pending.snapshot, sum, now);
+            if pending.charge.is_within(sum) {
                 self.admit(pending.program, ms);
             } else {
-                register.refund(&pending.counted);
+                limiter.refund(&pending.charge);
                 self.refuse(pending.program);
             }
         }
@@ -364,16 +364,16 @@
     // Without planned requests, running programs reach the limit.
     let mut simulation = Simulation::new(&load, 0, seed);
     simulation.run(&load, 0, 2_750);
-    let saved = simulation.boards[0].export(simulation.at(2_750));
+    let saved = simulation.aggregators[0].export(simulation.at(2_750));
     simulation.run(&load, 2_750, 3_000);
     let now = simulation.at(3_300);
     let entries = 0..load.entries as u64;
     let entries = entries.map(|n| Limiter::new(1_000 + n, WINDOW, now));
-    simulation.registers = entries.collect();
-    simulation.boards = (0..5).map(|_| Aggregator::default()).collect();
+    simulation.limiters = entries.collect();
+    simulation.aggregators = (0..5).map(|_| Aggregator::default()).collect();
     if restored {
-        for board in &mut simulation.boards {
-            board.restore(saved.clone(), now);
+        for aggregator in &mut simulation.aggregators {
+            aggregator.restore(saved.clone(), now);
         }
     }
     simulation.pending.clear();
@@ -397,58 +397,58 @@
 #[tokio::test]
 async fn a_keeper_that_lost_its_disk_is_outvoted_and_relearns_usage() {
     let now = Instant::now();
-    let register = Limiter::new(1, WINDOW, now);
+    let limiter = Limiter::new(1, WINDOW, now);
     let limited = account(0, 10.0);
-    let mut counted = None;
+    let mut charge = None;
     for _ in 0..30 {
-        counted = register.charge(&limited, 0, now);
+        charge = limiter.charge(&limited, 0, now);
     }
-    let counted = counted.unwrap();
-    let (report, _) = register.report(&counted, now);
+    let charge = charge.unwrap();
+    let (report, _) = limiter.report(&charge, now);
     let (mut intact, mut empty) = (Aggregator::default(), Aggregator::default());
     intact.record_report(report, now);
-    let (asked, later) = (counted.account, now + Duration::from_millis(1_100));
+    let (asked, later) = (charge.account, now + Duration::from_millis(1_100));
     let sum = intact.total(asked, later).max(empty.total(asked, later));
     assert_eq!(sum.requests, 30);
     // The report for another account's turn includes the usage again.
-    let other = register.charge(&account(1, 10.0), 0, later).unwrap();
-    empty.record_report(register.report(&other, later).0, later);
+    let other = limiter.charge(&account(1, 10.0), 0, later).unwrap();
+    empty.record_report(limiter.report(&other, later).0, later);
     assert_eq!(empty.total(asked, later).requests, 30);
 }
 
 #[test]
 fn usage_expires_after_the_window_and_not_before() {
-    let mut tally = usage::Counter::default();
+    let mut counter = usage::Counter::default();
     let one = Total {
         requests: 1,
         planned: 0,
     };
-    tally.add(3, one);
-    tally.add(4, one);
-    assert_eq!(tally.window_buckets(4), [one, one]);
-    assert_eq!(tally.window_buckets(23).len(), 21);
-    assert_eq!(tally.window_buckets(24).len(), 21);
-    assert_eq!(tally.window_buckets(25), []);
-    tally.subtract(3, one);
-    assert_eq!(tally.window_buckets(26), []);
+    counter.add(3, one);
+    counter.add(4, one);
+    assert_eq!(counter.window_buckets(4), [one, one]);
+    assert_eq!(counter.window_buckets(23).len(), 21);
+    assert_eq!(counter.window_buckets(24).len(), 21);
+    assert_eq!(counter.window_buckets(25), []);
+    counter.subtract(3, one);
+    assert_eq!(counter.window_buckets(26), []);
 }
 
 #[tokio::test]
 async fn a_program_that_needs_more_than_the_limit_starts_if_no_other_has() {
     let now = Instant::now();
-    let register = Limiter::new(1, WINDOW, now);
+    let limiter = Limiter::new(1, WINDOW, now);
     // The limit is 10 requests per window, and a program needs 16.
     let limited = account(0, 2.0);
-    let mut board = Aggregator::default();
+    let mut aggregator = Aggregator::default();
     let mut try_start = |at: Instant| {
-        let counted = register.charge(&limited, REQUESTS_PER_PROGRAM, at).unwrap();
-        let (report, mark) = register.report(&counted, at);
-        board.record_report(report, at);
-        let sum = board.total(counted.account, at);
-        register.record_sum(mark, sum, at);
-        let within = counted.is_within(sum);
+        let charge = limiter.charge(&limited, REQUESTS_PER_PROGRAM, at).unwrap();
+        let (report, snapshot) = limiter.report(&charge, at);
+        aggregator.record_report(report, at);
+        let sum = aggregator.total(charge.account, at);
+        limiter.record_sum(snapshot, sum, at);
+        let within = charge.is_within(sum);
         if !within {
-            register.refund(&counted);
+            limiter.refund(&charge);
         }
         within
     };
--- a/crates/gradedyke-gateway/tests/follow/main.rs
+++ b/crates/gradedyke-gateway/tests/follow/main.rs
@@ -76,7 +76,7 @@
         self.keeper_cut_off = client.cut_off.clone();
         let (kv, stop) = (Arc::new(client), self.stop.clone());
         let need = || Need::High;
-        let follow = mirror::follow(mirror, kv, String::new(), need, follow::KEEPER_PACE, stop);
+        let follow = mirror::follow(mirror, kv, String::new(), need, follow::KEEPER_TIMING, stop);
         self.tasks.spawn(follow);
     }
 
@@ -111,8 +111,8 @@
     /// and returns how long that took.
     async fn time_until_vouched(&self) -> Duration {
         let since = Instant::now();
-        let vouched = |m: &Arc<Mirror>| m.complete_as_of().is_some_and(|at| at >= since);
-        while !self.entries.iter().all(vouched) {
+        let is_confirmed = |m: &Arc<Mirror>| m.complete_as_of().is_some_and(|at| at >= since);
+        while !self.entries.iter().all(is_confirmed) {
             tokio::time::sleep(POLL_INTERVAL).await;
         }
         since.elapsed()
--- a/crates/gradedyke-gateway/tests/follow/network.rs
+++ b/crates/gradedyke-gateway/tests/follow/network.rs
@@ -93,11 +93,11 @@
                 address: caller,
             } => {
                 let wait = Duration::from_millis((*wait_ms).into());
-                let mut news = feed::long_poll(&mirror, cursor, wait).await;
+                let mut update = feed::long_poll(&mirror, cursor, wait).await;
                 if let Some(caller) = caller.filter(|_| is_keeper) {
-                    news.neighbours = self.neighbours(caller);
+                    update.neighbours = self.neighbours(caller);
                 }
-                Reply::News(news)
+                Reply::News(update)
             }
             _ => Reply::Failed("unsupported request: this process only serves updates".to_owned()),
         }
--- a/crates/gradedyke-gateway/tests/overload.rs
+++ b/crates/gradedyke-gateway/tests/overload.rs
@@ -116,7 +116,7 @@
     throttles: Vec<Throttle>,
     /// Time at which the keepers have finished all work in their queue.
     busy_until_ms: f64,
-    gauge: Meter,
+    meter: Meter,
     /// Whether overload protection is on: keepers refuse turns while their queue is too long,
     /// and entries let fewer programs begin.
     protected: bool,
@@ -134,7 +134,7 @@
             programs: Vec::new(),
             throttles: (0..entries).map(|_| Throttle::default()).collect(),
             busy_until_ms: 0.0,
-            gauge: Meter::default(),
+            meter: Meter::default(),
             protected,
             load,
             outcome: Outcome::default(),
@@ -206,7 +206,7 @@
         let queue_ms = (self.busy_until_ms - ms).max(0.0);
         let now = self.instant(ms);
         let refused = self.protected && is_full(first, queue_ms);
-        self.gauge.record_attempt(refused, now);
+        self.meter.record_attempt(refused, now);
         if refused {
             return Err(queue_ms + self.add_work(REFUSAL_COST, ms));
         }
@@ -221,14 +221,14 @@
     fn start_turn(&mut self, index: usize, ms: f64) {
         let program = self.programs[index];
         let now = self.instant(ms);
-        let draw = self.rng.random_range(0.0..1.0);
+        let fraction = self.rng.random_range(0.0..1.0);
         let first = program.completed_turns == 0;
         let throttle = &self.throttles[program.entry];
-        if self.protected && first && !throttle.admits(draw, now) {
+        if self.protected && first && !throttle.admits(fraction, now) {
             return self.retry_turn(index, ms);
         }
         let result = self.begin_turn(first, ms);
-        let pressure = self.gauge.pressure(now);
+        let pressure = self.meter.pressure(now);
         let throttle = &self.throttles[program.entry];
         let (Ok(took_ms) | Err(took_ms)) = result;
         let later = self.instant(ms + took_ms);
--- a/crates/gradedyke-gateway/tests/placement.rs
+++ b/crates/gradedyke-gateway/tests/placement.rs
@@ -5,12 +5,12 @@
 use gradedyke_gateway::placement::{Candidate, policies};
 
 /// An engine with the given number of requests in flight and prompt tokens to read.
-fn engine(in_flight: u32, unread_tokens: u64) -> Candidate {
+fn engine(in_flight: u32, uncached_tokens: u64) -> Candidate {
     Candidate {
         in_flight,
         slots: 16,
         is_local: true,
-        uncached_tokens: unread_tokens,
+        uncached_tokens,
         is_engine: true,
         has_idle_connection: false,
         times: Times {
--- a/crates/gradedyke-load/src/decision.rs
+++ b/crates/gradedyke-load/src/decision.rs
@@ -65,7 +65,7 @@
                 part("rules", 500)?,
                 part(&format!("talk{}", number % 64), 800)?,
             ];
-            let question = Query {
+            let query = Query {
                 service: "engines",
                 request_id: &request,
                 excluded: &[],
@@ -80,7 +80,7 @@
                 allowed_regions: None,
                 now: start,
             };
-            drop(fleet.choose(&question));
+            drop(fleet.choose(&query));
         }
         let us = began.elapsed().as_secs_f64() * 1e6 / count as f64;
         least = least.min(us);
--- a/crates/gradedyke-load/src/listing.rs
+++ b/crates/gradedyke-load/src/listing.rs
@@ -57,14 +57,14 @@
         costs.bytes += reply.len();
         costs.pages += 1;
         let began = std::time::Instant::now();
-        let Some(Reply::News(news)) = message::decode(&reply) else {
+        let Some(Reply::News(update)) = message::decode(&reply) else {
             eyre::bail!("the reply is not understood");
         };
-        items.append(&mut news.items.decode()?);
-        (cursor.boot, cursor.change, cursor.listing) = (news.boot, news.next, news.more);
-        let more = news.more;
+        items.append(&mut update.items.decode()?);
+        (cursor.boot, cursor.change, cursor.listing) = (update.boot, update.next, update.more);
+        let more = update.more;
         if !more {
-            mirror.apply_update(news, std::mem::take(&mut items), now, now);
+            mirror.apply_update(update, std::mem::take(&mut items), now, now);
         }
         costs.hearing_us += began.elapsed().as_secs_f64() * 1e6;
         if !more {
--- a/crates/gradedyke-load/src/recovery.rs
+++ b/crates/gradedyke-load/src/recovery.rs
@@ -105,7 +105,7 @@
 }
 
 /// Asks for a turn, and tells whether the conversation it continues was told.
-async fn begin(desk: &Dispatcher, program: Id, parent: Option<Id>) -> eyre::Result<bool> {
+async fn begin(dispatcher: &Dispatcher, program: Id, parent: Option<Id>) -> eyre::Result<bool> {
     let reserve = Reserved {
         program,
         request: id("new")?,
@@ -122,7 +122,7 @@
         first: false,
         patience_ms: 1_000,
     });
-    let reply = desk
+    let reply = dispatcher
         .handle(message::encode(&begin), Instant::now().into())
         .await;
     match message::decode(&reply) {
@@ -144,11 +144,11 @@
     let replica = Replica::open(folder.path(), mirror.clone(), stop)?;
     let opened_ms = ms(began);
     let (_ready, receiver) = watch::channel(Some(replica));
-    let desk = Arc::new(Dispatcher::new(mirror, receiver));
-    begin(&desk, id("unheard-of")?, None).await?;
+    let dispatcher = Arc::new(Dispatcher::new(mirror, receiver));
+    begin(&dispatcher, id("unheard-of")?, None).await?;
     let new_ms = ms(began);
     let last = request(programs / 2, TURNS - 1)?;
-    let told = begin(&desk, program(programs / 2)?, Some(last)).await?;
+    let told = begin(&dispatcher, program(programs / 2)?, Some(last)).await?;
     if !told {
         return Err(eyre!("the conversation was not told"));
     }
--- a/crates/gradedyke-load/src/usage.rs
+++ b/crates/gradedyke-load/src/usage.rs
@@ -42,44 +42,49 @@
 
 /// An entry's request of an account: what it tells a keeper, and the sum that answers it.
 /// Returns the bytes of the report.
-fn exchange(register: &Limiter, board: &mut Aggregator, account: &Account, now: Instant) -> usize {
-    let Some(counted) = register.charge(account, 0, now) else {
+fn exchange(
+    limiter: &Limiter,
+    aggregator: &mut Aggregator,
+    account: &Account,
+    now: Instant,
+) -> usize {
+    let Some(charge) = limiter.charge(account, 0, now) else {
         return 0;
     };
-    let (report, mark) = register.report(&counted, now);
+    let (report, snapshot) = limiter.report(&charge, now);
     let bytes = message::encode(&report).len();
-    board.record_report(report, now);
-    let sum = board.total(counted.account, now);
-    register.record_sum(mark, sum, now);
+    aggregator.record_report(report, now);
+    let sum = aggregator.total(charge.account, now);
+    limiter.record_sum(snapshot, sum, now);
     bytes
 }
 
 fn measure_one((entries, count, rate): (u64, usize, u64), rounds: u32) -> eyre::Result<Value> {
     let accounts = accounts(count)?;
     let start = Instant::now();
-    let registers = (0..entries).map(|n| Limiter::new(n, WINDOW, start));
-    let registers: Vec<Limiter> = registers.collect();
-    let mut board = Aggregator::default();
+    let limiters = (0..entries).map(|n| Limiter::new(n, WINDOW, start));
+    let limiters: Vec<Limiter> = limiters.collect();
+    let mut aggregator = Aggregator::default();
     let mut least = f64::INFINITY;
     let mut bytes = 0;
     let mut number = 0;
-    let mut play = |exchanges: u64, board: &mut Aggregator| {
+    let mut play = |exchanges: u64, aggregator: &mut Aggregator| {
         let mut bytes = 0;
         for _ in 0..exchanges {
             number += 1;
             let now = start + Duration::from_micros(number * 1_000_000 / rate);
             // Accounts and entries in another order each time round.
-            let register = &registers[usize::try_from(number * 7 % entries).unwrap_or_default()];
+            let limiter = &limiters[usize::try_from(number * 7 % entries).unwrap_or_default()];
             let account = &accounts[usize::try_from(number * 31).unwrap_or_default() % count];
-            bytes += exchange(register, board, account, now);
+            bytes += exchange(limiter, aggregator, account, now);
         }
         bytes
     };
     // A whole window first.
-    play(rate * WINDOW.as_secs(), &mut board);
+    play(rate * WINDOW.as_secs(), &mut aggregator);
     for _ in 0..rounds {
         let began = std::time::Instant::now();
-        bytes = play(EXCHANGES, &mut board);
+        bytes = play(EXCHANGES, &mut aggregator);
         least = least.min(began.elapsed().as_secs_f64() * 1e6 / EXCHANGES as f64);
     }
     Ok(json!({
--- a/crates/gradedyke-model/src/world.rs
+++ b/crates/gradedyke-model/src/world.rs
@@ -143,7 +143,7 @@
     random: StdRng,
     engines: Vec<Engine>,
     entries: Vec<Entry>,
-    board: Aggregator,
+    aggregator: Aggregator,
     programs: Vec<Program>,
     turns: Vec<Option<Turn>>,
     /// The engine of each program's last turn.
@@ -223,7 +223,7 @@
         random: StdRng::seed_from_u64(seed),
         engines: vec![Engine::new(setup.figures); setup.engines],
         entries: entries.collect(),
-        board: Aggregator::default(),
+        aggregator: Aggregator::default(),
         programs: Vec::new(),
         turns: Vec::new(),
         last: Vec::new(),
@@ -308,8 +308,8 @@
         let entry = &self.entries[self.programs[program].entry];
         let mut report = entry.fleet.load_report(now);
         report.entry = entry.number;
-        self.board.record_report(report, now);
-        let load = self.board.total_excluding(entry.number, now);
+        self.aggregator.record_report(report, now);
+        let load = self.aggregator.total_excluding(entry.number, now);
         self.after(EXCHANGE_MS, Event::Place(program, load));
     }
 
@@ -390,12 +390,12 @@
         let Some(turn) = self.turns[program].take() else {
             return;
         };
-        let (choice, view) = (&turn.choice, &turn.choice.candidate);
+        let (choice, candidate) = (&turn.choice, &turn.choice.candidate);
         let since = (choice.chosen_at - self.start).as_secs_f64() * 1e3;
         let stream = Timing {
-            concurrent: view.in_flight,
-            slots: view.slots,
-            uncached_tokens: view.uncached_tokens,
+            concurrent: candidate.in_flight,
+            slots: candidate.slots,
+            uncached_tokens: candidate.uncached_tokens,
             first_event_ms: turn.first_ms - since,
             remaining_ms: end_ms - turn.first_ms,
             events: turn.answer / EVENT_TOKENS,
@@ -404,7 +404,12 @@
         let fleet = self.entries[state.entry].fleet.clone();
         let gap = stream.remaining_ms / f64::from(stream.events.max(1));
         let gap = Duration::from_secs_f64(gap.max(0.0) / 1e3);
-        fleet.record_event_gap(choice.key, view.in_flight, gap, self.start + ms(end_ms));
+        fleet.record_event_gap(
+            choice.key,
+            candidate.in_flight,
+            gap,
+            self.start + ms(end_ms),
+        );
         fleet.record_stream(choice.key, &state.parts, u64::from(turn.answer), &stream);
         state.answered(turn.answer);
         let second = |ms: f64| (ms / 1e3) as usize;
--- a/crates/gradedyke-turns/src/conversation.rs
+++ b/crates/gradedyke-turns/src/conversation.rs
@@ -43,12 +43,12 @@
     pub fn disk_locations(&self) -> Vec<Location> {
         let locations = self.parts.iter().filter_map(|(_, part)| match part {
             Part::InMemory(_) => None,
-            Part::OnDisk(place) => Some(*place),
+            Part::OnDisk(location) => Some(*location),
         });
         locations.collect()
     }
 
-    /// Returns the whole conversation. `bodies` are the turns of [`Self::stored`], in that
+    /// Returns the whole conversation. `bodies` are the turns of [`Self::disk_locations`], in that
     /// order; `None` if one is missing.
     pub fn transcript(&self, bodies: &[Body]) -> Option<Transcript> {
         let mut bodies = bodies.iter();
--- a/crates/gradedyke-turns/src/decay.rs
+++ b/crates/gradedyke-turns/src/decay.rs
@@ -16,13 +16,13 @@
     /// Returns the value at `now`, for a half-life of `half_life`.
     ///
     /// ```
-    /// use gradedyke_turns::decay::Count;
+    /// use gradedyke_turns::decay::Counter;
     /// use std::time::Duration;
     ///
     /// let (now, half_life) = (tokio::time::Instant::now(), Duration::from_secs(2));
-    /// let mut count = Count::default();
-    /// count.add(half_life, now);
-    /// assert_eq!(count.at(half_life, now + half_life), 0.5);
+    /// let mut counter = Counter::default();
+    /// counter.increment(half_life, now);
+    /// assert_eq!(counter.value_at(half_life, now + half_life), 0.5);
     /// ```
     pub fn value_at(&self, half_life: Duration, now: Instant) -> f64 {
         let Some(as_of) = self.as_of else { return 0.0 };
--- a/crates/gradedyke-turns/src/desk.rs
+++ b/crates/gradedyke-turns/src/desk.rs
@@ -54,7 +54,7 @@
     begins_in_flight: AtomicUsize,
     others_in_flight: AtomicUsize,
     backlog: Backlog,
-    gauge: Mutex<Meter>,
+    meter: Mutex<Meter>,
     stats: Mutex<RequestStats>,
 }
 
@@ -68,7 +68,7 @@
             begins_in_flight: AtomicUsize::new(0),
             others_in_flight: AtomicUsize::new(0),
             backlog: Backlog::default(),
-            gauge: Mutex::default(),
+            meter: Mutex::default(),
             stats: Mutex::new(RequestStats::new(Instant::now())),
         }
     }
@@ -127,11 +127,11 @@
                     .record_address(address, Instant::now());
             }
             let wait = Duration::from_millis(wait_ms.into());
-            let mut news = feed::long_poll(&self.mirror, &cursor, wait).await;
+            let mut update = feed::long_poll(&self.mirror, &cursor, wait).await;
             if let Some(replica) = &*self.replica.borrow() {
-                news.neighbours = replica.load_reports().sample_neighbours(Instant::now());
+                update.neighbours = replica.load_reports().sample_neighbours(Instant::now());
             }
-            return Reply::News(news);
+            return Reply::News(update);
         }
         if matches!(request, Request::Age) {
             return feed::age_reply(&self.mirror, Instant::now());
@@ -155,9 +155,9 @@
     /// Counts an attempt and whether it was rejected. Returns the pressure on the replica.
     fn record_attempt(&self, rejected: bool) -> Pressure {
         let now = Instant::now();
-        let mut gauge = self.gauge.lock().unwrap_or_else(PoisonError::into_inner);
-        gauge.record_attempt(rejected, now);
-        gauge.pressure(now)
+        let mut meter = self.meter.lock().unwrap_or_else(PoisonError::into_inner);
+        meter.record_attempt(rejected, now);
+        meter.pressure(now)
     }
 
     fn reject(&self, is_begin: bool) -> Reply {
--- a/crates/gradedyke-turns/src/detour.rs
+++ b/crates/gradedyke-turns/src/detour.rs
@@ -1,8 +1,8 @@
-//! Reaches replicas through other gateways during a network partition.
+//! Reaches replicas through other entries during a network partition.
 //!
-//! A gateway that cannot reach the replicas asks neighbour gateways to forward its requests.
+//! An entry that cannot reach the replicas asks neighbours to forward its requests.
 //! All requests to replicas are idempotent, so the direct call and a forwarded one can run at
-//! the same time. Gateways learn each other's addresses from the replicas in advance.
+//! the same time. Entries learn each other's addresses from the replicas in advance.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -31,7 +31,7 @@
 /// Most neighbours tried for one request, one after the other.
 const MAX_RELAYS: usize = 3;
 
-/// Forwards requests of other gateways to replicas, and serves them changes of the platform's
+/// Forwards requests of other entries to replicas, and serves them changes of the platform's
 /// key-value store.
 pub struct Forwarder {
     quorum: Arc<Quorum>,
@@ -54,9 +54,9 @@
                 let wait = Duration::from_millis(wait_ms.into());
                 return Reply::News(feed::long_poll(self.quorum.mirror(), &cursor, wait).await);
             }
-            _ => return Reply::Failed("a gateway stores no records; ask a replica".to_owned()),
+            _ => return Reply::Failed("an entry stores no records; ask a replica".to_owned()),
         };
-        // Forward to replicas only, so that a gateway is not an open proxy.
+        // Forward to replicas only, so that an entry is not an open proxy.
         let view = self.quorum.view();
         if !view.members.iter().any(|m| m.address == to) {
             return Reply::Failed("the address is not a replica's; refresh the view".to_owned());
--- a/crates/gradedyke-turns/src/feed.rs
+++ b/crates/gradedyke-turns/src/feed.rs
@@ -66,7 +66,7 @@
 /// Calls to the other processes of the deployment.
 #[async_trait]
 pub trait Peers: Send + Sync {
-    /// The address where this process forwards requests of other gateways, if it does.
+    /// The address where this process forwards requests of other entries, if it does.
     fn forwarding_address(&self) -> Option<SocketAddr>;
 
     /// Whether no replica could be reached at the last try.
@@ -77,7 +77,7 @@
     ///
     /// # Errors
     ///
-    /// [`Unanswered`] when the call fails or the reply cannot be decoded.
+    /// [`Error`] when the call fails or the reply cannot be decoded.
     async fn call(
         &self,
         peer: SocketAddr,
@@ -124,7 +124,7 @@
 pub async fn run(
     mirror: Arc<Mirror>,
     peers: Arc<dyn Peers>,
-    reader: Arc<Policy>,
+    policy: Arc<Policy>,
     sources: impl Fn() -> Vec<SocketAddr>,
     stop: CancellationToken,
 ) {
@@ -133,7 +133,7 @@
     loop {
         let candidates = sources();
         let neighbours = neighbours(&mirror, &*peers);
-        if let Some(source) = select_source(&*peers, &reader, &candidates, &neighbours).await {
+        if let Some(source) = select_source(&*peers, &policy, &candidates, &neighbours).await {
             let others = positions.iter_mut().filter(|(other, _)| **other != source);
             others.for_each(|(_, position)| position.discard_listing());
             let position = positions.entry(source).or_default();
@@ -146,7 +146,7 @@
             };
             previous = Some(source);
             tokio::select! {
-                reason = follow(&mirror, &*peers, &reader, &mut session) => match reason {
+                reason = follow(&mirror, &*peers, &policy, &mut session) => match reason {
                     EndReason::Reselect => {}
                     reason => tracing::info!(event = "feed_left", %source, why = reason.name()),
                 },
@@ -160,7 +160,7 @@
     }
 }
 
-/// Returns other gateways to follow while no replica can be reached directly; empty
+/// Returns other entries to follow while no replica can be reached directly; empty
 /// otherwise. Turns continue through forwarded requests then, but API keys are accepted only
 /// while the platform's service confirms them, so the copy has to stay fresh.
 fn neighbours(mirror: &Mirror, peers: &dyn Peers) -> Vec<SocketAddr> {
@@ -187,7 +187,7 @@
 struct Session<'a> {
     source: SocketAddr,
     position: &'a mut Position,
-    /// Whether the source is another gateway, which follows other processes itself.
+    /// Whether the source is another entry, which follows other processes itself.
     is_neighbour: bool,
     /// Whether `feed_joined` has been logged for the source.
     is_logged: bool,
@@ -231,7 +231,7 @@
 /// A process of `neighbours` is returned only if its copy is fresh.
 async fn select_source(
     peers: &dyn Peers,
-    reader: &Policy,
+    policy: &Policy,
     sources: &[SocketAddr],
     neighbours: &[SocketAddr],
 ) -> Option<SocketAddr> {
@@ -246,7 +246,7 @@
     let mut deadline = Instant::now() + CALL_TIMEOUT;
     let mut stale = None;
     while let Ok(Some((source, age))) = tokio::time::timeout_at(deadline, requests.next()).await {
-        if reader.is_fresh(age) {
+        if policy.is_fresh(age) {
             return Some(source);
         }
         if neighbours.contains(&source) {
@@ -279,7 +279,7 @@
 async fn follow(
     mirror: &Mirror,
     peers: &dyn Peers,
-    reader: &Policy,
+    policy: &Policy,
     session: &mut Session<'_>,
 ) -> EndReason {
     let source = session.source;
@@ -309,11 +309,11 @@
             }
         };
         let age = update.age_ms.map(Duration::from_millis);
-        let is_fresh = reader.is_fresh(age);
+        let is_fresh = policy.is_fresh(age);
         let now = Instant::now();
         // A neighbour may itself follow this process, so its answers do not count.
         if !session.is_neighbour {
-            reader.record_update(is_fresh, now);
+            policy.record_update(is_fresh, now);
         }
         let Some(items) = session.position.advance(&update, items) else {
             continue;
--- a/crates/gradedyke-turns/src/feed/policy.rs
+++ b/crates/gradedyke-turns/src/feed/policy.rs
@@ -2,7 +2,7 @@
 //!
 //! Usually only the replicas that watch the service do. The other processes follow them,
 //! and read the service themselves while no replica sends fresh updates, or when their copy
-//! is too old. Updates from another gateway keep a copy fresh but never end the reading,
+//! is too old. Updates from another entry keep a copy fresh but never end the reading,
 //! because they may come from the reading process itself.
 //!
 //! A process starts to read after [`SUPPLY_TIMEOUT_RATIO`] when replicas do not answer, and
@@ -27,7 +27,7 @@
 /// fraction of the same time. The remainder is for one poll interval and one call.
 const MAX_AGE_RATIO: f64 = 0.9;
 
-/// Grace period of a gateway after its start, in which replicas, which may be starting
+/// Grace period of an entry after its start, in which replicas, which may be starting
 /// too, read the service.
 pub const ENTRY_START_GRACE: Duration = Duration::from_secs(2);
 /// Grace period of a replica after its start, in which the seed replicas read the service.
@@ -43,7 +43,7 @@
 #[derive(Debug)]
 pub struct Policy {
     /// The time in which a change must be in force.
-    in_force: Duration,
+    propagation_limit: Duration,
     state: Mutex<State>,
 }
 
@@ -56,22 +56,22 @@
 }
 
 impl Policy {
-    /// Creates the reader of a process that starts at `now` and waits `grace` for the
-    /// first update. A change must be in force after `in_force`.
-    pub fn new(now: Instant, grace: Duration, in_force: Duration) -> Self {
+    /// Creates the policy of a process that starts at `now` and waits `grace` for the
+    /// first update. A change must be in force after `propagation_limit`.
+    pub fn new(now: Instant, grace: Duration, propagation_limit: Duration) -> Self {
         let state = State {
             fresh_at: now + grace,
             answered_at: now + grace,
         };
         Self {
-            in_force,
+            propagation_limit,
             state: Mutex::new(state),
         }
     }
 
     /// Whether a copy of this age is fresh enough to follow.
     pub fn is_fresh(&self, age: Option<Duration>) -> bool {
-        age.is_some_and(|age| age <= self.in_force.mul_f64(STALE_AGE_RATIO))
+        age.is_some_and(|age| age <= self.propagation_limit.mul_f64(STALE_AGE_RATIO))
     }
 
     /// Records an update from a replica, and whether its copy was fresh.
@@ -89,28 +89,28 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use gradedyke_turns::feed::{ENTRY_START, Reader};
+    /// use gradedyke_turns::feed::{ENTRY_START_GRACE, Policy};
     /// use gradedyke_turns::mirror::Need;
     /// use tokio::time::Instant;
     ///
     /// let now = Instant::now();
     /// let after = |ms| now + Duration::from_millis(ms);
     /// let (fresh, stale) = (Some(Duration::from_millis(100)), Some(Duration::from_secs(2)));
-    /// let reader = Reader::new(now, ENTRY_START, Duration::from_secs(2));
-    /// assert_eq!(reader.need(None, now), Need::None);
+    /// let policy = Policy::new(now, ENTRY_START_GRACE, Duration::from_secs(2));
+    /// assert_eq!(policy.need(None, now), Need::None);
     /// // No replica sends updates.
-    /// assert_eq!(reader.need(fresh, after(2_800)), Need::Low);
-    /// assert_eq!(reader.need(stale, after(2_800)), Need::High);
+    /// assert_eq!(policy.need(fresh, after(2_800)), Need::Low);
+    /// assert_eq!(policy.need(stale, after(2_800)), Need::High);
     /// // Replicas send stale updates.
-    /// reader.record_update(false, after(3_000));
-    /// assert_eq!(reader.need(stale, after(3_100)), Need::Low);
-    /// reader.record_update(true, after(3_200));
-    /// assert_eq!(reader.need(fresh, after(3_300)), Need::None);
+    /// policy.record_update(false, after(3_000));
+    /// assert_eq!(policy.need(stale, after(3_100)), Need::Low);
+    /// policy.record_update(true, after(3_200));
+    /// assert_eq!(policy.need(fresh, after(3_300)), Need::None);
     /// ```
     pub fn need(&self, age: Option<Duration>, now: Instant) -> Need {
         let state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-        let timeout = self.in_force.mul_f64(SUPPLY_TIMEOUT_RATIO);
-        let max_age = self.in_force.mul_f64(MAX_AGE_RATIO);
+        let timeout = self.propagation_limit.mul_f64(SUPPLY_TIMEOUT_RATIO);
+        let max_age = self.propagation_limit.mul_f64(MAX_AGE_RATIO);
         let timed_out = |since| now.saturating_duration_since(since) > timeout;
         let too_old = age.map_or(timed_out(state.answered_at), |age| age > max_age);
         match (
--- a/crates/gradedyke-turns/src/load.rs
+++ b/crates/gradedyke-turns/src/load.rs
@@ -1,9 +1,9 @@
-//! Load of each backend server, summed over all gateways.
+//! Load of each backend server, summed over all entries.
 //!
-//! A single gateway sees only its own requests, so several could pick the same server at once
-//! without noticing. Each gateway therefore reports its requests in flight to the replicas
+//! A single entry sees only its own requests, so several could pick the same server at once
+//! without noticing. Each entry therefore reports its requests in flight to the replicas
 //! when it begins an attempt, and the nearest replica replies with the sum over the other
-//! gateways.
+//! entries.
 
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -38,7 +38,7 @@
     pub failures: u32,
     /// Recent requests that completed, successfully or not.
     pub ended: u32,
-    /// Gateways that recently could not reach the server.
+    /// Entries that recently could not reach the server.
     pub unreached: u32,
     /// Recent responses whose speed was measured.
     pub paced: u32,
@@ -46,27 +46,27 @@
     pub pace: u32,
 }
 
-/// Requests that one gateway has in flight.
+/// Requests that one entry has in flight.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Identifies one run of the gateway's process.
+    /// Identifies one run of the entry's process.
     pub entry: u64,
-    /// Where it forwards requests of other gateways, if it does.
+    /// Where it forwards requests of other entries, if it does.
     pub address: Option<SocketAddr>,
     /// Load and recent results of the servers that it uses.
     pub busy: Vec<ServerLoad>,
 }
 
-/// How long a report is counted. Gateways with requests in flight report more often than this.
+/// How long a report is counted. Entries with requests in flight report more often than this.
 const REPORT_TTL: Duration = Duration::from_millis(1_500);
 
-/// How long a gateway is considered running after it was last heard from.
+/// How long an entry is considered running after it was last heard from.
 const NEIGHBOUR_TTL: Duration = Duration::from_secs(20);
-/// Most neighbours named to a gateway. Several, so that probably one of them is reachable during
+/// Most neighbours named to an entry. Several, so that probably one of them is reachable during
 /// a partition.
 const MAX_NEIGHBOURS: usize = 6;
 
-/// The latest reports of all gateways.
+/// The latest reports of all entries.
 #[derive(Debug, Default)]
 pub struct Aggregator {
     reports: HashMap<u64, (Instant, Vec<ServerLoad>)>,
@@ -74,7 +74,7 @@
 }
 
 impl Aggregator {
-    /// Stores a gateway's report, replacing its previous one.
+    /// Stores an entry's report, replacing its previous one.
     pub fn record_report(&mut self, report: Report, now: Instant) {
         self.reports
             .retain(|_, (at, _)| now.saturating_duration_since(*at) < REPORT_TTL);
@@ -82,14 +82,14 @@
         self.record_address(report.address, now);
     }
 
-    /// Records that the gateway at `address` is running.
+    /// Records that the entry at `address` is running.
     pub fn record_address(&mut self, address: Option<SocketAddr>, now: Instant) {
         if let Some(address) = address {
             self.addresses.insert(address, now);
         }
     }
 
-    /// Returns the addresses of some running gateways, chosen at random.
+    /// Returns the addresses of some running entries, chosen at random.
     pub fn sample_neighbours(&mut self, now: Instant) -> Vec<SocketAddr> {
         self.addresses
             .retain(|_, at| now.saturating_duration_since(*at) < NEIGHBOUR_TTL);
@@ -99,25 +99,25 @@
         chosen
     }
 
-    /// Returns the load of each server, summed over all gateways but `gateway`.
+    /// Returns the load of each server, summed over all entries but `entry`.
     ///
     /// ```
-    /// use gradedyke_turns::load::{Board, Busy, Report};
+    /// use gradedyke_turns::load::{Aggregator, Report, ServerLoad};
     ///
     /// let now = tokio::time::Instant::now();
-    /// let busy = |requests| vec![Busy { server: 7, requests, ..Busy::default() }];
-    /// let mut board = Board::default();
-    /// board.put(Report { entry: 1, address: None, busy: busy(2) }, now);
-    /// board.put(Report { entry: 2, address: None, busy: busy(3) }, now);
-    /// assert_eq!(board.others(1, now), busy(3));
+    /// let busy = |requests| vec![ServerLoad { server: 7, requests, ..ServerLoad::default() }];
+    /// let mut aggregator = Aggregator::default();
+    /// aggregator.record_report(Report { entry: 1, address: None, busy: busy(2) }, now);
+    /// aggregator.record_report(Report { entry: 2, address: None, busy: busy(3) }, now);
+    /// assert_eq!(aggregator.total_excluding(1, now), busy(3));
     /// ```
-    pub fn total_excluding(&self, gateway: u64, now: Instant) -> Vec<ServerLoad> {
+    pub fn total_excluding(&self, entry: u64, now: Instant) -> Vec<ServerLoad> {
         let mut sums: HashMap<ServerHash, ServerLoad> = HashMap::new();
         let is_fresh = |at: Instant| now.saturating_duration_since(at) < REPORT_TTL;
         let others = self
             .reports
             .iter()
-            .filter(|(id, (at, _))| **id != gateway && is_fresh(*at));
+            .filter(|(id, (at, _))| **id != entry && is_fresh(*at));
         for busy in others.flat_map(|(_, (_, busy))| busy) {
             let sum = sums.entry(busy.server).or_default();
             sum.server = busy.server;
--- a/crates/gradedyke-turns/src/log/table.rs
+++ b/crates/gradedyke-turns/src/log/table.rs
@@ -65,12 +65,12 @@
     /// Sorts the entries for lookup.
     ///
     /// ```
-    /// use gradedyke_turns::log::{Outline, Place, Table};
+    /// use gradedyke_turns::log::{Location, Outline, Table};
     /// use gradedyke_turns::record::{Id, Kind};
     ///
     /// let mut table = Table::default();
     /// let outline = Outline { kind: Kind::Turn, request: "r", program: Some("p") };
-    /// let location = Place { segment: 3, offset: 100, len: 20 };
+    /// let location = Location { segment: 3, offset: 100, len: 20 };
     /// table.insert(&outline, location);
     /// table.sort();
     /// assert_eq!(table.find_program(3, &Id::parse("p").unwrap()), [location]);
--- a/crates/gradedyke-turns/src/membership/mod.rs
+++ b/crates/gradedyke-turns/src/membership/mod.rs
@@ -53,7 +53,7 @@
     config: Config,
     replica: Arc<Replica>,
     kv: Arc<dyn KeyValue>,
-    removal: Arc<dyn Retirement>,
+    retirement: Arc<dyn Retirement>,
     followers: HashMap<(DiskId, SocketAddr), FollowerHandle>,
     tasks: JoinSet<()>,
     /// The retirement status last written for the operator.
@@ -89,13 +89,13 @@
         config: Config,
         replica: Arc<Replica>,
         kv: Arc<dyn KeyValue>,
-        removal: Arc<dyn Retirement>,
+        retirement: Arc<dyn Retirement>,
     ) -> Self {
         Self {
             config,
             replica,
             kv,
-            removal,
+            retirement,
             followers: HashMap::new(),
             tasks: JoinSet::new(),
             reported_done: None,
@@ -129,7 +129,7 @@
         if mirror.age(Instant::now()).is_none() {
             return;
         }
-        let retiring = self.removal.retiring_instances(&mirror);
+        let retiring = self.retirement.retiring_instances(&mirror);
         let now = Instant::now();
         let must_leave = retiring.contains(&self.config.name);
         self.leave_since = must_leave.then(|| self.leave_since.unwrap_or(now));
@@ -287,7 +287,7 @@
         if self.reported_done == Some(done) {
             return;
         }
-        let (key, value) = self.removal.retire_status(&self.config.name, done);
+        let (key, value) = self.retirement.retire_status(&self.config.name, done);
         let written = write(&*self.kv, key, value).await;
         match written {
             Ok(()) => {
--- a/crates/gradedyke-turns/src/message.rs
+++ b/crates/gradedyke-turns/src/message.rs
@@ -25,7 +25,7 @@
     /// The turn that is continued.
     pub parent: Option<Id>,
     /// Whether this replica is the nearest one. It then also returns the whole conversation
-    /// and the load of other gateways.
+    /// and the load of other entries.
     pub nearest: bool,
     /// The sender's requests in progress.
     pub load: Report,
@@ -44,7 +44,7 @@
     Hello,
     /// Asks how old the copy of the platform's key-value service is.
     Age,
-    /// Asks a gateway to forward a request to a replica.
+    /// Asks an entry to forward a request to a replica.
     Via {
         /// The replica's address.
         to: SocketAddr,
@@ -84,7 +84,7 @@
         cursor: Cursor,
         /// How long to wait for a change, in milliseconds.
         wait_ms: u32,
-        /// The address where the sender forwards requests of other gateways, if it does.
+        /// The address where the sender forwards requests of other entries, if it does.
         address: Option<SocketAddr>,
     },
     /// Stores several records. The request fails unless all are stored.
@@ -137,7 +137,7 @@
         attempts: Vec<Attempt>,
         /// The conversation, if the turn continues one.
         parent: Option<Found>,
-        /// The requests that other gateways have in progress, if this replica is the nearest.
+        /// The requests that other entries have in progress, if this replica is the nearest.
         load: Option<Vec<ServerLoad>>,
         /// The client account's usage, if the request asked for it.
         usage: Option<Total>,
--- a/crates/gradedyke-turns/src/mirror.rs
+++ b/crates/gradedyke-turns/src/mirror.rs
@@ -92,7 +92,7 @@
     pub asked_ms: Option<i64>,
     /// Milliseconds for which the service has answered without a failure.
     pub steady_ms: u64,
-    /// Addresses of some running gateways.
+    /// Addresses of some running entries.
     pub neighbours: Vec<SocketAddr>,
 }
 
@@ -182,7 +182,7 @@
         self.lock().earliest(&self.prefixes, |p| p.requested_at)
     }
 
-    /// Returns the addresses of some running gateways, as last received.
+    /// Returns the addresses of some running entries, as last received.
     pub fn neighbours(&self) -> Vec<SocketAddr> {
         self.lock().neighbours.clone()
     }
@@ -277,7 +277,7 @@
             0
         };
         let page = state.page(after, above);
-        let through = state
+        let complete_revision = state
             .complete_revision(&self.prefixes)
             .filter(|_| !page.more);
         let ms = |d: Duration| u64::try_from(d.as_millis()).unwrap_or(u64::MAX);
@@ -288,8 +288,8 @@
             items: page.items,
             listing,
             more: page.more,
-            complete_revision: through,
-            whole: through.filter(|_| listing && !covered),
+            complete_revision,
+            whole: complete_revision.filter(|_| listing && !covered),
             age_ms: state.confirmed_at(&self.prefixes).map(ms_since),
             asked_ms: state
                 .earliest(&self.prefixes, |p| p.requested_at)
--- a/crates/gradedyke-turns/src/mirror/follow.rs
+++ b/crates/gradedyke-turns/src/mirror/follow.rs
@@ -46,24 +46,24 @@
 
 /// When to call again after failed calls.
 struct Retry {
-    pace: Timing,
+    timing: Timing,
     backoff: Backoff,
     next_if_high: Option<Instant>,
     next_if_low: Option<Instant>,
 }
 
 impl Retry {
-    fn new(pace: Timing) -> Self {
+    fn new(timing: Timing) -> Self {
         Self {
-            pace,
-            backoff: Backoff::endless(pace.initial_max_delay, pace.max_delay),
+            timing,
+            backoff: Backoff::endless(timing.initial_max_delay, timing.max_delay),
             next_if_high: None,
             next_if_low: None,
         }
     }
 
     fn reset(&mut self) {
-        *self = Self::new(self.pace);
+        *self = Self::new(self.timing);
     }
 
     /// Records the failure of a read that started at `started`. The delay counts from there,
@@ -71,7 +71,7 @@
     fn record_failure(&mut self, started: Instant) {
         let delay = self.backoff.step(rand::random());
         let low_need_delay = self
-            .pace
+            .timing
             .low_need_max_delay
             .mul_f64(rand::random_range(0.5..1.0));
         self.next_if_high = Some(started + delay);
@@ -94,10 +94,10 @@
     kv: Arc<dyn KeyValue>,
     prefix: String,
     need: impl Fn() -> Need,
-    pace: Timing,
+    timing: Timing,
     stop: CancellationToken,
 ) {
-    let mut retry = Retry::new(pace);
+    let mut retry = Retry::new(timing);
     loop {
         let current_need = need();
         if current_need == Need::None {
@@ -113,7 +113,7 @@
                 retry.record_failure(started);
             }
         }
-        let interval = pace.poll_interval.mul_f64(rand::random_range(0.5..1.5));
+        let interval = timing.poll_interval.mul_f64(rand::random_range(0.5..1.5));
         tokio::select! {
             () = tokio::time::sleep(interval) => {}
             () = stop.cancelled() => return,
@@ -131,7 +131,7 @@
 ) -> Result<(), Error> {
     let through = mirror.prefix_revision(prefix);
     let (start, requested_at) =
-        start_with_hedging(kv, prefix, through, retry.pace.hedge_delay).await?;
+        start_with_hedging(kv, prefix, through, retry.timing.hedge_delay).await?;
     if matches!(start, ReadStart::Compacted) && need() != Need::High {
         // A process with a high need lists the prefix; listings by all would overload the
         // service.
@@ -140,7 +140,7 @@
         return Ok(());
     }
     let (start, requested_at) = match start {
-        ReadStart::Compacted => start_with_hedging(kv, prefix, 0, retry.pace.hedge_delay).await?,
+        ReadStart::Compacted => start_with_hedging(kv, prefix, 0, retry.timing.hedge_delay).await?,
         start => (start, requested_at),
     };
     let now = Instant::now();
--- a/crates/gradedyke-turns/src/mirror/packed.rs
+++ b/crates/gradedyke-turns/src/mirror/packed.rs
@@ -24,8 +24,8 @@
 ///
 /// let item = Item { key: "key".to_owned(), value: None, revision: 3 };
 /// let packed = Packed::from(vec![item.clone()]);
-/// assert_eq!(packed.unpack().unwrap(), [item]);
-/// assert!(Packed::default().unpack().unwrap().is_empty());
+/// assert_eq!(packed.decode().unwrap(), [item]);
+/// assert!(Packed::default().decode().unwrap().is_empty());
 /// ```
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Packed {
--- a/crates/gradedyke-turns/src/pressure.rs
+++ b/crates/gradedyke-turns/src/pressure.rs
@@ -1,7 +1,7 @@
 //! Backpressure: the share of attempts that a replica rejected recently.
 //!
-//! A single gateway sees too few attempts to measure this. Replicas therefore report it with
-//! each reply, and gateways admit fewer new programs while it is high.
+//! A single entry sees too few attempts to measure this. Replicas therefore report it with
+//! each reply, and entries admit fewer new programs while it is high.
 
 use std::time::Duration;
 
@@ -53,12 +53,12 @@
     /// Counts an attempt and whether it was `rejected`.
     ///
     /// ```
-    /// use gradedyke_turns::pressure::Gauge;
+    /// use gradedyke_turns::pressure::Meter;
     ///
     /// let now = tokio::time::Instant::now();
-    /// let mut gauge = Gauge::default();
-    /// (0..20).for_each(|number| gauge.count(number % 2 == 0, now));
-    /// assert!((gauge.pressure(now).share() - 0.5).abs() < 0.01);
+    /// let mut meter = Meter::default();
+    /// (0..20).for_each(|number| meter.record_attempt(number % 2 == 0, now));
+    /// assert!((meter.pressure(now).share() - 0.5).abs() < 0.01);
     /// ```
     pub fn record_attempt(&mut self, rejected: bool, now: Instant) {
         self.attempts.increment(COUNT_HALF_LIFE, now);
--- a/crates/gradedyke-turns/src/quorum.rs
+++ b/crates/gradedyke-turns/src/quorum.rs
@@ -85,9 +85,9 @@
     pub parent: Option<Id>,
     /// Whether this is believed to be the program's first turn.
     pub is_first_turn: bool,
-    /// Requests that this gateway has in flight.
+    /// Requests that this entry has in flight.
     pub load: Report,
-    /// Usage that this gateway admitted for client accounts, if the turn belongs to one.
+    /// Usage that this entry admitted for client accounts, if the turn belongs to one.
     pub usage: Option<usage::Report>,
     /// Timeout of one try.
     pub try_timeout: Duration,
@@ -99,8 +99,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct BeginResponse {
     /// The conversation up to the parent turn.
-    pub chain: Option<Transcript>,
-    /// Requests that other gateways have in flight, if the nearest replica reported them.
+    pub transcript: Option<Transcript>,
+    /// Requests that other entries have in flight, if the nearest replica reported them.
     pub load: Option<Vec<ServerLoad>>,
     /// Total usage of the client account, if requested.
     pub usage: Option<Total>,
@@ -116,7 +116,7 @@
     view: watch::Sender<View>,
     /// When the majority was lost; `None` while a majority answers.
     quorum_lost_since: Mutex<Option<Instant>>,
-    /// The address where this process forwards requests for other gateways, if it does.
+    /// The address where this process forwards requests for other entries, if it does.
     forwarding_address: Option<SocketAddr>,
     /// Random per process, so that processes order equally distant members differently.
     tie_break_salt: u64,
@@ -173,7 +173,7 @@
 
 impl Quorum {
     /// Creates a client of the replicas in `mirror`'s view, for a process in `data_centre`.
-    /// `forwarding_address` is where this process forwards requests for other gateways.
+    /// `forwarding_address` is where this process forwards requests for other entries.
     pub fn new(
         mirror: Arc<Mirror>,
         data_centre: &str,
@@ -196,7 +196,7 @@
         })
     }
 
-    /// Returns the address where this process forwards requests for other gateways, if it does.
+    /// Returns the address where this process forwards requests for other entries, if it does.
     pub fn forwarding_address(&self) -> Option<SocketAddr> {
         self.forwarding_address
     }
@@ -331,7 +331,7 @@
         }
     }
 
-    /// Sort key of a member: own data centre first, then random per process, so that gateways
+    /// Sort key of a member: own data centre first, then random per process, so that entries
     /// in a data centre without members do not all pick the same member.
     fn distance(&self, member: &Member) -> (bool, u64) {
         let is_remote = member.data_centre != self.data_centre;
--- a/crates/gradedyke-turns/src/quorum/begin.rs
+++ b/crates/gradedyke-turns/src/quorum/begin.rs
@@ -34,7 +34,7 @@
     ///
     /// # Errors
     ///
-    /// Any [`Refusal`]. A reservation that replicas may have stored is settled as unused in
+    /// Any [`Error`]. A reservation that replicas may have stored is settled as unused in
     /// the background.
     pub async fn begin(&self, params: &BeginParams) -> Result<BeginResponse, Error> {
         let mut maybe_reserved = false;
@@ -201,8 +201,8 @@
                 ..BeginResponse::default()
             });
         }
-        let chain = match (collected.chain, collected.holder) {
-            (Some(chain), _) => Ok(chain),
+        let transcript = match (collected.transcript, collected.holder) {
+            (Some(transcript), _) => Ok(transcript),
             (None, Some(holder)) => self
                 .fetch_conversation(&holder, params)
                 .await
@@ -212,8 +212,8 @@
             }
             (None, None) => Err(Error::Indeterminate),
         };
-        chain.map(|chain| BeginResponse {
-            chain: Some(chain),
+        transcript.map(|transcript| BeginResponse {
+            transcript: Some(transcript),
             load,
             usage,
             ..BeginResponse::default()
@@ -231,7 +231,7 @@
         let call = client.call(message::encode(&request), CALL_TIMEOUT);
         let reply = tokio::time::timeout(params.try_timeout, call).await.ok()?;
         match message::decode(&reply?)? {
-            Reply::Chain(chain) => chain,
+            Reply::Chain(transcript) => transcript,
             _ => None,
         }
     }
--- a/crates/gradedyke-turns/src/quorum/gathered.rs
+++ b/crates/gradedyke-turns/src/quorum/gathered.rs
@@ -31,7 +31,7 @@
     /// All known attempts of the program.
     attempts: HashMap<Id, Attempt>,
     /// The conversation up to the parent turn.
-    pub(super) chain: Option<Transcript>,
+    pub(super) transcript: Option<Transcript>,
     /// A member that has the parent turn but did not send the conversation.
     pub(super) holder: Option<Member>,
     /// Members that do not have the parent turn.
@@ -40,7 +40,7 @@
     pub(super) starting: bool,
     /// Whether a member is overloaded.
     pub(super) busy: bool,
-    /// Requests that other gateways have in flight.
+    /// Requests that other entries have in flight.
     pub(super) load: Option<Vec<ServerLoad>>,
     /// Pressure of each member that reported it.
     pressures: Vec<Pressure>,
@@ -59,7 +59,7 @@
             not_executed: 0,
             answered: 0,
             attempts: HashMap::new(),
-            chain: None,
+            transcript: None,
             holder: None,
             missing: 0,
             starting: false,
@@ -96,7 +96,7 @@
 
     /// Returns whether no further reply is needed or expected.
     pub(super) fn is_complete(&self, params: &BeginParams) -> bool {
-        let has_parent = params.parent.is_none() || self.chain.is_some();
+        let has_parent = params.parent.is_none() || self.transcript.is_some();
         self.has_quorum() && has_parent || self.finished == self.member_count
     }
 
@@ -149,7 +149,7 @@
 
     fn record_parent(&mut self, member: &Member, parent: Option<Found>) {
         match parent {
-            Some(Found::Whole(chain)) => self.chain = Some(chain),
+            Some(Found::Whole(transcript)) => self.transcript = Some(transcript),
             Some(Found::Here) => self.holder = Some(member.clone()),
             Some(Found::Missing) => self.missing += 1,
             None => {}
--- a/crates/gradedyke-turns/src/quorum/keep.rs
+++ b/crates/gradedyke-turns/src/quorum/keep.rs
@@ -24,13 +24,13 @@
     ///
     /// # Errors
     ///
-    /// [`Refusal::NoQuorum`] if no majority acknowledged by `until`; replicas may have stored
+    /// [`Error::NoQuorum`] if no majority acknowledged by the deadline; replicas may have stored
     /// the record nevertheless.
     pub async fn store(
         &self,
         record: &Record,
         usage: Option<&usage::Report>,
-        until: Instant,
+        deadline: Instant,
     ) -> Result<Option<Total>, Error> {
         let mut backoff = Backoff::endless(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
         loop {
@@ -41,8 +41,8 @@
                 usage: usage.cloned(),
             });
             metrics::counter!("gradedyke_kept_tries_total").increment(1);
-            match self.send_to_quorum(&view, request, until).await {
-                Some(Err(_)) if Instant::now() < until => {
+            match self.send_to_quorum(&view, request, deadline).await {
+                Some(Err(_)) if Instant::now() < deadline => {
                     tokio::time::sleep(backoff.step(rand::random())).await;
                 }
                 Some(result) => return result,
@@ -56,16 +56,16 @@
     ///
     /// # Errors
     ///
-    /// [`Refusal::NoQuorum`] if no majority answered by `until`, [`Refusal::Unsure`] if the
+    /// [`Error::NoQuorum`] if no majority answered by the deadline, [`Error::Indeterminate`] if the
     /// view was stale.
     pub async fn report_usage(
         &self,
         report: &usage::Report,
-        until: Instant,
+        deadline: Instant,
     ) -> Result<Option<Total>, Error> {
         let request = message::encode(&Request::Usage(report.clone()));
         let view = self.view();
-        let result = self.send_to_quorum(&view, request, until).await;
+        let result = self.send_to_quorum(&view, request, deadline).await;
         result.unwrap_or(Err(Error::Indeterminate))
     }
 
@@ -75,12 +75,12 @@
         &self,
         view: &View,
         request: Bytes,
-        until: Instant,
+        deadline: Instant,
     ) -> Option<Result<Option<Total>, Error>> {
         let mut collected = CollectedReplies::new(view);
         let mut replies = self.send_to_all(view, |_| request.clone());
         while !collected.has_quorum() {
-            let next = tokio::time::timeout_at(until, replies.receiver.recv()).await;
+            let next = tokio::time::timeout_at(deadline, replies.receiver.recv()).await;
             let Ok(Some((member, reply))) = next else {
                 break;
             };
--- a/crates/gradedyke-turns/src/quorum/settle.rs
+++ b/crates/gradedyke-turns/src/quorum/settle.rs
@@ -137,8 +137,8 @@
                 view: view.version,
                 records: records.clone(),
             });
-            let until = Instant::now() + CALL_TIMEOUT;
-            if let Some(result) = self.send_to_quorum(&view, request, until).await {
+            let deadline = Instant::now() + CALL_TIMEOUT;
+            if let Some(result) = self.send_to_quorum(&view, request, deadline).await {
                 return result.map(|_| ());
             }
         }
--- a/crates/gradedyke-turns/src/record.rs
+++ b/crates/gradedyke-turns/src/record.rs
@@ -38,8 +38,8 @@
     /// use gradedyke_turns::record::Id;
     ///
     /// let id = |text| Id::parse(text).unwrap();
-    /// assert_ne!(id("t").within(&id("a")), id("t").within(&id("b")));
-    /// assert_eq!(Id::parse(id("t").within(&id("a")).as_str()), None);
+    /// assert_ne!(id("t").scoped_to(&id("a")), id("t").scoped_to(&id("b")));
+    /// assert_eq!(Id::parse(id("t").scoped_to(&id("a")).as_str()), None);
     /// ```
     #[must_use]
     pub fn scoped_to(&self, scope: &Id) -> Self {
--- a/crates/gradedyke-turns/src/recovery.rs
+++ b/crates/gradedyke-turns/src/recovery.rs
@@ -54,8 +54,8 @@
             if !looked_up.insert(missing.clone()) {
                 return Ok(());
             }
-            let places = self.archive().find_turn(&missing);
-            let loaded = self.load_records(places).await?;
+            let locations = self.pending_segments().find_turn(&missing);
+            let loaded = self.load_records(locations).await?;
             // The preceding turns usually belong to the same program.
             for record in loaded {
                 if let Record::Turn(Turn { program, .. }) = record
@@ -69,22 +69,22 @@
 
     /// Loads all records of a program.
     async fn load_program(&self, program: &Id) -> Result<(), log::Error> {
-        let places = self.archive().find_program(program);
-        self.load_records(places).await?;
-        self.archive().mark_indexed(program);
+        let locations = self.pending_segments().find_program(program);
+        self.load_records(locations).await?;
+        self.pending_segments().mark_indexed(program);
         Ok(())
     }
 
-    /// Reads the records at `places`, adds them to the index and returns them.
-    async fn load_records(&self, places: Vec<Location>) -> Result<Vec<Record>, log::Error> {
-        if places.is_empty() {
+    /// Reads the records at `locations`, adds them to the index and returns them.
+    async fn load_records(&self, locations: Vec<Location>) -> Result<Vec<Record>, log::Error> {
+        if locations.is_empty() {
             return Ok(Vec::new());
         }
-        let records = self.read(places.clone()).await?;
+        let records = self.read(locations.clone()).await?;
         let now = Instant::now();
         let mut index = self.index();
-        for (record, place) in records.iter().zip(places) {
-            index.apply_stored(record, place, true, now);
+        for (record, location) in records.iter().zip(locations) {
+            index.apply_stored(record, location, true, now);
         }
         Ok(records)
     }
@@ -93,9 +93,9 @@
     fn index_batch(&self, batch: &[(Record, Location)]) {
         let now = Instant::now();
         let mut index = self.index();
-        for (record, place) in batch {
+        for (record, location) in batch {
             // Bodies aren't held in memory until a request needs them.
-            index.apply_stored(record, *place, false, now);
+            index.apply_stored(record, *location, false, now);
         }
     }
 
@@ -103,7 +103,7 @@
     pub async fn recover(self: Arc<Self>) {
         let mut records = 0;
         loop {
-            let Some(segment) = self.archive().newest_segment() else {
+            let Some(segment) = self.pending_segments().newest_segment() else {
                 break;
             };
             let log = self.log.clone();
@@ -123,7 +123,7 @@
                 self.index_batch(batch);
                 tokio::time::sleep(BATCH_PAUSE).await;
             }
-            self.archive().remove_segment(segment);
+            self.pending_segments().remove_segment(segment);
         }
         self.recovered.send_replace(true);
         let (turns, programs) = self.index().counts();
--- a/crates/gradedyke-turns/src/replica.rs
+++ b/crates/gradedyke-turns/src/replica.rs
@@ -43,7 +43,7 @@
     run_id: u64,
     pub(crate) log: Log,
     index: Mutex<Index>,
-    archive: Mutex<Segments>,
+    pending_segments: Mutex<Segments>,
     /// Whether all records on disk are in the index.
     pub(crate) recovered: watch::Sender<bool>,
     /// The position after the record that was last written to disk.
@@ -112,15 +112,15 @@
         let index = Index::new(index::MAX_CACHED_BODY_BYTES);
         let (log, tables) = Log::open(folder)?;
         tracing::info!(event = "disk_opened", segments = tables.len());
-        let archive = Segments::new(tables);
+        let pending_segments = Segments::new(tables);
         Ok(Arc::new(Self {
             disk,
             run_id: rand::random(),
             log,
             arrivals_end: watch::Sender::new(index.end_position()),
             index: Mutex::new(index),
-            recovered: watch::Sender::new(archive.is_empty()),
-            archive: Mutex::new(archive),
+            recovered: watch::Sender::new(pending_segments.is_empty()),
+            pending_segments: Mutex::new(pending_segments),
             view: watch::Sender::new(View::default()),
             follower_positions: Mutex::default(),
             load_reports: Mutex::default(),
@@ -145,8 +145,10 @@
         self.index.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn archive(&self) -> MutexGuard<'_, Segments> {
-        self.archive.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(crate) fn pending_segments(&self) -> MutexGuard<'_, Segments> {
+        self.pending_segments
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Whether all records on disk have been loaded.
@@ -197,11 +199,11 @@
             index.end_position()
         };
         // Written even if the index has the record, which may not be on disk yet.
-        let place = self.log.append(record).await.inspect_err(|error| {
+        let location = self.log.append(record).await.inspect_err(|error| {
             tracing::error!(event = "replica_stops", %error);
             self.stop.cancel();
         })?;
-        self.index().set_location(&key, place);
+        self.index().set_location(&key, location);
         self.arrivals_end.send_replace(end);
         Ok(())
     }
@@ -257,7 +259,7 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Adds usage that an entry process reported, and returns the total of the client
+    /// Adds usage that an entry reported, and returns the total of the client
     /// account that it asks for.
     fn apply_usage_report(&self, report: usage::Report) -> Total {
         let now = Instant::now();
@@ -267,14 +269,14 @@
         reports.total(asked, now)
     }
 
-    /// Updates the load that an entry process reported. Returns the load of the other
-    /// entry processes if `wants_others`.
+    /// Updates the load that an entry reported. Returns the load of the other
+    /// entries if `wants_others`.
     fn apply_load_report(&self, report: Report, wants_others: bool) -> Option<Vec<ServerLoad>> {
         let now = Instant::now();
         let entry = report.entry;
-        let mut board = self.load_reports();
-        board.record_report(report, now);
-        wants_others.then(|| board.total_excluding(entry, now))
+        let mut aggregator = self.load_reports();
+        aggregator.record_report(report, now);
+        wants_others.then(|| aggregator.total_excluding(entry, now))
     }
 
     /// Looks up a turn, with its conversation if `with_conversation`.
@@ -285,19 +287,19 @@
         if !with_conversation {
             return Found::Here;
         }
-        let chain = self.chain(id).await;
-        chain.map_or(Found::Here, Found::Whole)
+        let transcript = self.transcript(id).await;
+        transcript.map_or(Found::Here, Found::Whole)
     }
 
     async fn chain_reply(&self, id: &Id) -> Reply {
         match self.load_for_request(None, Some(id)).await {
-            Ok(()) => Reply::Chain(self.chain(id).await),
+            Ok(()) => Reply::Chain(self.transcript(id).await),
             Err(error) => Reply::Failed(error.to_string()),
         }
     }
 
     /// Returns the conversation up to and including a turn, if all of it is here.
-    async fn chain(&self, id: &Id) -> Option<Transcript> {
+    async fn transcript(&self, id: &Id) -> Option<Transcript> {
         let conversation = self.index().conversation(id)?;
         let stored = conversation.disk_locations();
         if stored.is_empty() {
@@ -305,14 +307,14 @@
         }
         let records = self.try_read(stored).await?;
         let bodies: Vec<Body> = records.into_iter().filter_map(turn_body).collect();
-        let chain = conversation.transcript(&bodies);
+        let transcript = conversation.transcript(&bodies);
         let parts = conversation.parts.iter();
         let read_parts = parts.filter(|(_, part)| matches!(part, Part::OnDisk(_)));
         let mut index = self.index();
         for ((request, _), body) in read_parts.zip(bodies) {
             index.cache_body(request, body);
         }
-        chain
+        transcript
     }
 
     /// Reads records from disk on a blocking thread.
@@ -320,16 +322,16 @@
     /// # Errors
     ///
     /// [`log::Error::Read`] if a record is missing or damaged.
-    pub(crate) async fn read(&self, places: Vec<Location>) -> Result<Vec<Record>, log::Error> {
+    pub(crate) async fn read(&self, locations: Vec<Location>) -> Result<Vec<Record>, log::Error> {
         let log = self.log.clone();
-        let result = tokio::task::spawn_blocking(move || log.read(&places)).await;
+        let result = tokio::task::spawn_blocking(move || log.read(&locations)).await;
         // The task is cancelled only when the runtime shuts down.
         result.unwrap_or_else(|error| Err(log::Error::Read(std::io::Error::other(error))))
     }
 
     /// Reads records from disk; logs a failure and returns `None`.
-    async fn try_read(&self, places: Vec<Location>) -> Option<Vec<Record>> {
-        let result = self.read(places).await;
+    async fn try_read(&self, locations: Vec<Location>) -> Option<Vec<Record>> {
+        let result = self.read(locations).await;
         let result = result.inspect_err(|error| {
             tracing::warn!(event = "record_not_read", %error);
         });
@@ -346,7 +348,7 @@
             for answer in keys.iter().filter_map(|k| index.record(k, now)) {
                 match answer {
                     Lookup::InMemory(record) => records.push(record),
-                    Lookup::OnDisk(place) => stored.push(place),
+                    Lookup::OnDisk(location) => stored.push(location),
                 }
             }
         }
--- a/crates/gradedyke-turns/src/snapshot.rs
+++ b/crates/gradedyke-turns/src/snapshot.rs
@@ -5,8 +5,8 @@
 //! requests can be served from the snapshot of the mirror. It is marked as outdated,
 //! and any newer copy replaces it.
 //!
-//! Usage is what the entry processes reported in the last window. They report it
-//! again when only replicas restart. If all entry processes were lost too, client
+//! Usage is what the entries reported in the last window. They report it
+//! again when only replicas restart. If all entries were lost too, client
 //! accounts could exceed their limits without the snapshot.
 
 use std::fs;
--- a/crates/gradedyke-turns/src/usage.rs
+++ b/crates/gradedyke-turns/src/usage.rs
@@ -1,16 +1,16 @@
-//! Recent usage of each client account, summed over all gateways.
+//! Recent usage of each client account, summed over all entries.
 //!
-//! An account's allowance applies to all gateways together, while each gateway sees only its
-//! own requests. With the requests that begin and end a turn, a gateway therefore reports to
+//! An account's allowance applies to all entries together, while each entry sees only its
+//! own requests. With the requests that begin and end a turn, an entry therefore reports to
 //! the replicas what it admitted in the last window, for the accounts of these turns and for
-//! those whose usage has risen. Each replica replies with the sum over all gateways, and the
-//! gateway uses the greatest sum.
+//! those whose usage has risen. Each replica replies with the sum over all entries, and the
+//! entry uses the greatest sum.
 //!
-//! A report covers the gateway's whole window, so a restarted replica is soon up to date, and
+//! A report covers the entry's whole window, so a restarted replica is soon up to date, and
 //! it also saves the reports on disk. A replica that lost its disk returns a sum that is too
 //! low, which does not matter as long as another one returns the right sum.
 //!
-//! Two alternatives were rejected: a fixed share of the allowance for each gateway refuses
+//! Two alternatives were rejected: a fixed share of the allowance for each entry refuses
 //! requests within the allowance when demand is uneven, and an owner for each account that
 //! grants batches costs a call for each request and loses the usage when it changes.
 
@@ -33,12 +33,12 @@
     hasher.finish()
 }
 
-/// Number of parts into which a window is divided. Usage expires part by part, so a sum may
-/// still include usage that is up to two parts older than the window.
+/// Number of buckets into which a window is divided. Usage expires bucket by bucket, so a sum may
+/// still include usage that is up to two buckets older than the window.
 pub const BUCKETS_PER_WINDOW: u32 = 20;
 
-/// Number of parts that are reported: those of a window and the one in progress.
-const REPORTED_PARTS: usize = BUCKETS_PER_WINDOW as usize + 1;
+/// Number of buckets that are reported: those of a window and the one in progress.
+const REPORTED_BUCKETS: usize = BUCKETS_PER_WINDOW as usize + 1;
 
 /// Usage of an account.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -65,21 +65,22 @@
     }
 }
 
-/// The requests that one gateway admitted for an account in the last window.
+/// The requests that one entry admitted for an account in the last window.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
     /// The account.
     pub account: AccountHash,
-    /// Usage by part of the window, the latest first. Missing parts at the end are zero.
-    pub parts: Vec<Total>,
+    /// Usage by bucket of the window, the latest first. Missing buckets at the end are zero.
+    #[serde(rename = "parts")]
+    pub buckets: Vec<Total>,
 }
 
-/// A gateway's usage report to a replica.
+/// An entry's usage report to a replica.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Random identifier of the gateway's process run.
+    /// Random identifier of the entry's process run.
     pub entry: u64,
-    /// Length of a part, in milliseconds.
+    /// Length of a bucket, in milliseconds.
     pub part_ms: u32,
     /// The account whose total the replica returns.
     pub asked: AccountHash,
@@ -87,162 +88,164 @@
     pub rows: Vec<Row>,
 }
 
-/// Counts one account's usage through one gateway in a sliding window.
+/// Counts one account's usage through one entry in a sliding window.
 #[derive(Clone, Debug, Default)]
 pub struct Counter {
-    /// Sequence number of the latest part.
+    /// Sequence number of the latest bucket.
     latest: u64,
-    /// The latest part first.
-    parts: std::collections::VecDeque<Total>,
+    /// The latest bucket first.
+    buckets: std::collections::VecDeque<Total>,
 }
 
 impl Counter {
-    /// Adds `amount` to the part with the sequence number `part`, which may be a past one.
-    pub fn add(&mut self, part: u64, amount: Total) {
-        self.advance_to(part);
-        if let Some(total) = self.part_mut(part) {
+    /// Adds `amount` to the bucket with the sequence number `bucket`, which may be a past one.
+    pub fn add(&mut self, bucket: u64, amount: Total) {
+        self.advance_to(bucket);
+        if let Some(total) = self.bucket_mut(bucket) {
             total.add(amount);
         }
     }
 
-    /// Subtracts `amount` from a part, to which it was added before.
-    pub fn subtract(&mut self, part: u64, amount: Total) {
-        if let Some(total) = self.part_mut(part) {
+    /// Subtracts `amount` from a bucket, to which it was added before.
+    pub fn subtract(&mut self, bucket: u64, amount: Total) {
+        if let Some(total) = self.bucket_mut(bucket) {
             total.requests = total.requests.saturating_sub(amount.requests);
             total.planned = total.planned.saturating_sub(amount.planned);
         }
     }
 
-    fn part_mut(&mut self, part: u64) -> Option<&mut Total> {
-        let index = usize::try_from(self.latest.checked_sub(part)?).ok()?;
-        self.parts.get_mut(index)
+    fn bucket_mut(&mut self, bucket: u64) -> Option<&mut Total> {
+        let index = usize::try_from(self.latest.checked_sub(bucket)?).ok()?;
+        self.buckets.get_mut(index)
     }
 
-    fn advance_to(&mut self, part: u64) {
-        let new_parts = part.saturating_sub(self.latest).min(REPORTED_PARTS as u64);
-        for _ in 0..new_parts {
-            self.parts.push_front(Total::default());
+    fn advance_to(&mut self, bucket: u64) {
+        let new_buckets = bucket
+            .saturating_sub(self.latest)
+            .min(REPORTED_BUCKETS as u64);
+        for _ in 0..new_buckets {
+            self.buckets.push_front(Total::default());
         }
-        if self.parts.is_empty() {
-            self.parts.push_front(Total::default());
+        if self.buckets.is_empty() {
+            self.buckets.push_front(Total::default());
         }
-        self.parts.truncate(REPORTED_PARTS);
-        self.latest = self.latest.max(part);
+        self.buckets.truncate(REPORTED_BUCKETS);
+        self.latest = self.latest.max(bucket);
     }
 
-    /// Returns the parts of the window that ends in `part`, the latest first, without empty
-    /// parts at the end.
-    pub fn window_buckets(&mut self, part: u64) -> Vec<Total> {
-        self.advance_to(part);
+    /// Returns the buckets of the window that ends in `bucket`, the latest first, without empty
+    /// buckets at the end.
+    pub fn window_buckets(&mut self, bucket: u64) -> Vec<Total> {
+        self.advance_to(bucket);
         let is_used = |total: &Total| *total != Total::default();
-        let end = self.parts.iter().rposition(is_used).map_or(0, |i| i + 1);
-        self.parts.iter().take(end).copied().collect()
+        let end = self.buckets.iter().rposition(is_used).map_or(0, |i| i + 1);
+        self.buckets.iter().take(end).copied().collect()
     }
 }
 
-/// The latest usage of an account that a gateway reported.
+/// The latest usage of an account that an entry reported.
 #[derive(Clone, Debug)]
 struct ReportedRow {
     received_at: Instant,
-    parts: Vec<Total>,
+    buckets: Vec<Total>,
 }
 
-/// The usage reported by all gateways.
+/// The usage reported by all entries.
 #[derive(Debug, Default)]
 pub struct Aggregator {
-    /// Rows by account and gateway.
+    /// Rows by account and entry.
     rows: HashMap<AccountHash, HashMap<u64, ReportedRow>>,
-    part_length: Duration,
+    bucket_len: Duration,
 }
 
-/// A row with its gateway, as saved on disk.
+/// A row with its entry, as saved on disk.
 pub type SavedRow = (u64, Row);
 
 impl Aggregator {
     /// Stores the rows of a report.
     pub fn record_report(&mut self, report: Report, now: Instant) {
-        self.part_length = Duration::from_millis(report.part_ms.into());
+        self.bucket_len = Duration::from_millis(report.part_ms.into());
         for row in report.rows {
             self.insert_row(report.entry, row, now);
         }
     }
 
-    fn insert_row(&mut self, gateway: u64, row: Row, now: Instant) {
-        let window = self.part_length * BUCKETS_PER_WINDOW;
-        let gateways = self.rows.entry(row.account).or_default();
-        gateways.retain(|_, row| now.saturating_duration_since(row.received_at) <= window);
-        let parts = row.parts;
-        gateways.insert(
-            gateway,
+    fn insert_row(&mut self, entry: u64, row: Row, now: Instant) {
+        let window = self.bucket_len * BUCKETS_PER_WINDOW;
+        let entries = self.rows.entry(row.account).or_default();
+        entries.retain(|_, row| now.saturating_duration_since(row.received_at) <= window);
+        let buckets = row.buckets;
+        entries.insert(
+            entry,
             ReportedRow {
                 received_at: now,
-                parts,
+                buckets,
             },
         );
     }
 
-    /// Returns an account's usage in the last window over all gateways.
+    /// Returns an account's usage in the last window over all entries.
     ///
     /// ```
-    /// use gradedyke_turns::usage::{Board, Report, Row, Total};
+    /// use gradedyke_turns::usage::{Aggregator, Report, Row, Total};
     /// use std::time::Duration;
     ///
     /// let now = tokio::time::Instant::now();
-    /// let part = |requests| Total { requests, planned: 0 };
-    /// let mut board = Board::default();
+    /// let bucket = |requests| Total { requests, planned: 0 };
+    /// let mut aggregator = Aggregator::default();
     /// for entry in [1, 2] {
-    ///     let rows = vec![Row { account: 7, parts: vec![part(2), part(3)] }];
-    ///     board.put(Report { entry, part_ms: 250, asked: 7, rows }, now);
+    ///     let rows = vec![Row { account: 7, buckets: vec![bucket(2), bucket(3)] }];
+    ///     aggregator.record_report(Report { entry, part_ms: 250, asked: 7, rows }, now);
     /// }
-    /// assert_eq!(board.total(7, now).requests, 10);
-    /// // The window is 5 s long, and usage expires by parts of 250 ms.
-    /// assert_eq!(board.total(7, now + Duration::from_millis(5_100)).requests, 4);
-    /// assert_eq!(board.total(7, now + Duration::from_millis(5_300)).requests, 0);
+    /// assert_eq!(aggregator.total(7, now).requests, 10);
+    /// // The window is 5 s long, and usage expires by buckets of 250 ms.
+    /// assert_eq!(aggregator.total(7, now + Duration::from_millis(5_100)).requests, 4);
+    /// assert_eq!(aggregator.total(7, now + Duration::from_millis(5_300)).requests, 0);
     /// ```
     pub fn total(&self, account: AccountHash, now: Instant) -> Total {
         let mut total = Total::default();
         for row in self.rows.get(&account).into_iter().flat_map(|g| g.values()) {
-            for part in self.parts_in_window(row, now) {
-                total.add(*part);
+            for bucket in self.buckets_in_window(row, now) {
+                total.add(*bucket);
             }
         }
         total
     }
 
-    /// Returns the parts of a row that are still in the window.
-    fn parts_in_window<'a>(&self, row: &'a ReportedRow, now: Instant) -> &'a [Total] {
-        let remaining = REPORTED_PARTS.saturating_sub(self.elapsed_parts(row.received_at, now));
-        &row.parts[..remaining.min(row.parts.len())]
+    /// Returns the buckets of a row that are still in the window.
+    fn buckets_in_window<'a>(&self, row: &'a ReportedRow, now: Instant) -> &'a [Total] {
+        let remaining = REPORTED_BUCKETS.saturating_sub(self.elapsed_buckets(row.received_at, now));
+        &row.buckets[..remaining.min(row.buckets.len())]
     }
 
-    /// Returns the number of whole parts between two times.
-    fn elapsed_parts(&self, since: Instant, now: Instant) -> usize {
+    /// Returns the number of whole buckets between two times.
+    fn elapsed_buckets(&self, since: Instant, now: Instant) -> usize {
         let elapsed = now.saturating_duration_since(since).as_millis();
-        let parts = elapsed.checked_div(self.part_length.as_millis());
-        parts.map_or(0, |p| usize::try_from(p).unwrap_or(REPORTED_PARTS))
+        let buckets = elapsed.checked_div(self.bucket_len.as_millis());
+        buckets.map_or(0, |p| usize::try_from(p).unwrap_or(REPORTED_BUCKETS))
     }
 
-    /// Returns the length of a part in milliseconds and all usage that is still in the
+    /// Returns the length of a bucket in milliseconds and all usage that is still in the
     /// window, to be saved on disk.
     pub fn export(&self, now: Instant) -> (u32, Vec<SavedRow>) {
         let mut all = Vec::new();
-        for (account, gateways) in &self.rows {
-            for (gateway, reported) in gateways {
-                let mut parts =
-                    vec![Total::default(); self.elapsed_parts(reported.received_at, now)];
-                parts.extend_from_slice(self.parts_in_window(reported, now));
-                parts.truncate(REPORTED_PARTS);
+        for (account, entries) in &self.rows {
+            for (entry, reported) in entries {
+                let mut buckets =
+                    vec![Total::default(); self.elapsed_buckets(reported.received_at, now)];
+                buckets.extend_from_slice(self.buckets_in_window(reported, now));
+                buckets.truncate(REPORTED_BUCKETS);
                 let row = Row {
                     account: *account,
-                    parts,
+                    buckets,
                 };
-                if row.parts.iter().any(|p| *p != Total::default()) {
-                    all.push((*gateway, row));
+                if row.buckets.iter().any(|p| *p != Total::default()) {
+                    all.push((*entry, row));
                 }
             }
         }
         (
-            u32::try_from(self.part_length.as_millis()).unwrap_or_default(),
+            u32::try_from(self.bucket_len.as_millis()).unwrap_or_default(),
             all,
         )
     }
@@ -250,9 +253,9 @@
     /// Restores saved usage as if it had been reported at `now`. The time since it was saved
     /// is not known; assuming none never admits more than the allowance.
     pub fn restore(&mut self, (part_ms, rows): (u32, Vec<SavedRow>), now: Instant) {
-        self.part_length = Duration::from_millis(part_ms.into());
-        for (gateway, row) in rows {
-            self.insert_row(gateway, row, now);
+        self.bucket_len = Duration::from_millis(part_ms.into());
+        for (entry, row) in rows {
+            self.insert_row(entry, row, now);
         }
     }
 }
--- a/crates/gradedyke-turns/tests/feed.rs
+++ b/crates/gradedyke-turns/tests/feed.rs
@@ -53,7 +53,7 @@
     let stop = CancellationToken::new();
     let mirror = Mirror::new(&[""]);
     let quorum = Quorum::new(mirror.clone(), "here", None);
-    let reader = Arc::new(Policy::new(
+    let policy = Arc::new(Policy::new(
         Instant::now(),
         ENTRY_START_GRACE,
         IN_FORCE_TIME,
@@ -62,7 +62,7 @@
     tokio::spawn(feed::run(
         followed,
         quorum,
-        reader,
+        policy,
         move || sources.clone(),
         stopped,
     ));
@@ -87,7 +87,7 @@
     stop.cancel();
 }
 
-/// Starts a gateway whose mirror has applied `update`; returns its address.
+/// Starts an entry whose mirror has applied `update`; returns its address.
 async fn start_neighbour(update: Update, stop: &CancellationToken) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -124,9 +124,9 @@
     mirror.apply_update(update, Vec::new(), now, now);
     let own = "127.0.0.1:1".parse().unwrap();
     let quorum = Quorum::new(mirror.clone(), "here", Some(own));
-    let reader = Arc::new(Policy::new(now, ENTRY_START_GRACE, IN_FORCE_TIME));
+    let policy = Arc::new(Policy::new(now, ENTRY_START_GRACE, IN_FORCE_TIME));
     let sources = move || vec![replica];
-    let feed = feed::run(mirror.clone(), quorum, reader, sources, stop.clone());
+    let feed = feed::run(mirror.clone(), quorum, policy, sources, stop.clone());
     tokio::spawn(feed);
     let mut changed = mirror.subscribe();
     changed.wait_for(|change| *change > 0).await.unwrap();
--- a/crates/gradedyke-turns/tests/index.rs
+++ b/crates/gradedyke-turns/tests/index.rs
@@ -61,7 +61,7 @@
 }
 
 /// Returns a conversation whose turn bodies are all in memory.
-fn chain(index: &mut Index, request: &str) -> Option<Transcript> {
+fn transcript(index: &mut Index, request: &str) -> Option<Transcript> {
     index.conversation(&id(request))?.transcript(&[])
 }
 
@@ -102,9 +102,9 @@
             ("e".to_owned(), 1, true),
         ];
         prop_assert_eq!(attempts(&index), expected);
-        let chain = chain(&mut index, "e").unwrap();
-        prop_assert_eq!(&chain.body[..], b"in-a;out-a\nin-d;out-d\nin-e;out-e\n");
-        prop_assert_eq!(chain.server, id("server-of-e"));
+        let transcript = transcript(&mut index, "e").unwrap();
+        prop_assert_eq!(&transcript.body[..], b"in-a;out-a\nin-d;out-d\nin-e;out-e\n");
+        prop_assert_eq!(transcript.server, id("server-of-e"));
         prop_assert_eq!(index.end_position(), 7);
     }
 }
@@ -117,7 +117,7 @@
     index.apply(&turn("c", Some("b"), 1), 1, now);
     assert!(index.has_chain(&id("a")));
     assert!(!index.has_chain(&id("c")));
-    assert!(chain(&mut index, "c").is_none());
+    assert!(transcript(&mut index, "c").is_none());
 }
 
 #[test]
@@ -208,8 +208,11 @@
         input: "in-c;".into(),
         output: "out-c\n".into(),
     };
-    let chain = conversation.transcript(&[last]).unwrap();
-    assert_eq!(&chain.body[..], b"in-a;out-a\nin-b;out-b\nin-c;out-c\n");
+    let transcript = conversation.transcript(&[last]).unwrap();
+    assert_eq!(
+        &transcript.body[..],
+        b"in-a;out-a\nin-b;out-b\nin-c;out-c\n"
+    );
     // The bodies of expired turns are removed.
     index.expire(now + Duration::from_millis(2 * u64::from(RETENTION_MS)));
     assert_eq!(index.body_bytes(), 0);
@@ -233,6 +236,6 @@
         assert!(index.apply(&record, 2, later));
     }
     assert_eq!(index.counts(), (3, 1));
-    assert!(chain(&mut index, "e").is_some());
+    assert!(transcript(&mut index, "e").is_some());
     assert_eq!(index.keys_since(end, 100).0.len(), 7);
 }
--- a/crates/gradedyke-turns/tests/listing.rs
+++ b/crates/gradedyke-turns/tests/listing.rs
@@ -48,9 +48,9 @@
 
 /// Applies changes that are newer than all items of `mirror`.
 fn apply_changes(mirror: &Mirror, items: Vec<Item>, now: Instant) {
-    let through = items.iter().map(|i| i.revision).max();
+    let complete_revision = items.iter().map(|i| i.revision).max();
     let update = Update {
-        complete_revision: through,
+        complete_revision,
         ..Update::default()
     };
     mirror.apply_update(update, items, now, now);
--- a/crates/gradedyke-turns/tests/membership/spread.rs
+++ b/crates/gradedyke-turns/tests/membership/spread.rs
@@ -280,11 +280,11 @@
     };
     let now = Instant::now() + Duration::from_secs(60);
     // Returns after how many milliseconds a replica joins.
-    let join_delay_ms = |data_centre: &str, first_start: bool, turn: Duration| {
+    let join_delay_ms = |data_centre: &str, first_start: bool, join_delay: Duration| {
         let config = Config {
             data_centre: data_centre.to_owned(),
             data_centres: vec!["here".to_owned(), "there".to_owned()],
-            join_delay: turn,
+            join_delay,
             ..config(first_start)
         };
         (0..60_000).step_by(10).find(|ms| {
--- a/crates/gradedyke-turns/tests/quorum/main.rs
+++ b/crates/gradedyke-turns/tests/quorum/main.rs
@@ -1,7 +1,7 @@
 //! Attempts and records with real replicas over loopback, some of which fail.
 //!
 //! - `replicas`: replicas that synchronise with each other, start up, or are overloaded.
-//! - `relay`: gateways that reach replicas through other gateways.
+//! - `relay`: entries that reach replicas through other entries.
 
 mod relay;
 mod replicas;
@@ -42,7 +42,7 @@
         let replica = Replica::open(folder.path(), mirror.clone(), stop.clone()).unwrap();
         tasks.spawn(replica.clone().recover());
         let (_, ready) = watch::channel(Some(replica.clone()));
-        let desk = Arc::new(Dispatcher::new(mirror, ready));
+        let dispatcher = Arc::new(Dispatcher::new(mirror, ready));
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let member = Member {
             name: name.to_owned(),
@@ -51,7 +51,7 @@
             data_centre: "here".to_owned(),
             active: true,
         };
-        let serving = gradedyke_peer::server::serve(listener, desk, stop.clone());
+        let serving = gradedyke_peer::server::serve(listener, dispatcher, stop.clone());
         tasks.spawn(serving);
         Self {
             folder,
@@ -163,7 +163,7 @@
             .map(|_| ())
     }
 
-    async fn chain(&self, parent: &str) -> Result<Option<Bytes>, Error> {
+    async fn transcript(&self, parent: &str) -> Result<Option<Bytes>, Error> {
         let params = BeginParams {
             reservation: None,
             parent: Some(id(parent)),
@@ -173,8 +173,8 @@
             try_timeout: Duration::from_secs(1),
             deadline: near_deadline(),
         };
-        let chain = self.quorum.begin(&params).await;
-        chain.map(|c| c.chain.map(|c| c.body))
+        let transcript = self.quorum.begin(&params).await;
+        transcript.map(|c| c.transcript.map(|c| c.body))
     }
 }
 
@@ -190,7 +190,7 @@
         group.keep("a", None).await.unwrap();
         group.keep("b", Some("a")).await.unwrap();
         group.stop(lost);
-        let body = group.chain("b").await.unwrap().unwrap();
+        let body = group.transcript("b").await.unwrap().unwrap();
         assert_eq!(body, "a?a!b?b!", "without replica {lost}");
     }
 }
@@ -203,7 +203,7 @@
     group.stop(1);
     let refused = group.keep("b", Some("a")).await.unwrap_err();
     assert!(matches!(refused, Error::NoQuorum { .. }), "{refused:?}");
-    let refused = group.chain("a").await.unwrap_err();
+    let refused = group.transcript("a").await.unwrap_err();
     assert!(matches!(refused, Error::NoQuorum { .. }), "{refused:?}");
 }
 
@@ -221,7 +221,7 @@
     group.publish(2);
     assert!(group.quorum.is_majority_reachable());
     group.keep("b", Some("a")).await.unwrap();
-    assert_eq!(group.chain("b").await.unwrap().unwrap(), "a?a!b?b!");
+    assert_eq!(group.transcript("b").await.unwrap().unwrap(), "a?a!b?b!");
     // A single replica is not enough.
     group.stop(1);
     let refused = group.keep("c", Some("b")).await.unwrap_err();
@@ -231,9 +231,9 @@
 #[tokio::test]
 async fn missing_turn_is_reported_only_if_all_replicas_answer() {
     let group = Group::start(3).await;
-    assert_eq!(group.chain("no").await, Err(Error::TurnNotFound));
+    assert_eq!(group.transcript("no").await, Err(Error::TurnNotFound));
     group.stop(2);
-    assert_eq!(group.chain("no").await, Err(Error::Indeterminate));
+    assert_eq!(group.transcript("no").await, Err(Error::Indeterminate));
 }
 
 #[tokio::test]
--- a/crates/gradedyke-turns/tests/quorum/relay.rs
+++ b/crates/gradedyke-turns/tests/quorum/relay.rs
@@ -1,4 +1,4 @@
-//! Gateways that reach replicas through other gateways during a network partition.
+//! Entries that reach replicas through other entries during a network partition.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -48,10 +48,10 @@
         let client = client_with(direct, vec![Client::new(closed_address); 3]);
         let reply = client.call(request.clone(), Duration::from_secs(5));
         let reply = reply.await.unwrap();
-        let Some(Reply::Chain(Some(chain))) = message::decode(&reply) else {
+        let Some(Reply::Chain(Some(transcript))) = message::decode(&reply) else {
             panic!("no conversation with direct address {direct}");
         };
-        assert_eq!(chain.body, "a?a!");
+        assert_eq!(transcript.body, "a?a!");
     }
     // A replica that does not answer while a majority does is not called through neighbours.
     let answering_replicas =
@@ -72,7 +72,7 @@
         reply = client.call(request, Duration::from_secs(1)) => assert_eq!(reply, None),
         () = keep_answering => {}
     }
-    // A gateway forwards requests to replicas only.
+    // An entry forwards requests to replicas only.
     let client = ReplicaClient::new(
         closed_address,
         Client::new(closed_address),
--- a/crates/gradedyke-turns/tests/quorum/replicas.rs
+++ b/crates/gradedyke-turns/tests/quorum/replicas.rs
@@ -34,7 +34,7 @@
         })
     };
     let (_, ready) = watch::channel(Some(replica.clone()));
-    let desk = Dispatcher::new(Mirror::new(&[""]), ready);
+    let dispatcher = Dispatcher::new(Mirror::new(&[""]), ready);
     let keys = message::encode(&Request::Keys {
         disk: 1,
         boot: 0,
@@ -50,7 +50,7 @@
         futures_util::future::join_all(writes).await;
         tokio::time::pause();
         let started = Instant::now();
-        let reply = desk.handle(keys.clone(), Instant::now()).await;
+        let reply = dispatcher.handle(keys.clone(), Instant::now()).await;
         let waited = started.elapsed();
         tokio::time::resume();
         let Some(Reply::Keys(keys)) = message::decode(&reply) else {
@@ -70,27 +70,27 @@
     for node in &mut group.nodes {
         node.stop.cancel();
         let (replica_sender, replica) = watch::channel(None);
-        let desk = Arc::new(Dispatcher::new(Mirror::new(&[""]), replica));
+        let dispatcher = Arc::new(Dispatcher::new(Mirror::new(&[""]), replica));
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         node.member.address = listener.local_addr().unwrap();
         let stop = CancellationToken::new();
-        let serving = gradedyke_peer::server::serve(listener, desk.clone(), stop);
+        let serving = gradedyke_peer::server::serve(listener, dispatcher.clone(), stop);
         group.tasks.spawn(serving);
-        restarted.push((replica_sender, desk, node.replica.clone()));
+        restarted.push((replica_sender, dispatcher, node.replica.clone()));
     }
     group.publish(2);
     let hello = message::encode(&Request::Hello);
     let recovery = async {
-        for (replica_sender, desk, replica) in restarted {
-            let reply = desk.handle(hello.clone(), Instant::now());
+        for (replica_sender, dispatcher, replica) in restarted {
+            let reply = dispatcher.handle(hello.clone(), Instant::now());
             let reply = tokio::time::timeout(Duration::from_secs(5), reply).await;
             let reply = reply.expect("a starting replica did not reply in 5 s");
             assert!(matches!(message::decode(&reply), Some(Reply::Starting)));
             replica_sender.send_replace(Some(replica));
         }
     };
-    let (chain, ()) = tokio::join!(group.chain("a"), recovery);
-    assert_eq!(chain.unwrap().unwrap(), "a?a!");
+    let (transcript, ()) = tokio::join!(group.transcript("a"), recovery);
+    assert_eq!(transcript.unwrap().unwrap(), "a?a!");
 }
 
 #[tokio::test]
@@ -131,7 +131,7 @@
 async fn overloaded_replica_rejects_begins_and_accepts_settlements() {
     let group = Group::start(1).await;
     let (_, ready) = watch::channel(Some(group.nodes[0].replica.clone()));
-    let desk = Dispatcher::new(Mirror::new(&[""]), ready);
+    let dispatcher = Dispatcher::new(Mirror::new(&[""]), ready);
     let begin = |n: usize| {
         message::encode(&Request::Begin(Begin {
             view: 1,
@@ -151,7 +151,7 @@
     };
     let count = 1_000;
     let mut begins: FuturesUnordered<_> = (0..count)
-        .map(|n| desk.handle(begin(n), Instant::now()))
+        .map(|n| dispatcher.handle(begin(n), Instant::now()))
         .collect();
     // All requests are submitted at once.
     let first = begins.next().await.unwrap();
@@ -165,7 +165,7 @@
             keep_ms: 60_000,
         }),
     });
-    let kept = desk.handle(settled, Instant::now()).await;
+    let kept = dispatcher.handle(settled, Instant::now()).await;
     assert!(matches!(message::decode(&kept), Some(Reply::Kept { .. })));
     let mut replies: Vec<Bytes> = begins.collect().await;
     replies.push(first);
@@ -175,6 +175,6 @@
     let busy = busy.count();
     assert!(busy > count / 2, "{busy} of {count} rejected");
     // Once the others have completed, a request is admitted again.
-    let reply = desk.handle(begin(count), Instant::now()).await;
+    let reply = dispatcher.handle(begin(count), Instant::now()).await;
     assert!(matches!(message::decode(&reply), Some(Reply::Began { .. })));
 }
--- a/crates/gradedyke-turns/tests/recovery.rs
+++ b/crates/gradedyke-turns/tests/recovery.rs
@@ -68,7 +68,7 @@
 /// A replica that has been opened; no records are loaded.
 struct Node {
     replica: Arc<Replica>,
-    desk: Dispatcher,
+    dispatcher: Dispatcher,
     stop: CancellationToken,
 }
 
@@ -78,17 +78,17 @@
         let mirror = Mirror::new(&[]);
         let replica = Replica::open(folder, mirror.clone(), stop.clone()).unwrap();
         let (_, receiver) = watch::channel(Some(replica.clone()));
-        let desk = Dispatcher::new(mirror, receiver);
+        let dispatcher = Dispatcher::new(mirror, receiver);
         Self {
             replica,
-            desk,
+            dispatcher,
             stop,
         }
     }
 
     async fn send(&self, request: &Request) -> Reply {
         let reply = self
-            .desk
+            .dispatcher
             .handle(message::encode(request), Instant::now())
             .await;
         message::decode(&reply).unwrap()
@@ -155,11 +155,11 @@
     let node = Node::new(folder.path());
     let (usage, found) = node.begin("p", Some("b")).await;
     assert_eq!(usage, [(id("a"), (3, true)), (id("b"), (3, true))].into());
-    let Some(Found::Whole(chain)) = found else {
+    let Some(Found::Whole(transcript)) = found else {
         panic!("{found:?}");
     };
-    assert!(chain.body.ends_with(b"b!"));
-    assert_eq!(chain.body.len(), 2 * ((3 << 20) + 2));
+    assert!(transcript.body.ends_with(b"b!"));
+    assert_eq!(transcript.body.len(), 2 * ((3 << 20) + 2));
     let (usage, _) = node.begin("q", None).await;
     assert_eq!(usage, [(id("c"), (2, true))].into());
     let (usage, found) = node.begin("unheard-of", Some("nowhere")).await;
@@ -281,8 +281,8 @@
                     .map(|a| (a.request, (a.tokens, a.settled)))
                     .collect();
                 assert_eq!(usage, expected);
-                let chain = reference.conversation(&request).and_then(|c| c.transcript(&[]));
-                let expected = chain.map_or(Found::Missing, Found::Whole);
+                let transcript = reference.conversation(&request).and_then(|c| c.transcript(&[]));
+                let expected = transcript.map_or(Found::Missing, Found::Whole);
                 assert_eq!(found, Some(expected));
             }
         });
