--- a/crates/gradedyke-cli/src/serve.rs
+++ b/crates/gradedyke-cli/src/serve.rs
@@ -4,10 +4,10 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
 
-use gradedyke_gateway::process::{Process, World};
+use gradedyke_gateway::process::{Environment, Process};
 use gradedyke_gateway::settings::Settings;
-use gradedyke_site::store::Store;
-use gradedyke_site::{SETTINGS_VARIABLE, Wire};
+use gradedyke_site::store::KeyValueClient;
+use gradedyke_site::{Adapter, SETTINGS_PATH_VARIABLE};
 use tokio::signal::unix::{SignalKind, signal};
 
 use crate::{Failure, expect_no_more_args, logs};
@@ -21,10 +21,10 @@
     let role = args.subcommand()?.unwrap_or_default();
     let file: Option<PathBuf> = args.opt_value_from_str("--settings")?;
     expect_no_more_args(args)?;
-    let path_from_env = || std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from);
+    let path_from_env = || std::env::var_os(SETTINGS_PATH_VARIABLE).map(PathBuf::from);
     let file = file.or_else(path_from_env).ok_or_else(|| {
         Failure::Usage(format!(
-            "no settings file; give --settings or set {SETTINGS_VARIABLE}"
+            "no settings file; give --settings or set {SETTINGS_PATH_VARIABLE}"
         ))
     })?;
     let settings = read_settings(&file).map_err(Failure::Usage)?;
@@ -54,9 +54,9 @@
     let mut term = signal(SignalKind::terminate()).map_err(to_failure)?;
     let mut int = signal(SignalKind::interrupt()).map_err(to_failure)?;
     let mut hup = signal(SignalKind::hangup()).map_err(to_failure)?;
-    let environment = World {
-        dialect: Arc::new(Wire),
-        kv: Arc::new(Store::new(settings.platform)),
+    let environment = Environment {
+        dialect: Arc::new(Adapter),
+        kv: Arc::new(KeyValueClient::new(settings.platform)),
     };
     let process = match role {
         "entry" => Process::entry(settings, environment).await?,
@@ -72,7 +72,7 @@
         tokio::select! {
             _ = term.recv() => break,
             _ = int.recv() => break,
-            () = process.failed() => {
+            () = process.wait_for_failure() => {
                 return Err(Failure::Failed(eyre::eyre!(
                     "the process failed; see its log for the cause"
                 )));
--- a/crates/gradedyke-gateway/src/allowance.rs
+++ b/crates/gradedyke-gateway/src/allowance.rs
@@ -16,7 +16,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use gradedyke_turns::usage::{self, PARTS, Report, Row, Tally, Total};
+use gradedyke_turns::usage::{self, BUCKETS_PER_WINDOW, Counter, Report, Row, Total};
 use tokio::time::Instant;
 
 use crate::account::{Account, Allowance};
@@ -53,9 +53,9 @@
 
 /// A request that was counted against the allowance of its account.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Counted {
+pub struct Charge {
     /// The request's account.
-    pub account: usage::Account,
+    pub account: usage::AccountHash,
     /// Maximum number of requests of the account in a window.
     pub limit: u32,
     /// What the request adds to the usage of the account.
@@ -64,18 +64,18 @@
     bucket: u64,
 }
 
-impl Counted {
+impl Charge {
     /// Whether the request starts a program.
-    pub fn begins(&self) -> bool {
+    pub fn starts_program(&self) -> bool {
         self.amount.planned > 0
     }
 
     /// Whether the request is within the allowance, given a sum that includes it. A
     /// program that needs more than the limit on its own may start if no other program
     /// has: its requests are spread over more than one window.
-    pub fn within(&self, sum: Total) -> bool {
+    pub fn is_within(&self, sum: Total) -> bool {
         let max_planned = self.limit.max(self.amount.planned);
-        let planned_fits = !self.begins() || sum.planned <= max_planned;
+        let planned_fits = !self.starts_program() || sum.planned <= max_planned;
         planned_fits && sum.requests <= self.limit
     }
 
@@ -88,13 +88,13 @@
     }
 }
 
-/// Result of [`Register::verdict`].
+/// Result of [`Limiter::check`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Decision {
     /// The request is within the allowance.
     Within,
     /// The request exceeds the allowance.
-    Beyond,
+    Exceeded,
     /// The keepers have to be asked for the current sum.
     Unknown,
 }
@@ -122,7 +122,7 @@
 /// An account's usage, as one entry knows it.
 #[derive(Debug, Default)]
 struct AccountUsage {
-    tally: Tally,
+    counter: Counter,
     /// Everything that this entry has admitted since it started; the counts wrap around.
     admitted: Total,
     known: Option<KnownSum>,
@@ -155,25 +155,25 @@
 }
 
 /// The state at the time of a report, needed to interpret the answer in
-/// [`Register::learn`].
+/// [`Limiter::record_sum`].
 #[derive(Clone, Copy, Debug)]
-pub struct Mark {
+pub struct Snapshot {
     /// The request for which the report was made.
-    pub counted: Counted,
+    pub charge: Charge,
     /// [`AccountUsage::admitted`] of the request's account at the time of the report.
     admitted: Total,
 }
 
 /// Counts the requests that one entry admits, by account.
 #[derive(Debug)]
-pub struct Register {
+pub struct Limiter {
     entry: u64,
     window: Duration,
     start: Instant,
-    accounts: Mutex<HashMap<usage::Account, AccountUsage>>,
+    accounts: Mutex<HashMap<usage::AccountHash, AccountUsage>>,
 }
 
-impl Register {
+impl Limiter {
     /// Creates an empty register. `entry` identifies this process in reports, and limits
     /// apply to every time span of length `window`.
     pub fn new(entry: u64, window: Duration, now: Instant) -> Self {
@@ -185,12 +185,12 @@
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, HashMap<usage::Account, AccountUsage>> {
+    fn lock(&self) -> MutexGuard<'_, HashMap<usage::AccountHash, AccountUsage>> {
         self.accounts.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn bucket_len(&self) -> Duration {
-        self.window / PARTS
+        self.window / BUCKETS_PER_WINDOW
     }
 
     /// The number of the bucket that contains `now`.
@@ -205,10 +205,10 @@
     /// Counts a request of an account; returns `None` if the account has no limit.
     /// `planned` is the number of requests that the program is expected to need if the
     /// request starts one, and 0 otherwise.
-    pub fn count(&self, account: &Account, planned: u32, now: Instant) -> Option<Counted> {
+    pub fn charge(&self, account: &Account, planned: u32, now: Instant) -> Option<Charge> {
         let limit = limit(account.allowance.as_ref()?, self.window);
-        let counted = Counted {
-            account: usage::account(&account.name),
+        let charge = Charge {
+            account: usage::account_hash(&account.name),
             limit,
             amount: Total {
                 requests: 1,
@@ -217,22 +217,22 @@
             bucket: self.bucket_number(now),
         };
         let mut accounts = self.lock();
-        let account_usage = accounts.entry(counted.account).or_default();
-        account_usage.tally.add(counted.bucket, counted.amount);
+        let account_usage = accounts.entry(charge.account).or_default();
+        account_usage.counter.add(charge.bucket, charge.amount);
         account_usage.admitted.requests = account_usage.admitted.requests.wrapping_add(1);
         account_usage.admitted.planned = account_usage.admitted.planned.wrapping_add(planned);
         account_usage.changed = true;
-        Some(counted)
+        Some(charge)
     }
 
     /// Removes a request that was counted but has not run.
-    pub fn undo(&self, counted: &Counted) {
+    pub fn refund(&self, charge: &Charge) {
         let mut accounts = self.lock();
-        let Some(account_usage) = accounts.get_mut(&counted.account) else {
+        let Some(account_usage) = accounts.get_mut(&charge.account) else {
             return;
         };
-        let amount = counted.amount;
-        account_usage.tally.undo(counted.bucket, amount);
+        let amount = charge.amount;
+        account_usage.counter.subtract(charge.bucket, amount);
         account_usage.admitted.requests = account_usage
             .admitted
             .requests
@@ -243,16 +243,16 @@
     }
 
     /// Decides on a request without asking the keepers, where possible.
-    pub fn verdict(&self, counted: &Counted, now: Instant) -> Verdict {
+    pub fn check(&self, charge: &Charge, now: Instant) -> Decision {
         let accounts = self.lock();
-        let estimate = accounts.get(&counted.account).and_then(|u| u.estimate(now));
+        let estimate = accounts.get(&charge.account).and_then(|u| u.estimate(now));
         match estimate {
-            Some(known) if known.age <= MAX_SUM_AGE => match counted.within(known.sum) {
-                false => Verdict::Beyond,
-                true if counted.has_headroom(&known) => Verdict::Within,
-                true => Verdict::Unknown,
+            Some(known) if known.age <= MAX_SUM_AGE => match charge.is_within(known.sum) {
+                false => Decision::Exceeded,
+                true if charge.has_headroom(&known) => Decision::Within,
+                true => Decision::Unknown,
             },
-            _ => Verdict::Unknown,
+            _ => Decision::Unknown,
         }
     }
 
@@ -260,16 +260,16 @@
     /// received within the last window and leaves enough headroom. No program can start
     /// without the keepers, so other entries admit only calls of running programs
     /// meanwhile.
-    pub fn unasked(&self, counted: &Counted, now: Instant) -> bool {
+    pub fn admits_offline(&self, charge: &Charge, now: Instant) -> bool {
         let accounts = self.lock();
-        let estimate = accounts.get(&counted.account).and_then(|u| u.estimate(now));
-        estimate.is_some_and(|known| known.age <= self.window && counted.has_headroom(&known))
+        let estimate = accounts.get(&charge.account).and_then(|u| u.estimate(now));
+        estimate.is_some_and(|known| known.age <= self.window && charge.has_headroom(&known))
     }
 
     /// Builds the usage report that is sent to the keepers with a request: the usage of
     /// its account, and of all accounts whose usage has changed or is due to be reported
     /// again.
-    pub fn report(&self, counted: &Counted, now: Instant) -> (Report, Mark) {
+    pub fn report(&self, charge: &Charge, now: Instant) -> (Report, Snapshot) {
         let bucket = self.bucket_number(now);
         let mut accounts = self.lock();
         let mut rows = Vec::new();
@@ -277,41 +277,41 @@
             let overdue = account_usage
                 .reported_at
                 .is_none_or(|t| now.saturating_duration_since(t) >= REPORT_INTERVAL);
-            if !account_usage.changed && !overdue && *account != counted.account {
+            if !account_usage.changed && !overdue && *account != charge.account {
                 continue;
             }
-            let parts = account_usage.tally.told(bucket);
-            if parts.is_empty() && !account_usage.changed {
+            let buckets = account_usage.counter.window_buckets(bucket);
+            if buckets.is_empty() && !account_usage.changed {
                 continue;
             }
             (account_usage.changed, account_usage.reported_at) = (false, Some(now));
             rows.push(Row {
                 account: *account,
-                parts,
+                buckets,
             });
         }
-        let admitted = accounts.get(&counted.account).map(|u| u.admitted);
-        let mark = Mark {
-            counted: *counted,
+        let admitted = accounts.get(&charge.account).map(|u| u.admitted);
+        let snapshot = Snapshot {
+            charge: *charge,
             admitted: admitted.unwrap_or_default(),
         };
         let report = Report {
             entry: self.entry,
             part_ms: u32::try_from(self.bucket_len().as_millis()).unwrap_or(u32::MAX),
-            asked: counted.account,
+            asked: charge.account,
             rows,
         };
-        (report, mark)
+        (report, snapshot)
     }
 
     /// Records the sum that the keepers answered to a report.
-    pub fn learn(&self, mark: Mark, sum: Total, now: Instant) {
+    pub fn record_sum(&self, snapshot: Snapshot, sum: Total, now: Instant) {
         let mut accounts = self.lock();
-        let account_usage = accounts.entry(mark.counted.account).or_default();
+        let account_usage = accounts.entry(snapshot.charge.account).or_default();
         account_usage.known = Some(KnownSum {
             received_at: now,
             sum,
-            admitted: mark.admitted,
+            admitted: snapshot.admitted,
         });
     }
 }
--- a/crates/gradedyke-gateway/src/demand.rs
+++ b/crates/gradedyke-gateway/src/demand.rs
@@ -4,7 +4,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use gradedyke_turns::decay::Count;
+use gradedyke_turns::decay::Counter;
 use tokio::time::Instant;
 
 /// Half-life of the counts: several times the duration of a program, and short enough to
@@ -16,17 +16,17 @@
 #[derive(Debug, Default)]
 struct RouteCounts {
     /// Programs that started.
-    started: Count,
-    turns: Count,
+    started: Counter,
+    turns: Counter,
 }
 
 #[derive(Debug, Default)]
 struct Counts {
     routes: HashMap<String, RouteCounts>,
     /// Turns of all routes.
-    turns: Count,
+    turns: Counter,
     /// Tool calls of all programs.
-    calls: Count,
+    calls: Counter,
 }
 
 /// Recent turns and tool calls, from which the requests of a program are estimated.
@@ -38,10 +38,10 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Records a turn. `begins` says whether it is the first of its program.
-    pub fn turn(&self, route: &str, begins: bool, now: Instant) {
+    /// Records a turn. `starts_program` says whether it is the first of its program.
+    pub fn record_turn(&self, route: &str, starts_program: bool, now: Instant) {
         let mut counts = self.lock();
-        counts.turns.add(HALF_LIFE, now);
+        counts.turns.increment(HALF_LIFE, now);
         if !counts.routes.contains_key(route) {
             counts
                 .routes
@@ -50,15 +50,15 @@
         let Some(route) = counts.routes.get_mut(route) else {
             return;
         };
-        route.turns.add(HALF_LIFE, now);
-        if begins {
-            route.started.add(HALF_LIFE, now);
+        route.turns.increment(HALF_LIFE, now);
+        if starts_program {
+            route.started.increment(HALF_LIFE, now);
         }
     }
 
     /// Records a tool call of a program.
-    pub fn call(&self, now: Instant) {
-        self.lock().calls.add(HALF_LIFE, now);
+    pub fn record_call(&self, now: Instant) {
+        self.lock().calls.increment(HALF_LIFE, now);
     }
 
     /// Expected number of requests of a program on a route, including its tool calls; 1 if
@@ -70,25 +70,25 @@
     /// let now = tokio::time::Instant::now();
     /// let demand = Demand::default();
     /// for turn in 0..40 {
-    ///     demand.turn("draft", turn % 4 == 0, now);
-    ///     demand.call(now);
+    ///     demand.record_turn("draft", turn % 4 == 0, now);
+    ///     demand.record_call(now);
     /// }
-    /// assert_eq!(demand.requests("draft", now), 8);
-    /// assert_eq!(demand.requests("other", now), 1);
+    /// assert_eq!(demand.expected_requests("draft", now), 8);
+    /// assert_eq!(demand.expected_requests("other", now), 1);
     /// ```
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-    pub fn requests(&self, route: &str, now: Instant) -> u32 {
+    pub fn expected_requests(&self, route: &str, now: Instant) -> u32 {
         let counts = self.lock();
         let Some(route) = counts.routes.get(route) else {
             return 1;
         };
-        let started = route.started.at(HALF_LIFE, now);
-        let turns = counts.turns.at(HALF_LIFE, now);
+        let started = route.started.value_at(HALF_LIFE, now);
+        let turns = counts.turns.value_at(HALF_LIFE, now);
         if started < MIN_COUNT || turns < MIN_COUNT {
             return 1;
         }
-        let calls_per_turn = counts.calls.at(HALF_LIFE, now) / turns;
-        let requests = route.turns.at(HALF_LIFE, now) / started * (1.0 + calls_per_turn);
+        let calls_per_turn = counts.calls.value_at(HALF_LIFE, now) / turns;
+        let requests = route.turns.value_at(HALF_LIFE, now) / started * (1.0 + calls_per_turn);
         requests.round().clamp(1.0, f64::from(u32::MAX)) as u32
     }
 }
--- a/crates/gradedyke-gateway/src/entry/turn.rs
+++ b/crates/gradedyke-gateway/src/entry/turn.rs
@@ -11,8 +11,8 @@
 
 use bytes::{Bytes, BytesMut};
 use gradedyke_http::Body;
-use gradedyke_turns::conversation::Chain;
-use gradedyke_turns::quorum::{self, Ask};
+use gradedyke_turns::conversation::Transcript;
+use gradedyke_turns::quorum::{self, BeginParams};
 use gradedyke_turns::record::Reserved;
 use http::Response;
 use tokio::time::Instant;
@@ -38,12 +38,12 @@
 ///
 /// The [`Refusal`] to answer with. Nothing has been sent to the caller then.
 pub async fn serve(entry: &Arc<Entry>, call: Arc<Call>) -> Result<Response<Body>, Refusal> {
-    let (chain, reservation) = begin_turn(entry, &call).await?;
-    let body = match &chain {
-        Some(chain) => concat(&chain.body, &call.body),
+    let (transcript, reservation) = begin_turn(entry, &call).await?;
+    let body = match &transcript {
+        Some(transcript) => concat(&transcript.body, &call.body),
         None => call.body.clone(),
     };
-    let upstream = Upstream::new(chain, body);
+    let upstream = Upstream::new(transcript, body);
     let response = match upstream.open(entry, &call, None).await {
         Ok(response) => response,
         Err(refusal) => {
@@ -66,39 +66,41 @@
 async fn begin_turn(
     entry: &Arc<Entry>,
     call: &Call,
-) -> Result<(Option<Chain>, Reservation), Refusal> {
+) -> Result<(Option<Transcript>, Reservation), Refusal> {
     let started = Instant::now();
     if !is_admitted(entry, call, started) {
         return Err(Refusal::Overload);
     }
-    let reserve = budget_request(call);
-    let reservation = Reservation::new(reserve.as_ref().map(|(r, _)| r.clone()));
+    let budget_request = budget_request(call);
+    let reservation = Reservation::new(budget_request.as_ref().map(|(r, _)| r.clone()));
     let parent = call.route.retention.and(call.meta.parent.as_ref());
     let parent = parent.map(|p| call.scope_id(p));
-    let usage_report = call.counted.map(|c| entry.register.report(&c, started));
-    let (usage, mark) = usage_report.unzip();
-    let request = Ask {
-        reserve,
+    let usage_report = call.charge.map(|c| entry.limiter.report(&c, started));
+    let (usage, snapshot) = usage_report.unzip();
+    let params = BeginParams {
+        reservation: budget_request,
         parent,
-        first: Call::is_program_start(&call.route, &call.meta),
-        load: entry.fleet.report(started),
+        is_first_turn: Call::is_program_start(&call.route, &call.meta),
+        load: entry.fleet.load_report(started),
         usage,
-        time: BEGIN_TIMEOUT,
-        until: call.deadline.min(started + QUORUM_RECOVERY_TIMEOUT),
+        try_timeout: BEGIN_TIMEOUT,
+        deadline: call.deadline.min(started + QUORUM_RECOVERY_TIMEOUT),
     };
-    let result = entry.quorum.begin(&request).await;
+    let result = entry.quorum.begin(&params).await;
     if let Some((pressure, at)) = entry.quorum.pressure() {
-        entry.throttle.told(pressure, at);
+        entry.throttle.record_pressure(pressure, at);
     }
     metrics::histogram!("gradedyke_begin_seconds").record(started.elapsed().as_secs_f64());
     match result {
         Ok(begun) => {
-            entry.throttle.let_in(begun.took, Instant::now());
+            entry
+                .throttle
+                .record_admitted(begun.elapsed, Instant::now());
             if let Some(load) = begun.load {
-                entry.fleet.learn(&load, Instant::now());
+                entry.fleet.set_peer_load(&load, Instant::now());
             }
-            if let (Some(mark), Some(total)) = (mark, begun.usage)
-                && !entry.record_usage(call, mark, total)
+            if let (Some(snapshot), Some(total)) = (snapshot, begun.usage)
+                && !entry.record_usage(call, snapshot, total)
             {
                 reservation.settle(entry, 0);
                 return Err(Refusal::Exceeded);
@@ -106,8 +108,8 @@
             let is_program_start = Call::is_program_start(&call.route, &call.meta);
             entry
                 .demand
-                .turn(&call.route.name, is_program_start, Instant::now());
-            Ok((begun.chain, reservation))
+                .record_turn(&call.route.name, is_program_start, Instant::now());
+            Ok((begun.transcript, reservation))
         }
         Err(error) => {
             tracing::info!(event = "turn_refused", request = %call.id,
@@ -116,20 +118,20 @@
                 waited_ms = started.elapsed().as_millis(), %error);
             // Keepers that are unreachable or starting are not overloaded.
             let is_overload = match error {
-                quorum::Refusal::Busy => true,
-                quorum::Refusal::NoQuorum { .. } => entry.quorum.reachable(),
+                quorum::Error::Busy => true,
+                quorum::Error::NoQuorum { .. } => entry.quorum.is_majority_reachable(),
                 _ => false,
             };
             if is_overload {
-                entry.throttle.refused(Instant::now());
+                entry.throttle.record_refused(Instant::now());
             }
             Err(match error {
-                quorum::Refusal::NoTurn => Refusal::NoTurn,
-                quorum::Refusal::Spent { .. } => Refusal::Spent,
-                quorum::Refusal::Unsure
-                | quorum::Refusal::Starting
-                | quorum::Refusal::Busy
-                | quorum::Refusal::NoQuorum { .. } => Refusal::NoKeepers,
+                quorum::Error::TurnNotFound => Refusal::NoTurn,
+                quorum::Error::BudgetExceeded { .. } => Refusal::Spent,
+                quorum::Error::Indeterminate
+                | quorum::Error::Starting
+                | quorum::Error::Busy
+                | quorum::Error::NoQuorum { .. } => Refusal::NoKeepers,
             })
         }
     }
@@ -140,20 +142,22 @@
 /// so the program identifier decides for all its turns alike.
 fn is_admitted(entry: &Entry, call: &Call, now: Instant) -> bool {
     let stores_turns = call.route.retention.is_some();
-    if !entry.enabled.has(Mechanism::Throttle) || stores_turns && call.meta.parent.is_some() {
+    if !entry.mechanisms.is_enabled(Mechanism::Throttle)
+        || stores_turns && call.meta.parent.is_some()
+    {
         return true;
     }
-    let draw = match &call.meta.program {
-        Some(program) if !stores_turns => throttle::draw(program),
+    let fraction = match &call.meta.program {
+        Some(program) if !stores_turns => throttle::hash_fraction(program),
         _ => rand::random(),
     };
-    entry.throttle.admits(draw, now)
+    entry.throttle.admits(fraction, now)
 }
 
 /// Returns the tokens to reserve for the request and the total budget of its program; `None`
 /// without a budget.
 fn budget_request(call: &Call) -> Option<(Reserved, u64)> {
-    let budget = call.meta.budget?;
+    let budget = call.meta.token_budget?;
     let program = call.scope_id(call.meta.program.as_ref()?);
     let reserved = Reserved {
         program,
--- a/crates/gradedyke-gateway/src/entry/upstream.rs
+++ b/crates/gradedyke-gateway/src/entry/upstream.rs
@@ -1,28 +1,28 @@
 //! Opens a stream at a backend server, and resumes it at another.
 
 use bytes::Bytes;
-use gradedyke_turns::conversation::Chain;
+use gradedyke_turns::conversation::Transcript;
 use tokio::time::Instant;
 
 use super::Entry;
 use super::attempt::{self, Attempts, MIN_SEND_TIME, ServerResponse};
 use super::call::Call;
 use super::refusal::Refusal;
-use crate::fleet::Question;
+use crate::fleet::Query;
 
 /// The request for a stream, with the servers it was sent to.
 pub(super) struct Upstream {
-    chain: Option<Chain>,
+    transcript: Option<Transcript>,
     body: Bytes,
     attempts: Attempts,
 }
 
 impl Upstream {
-    /// Creates the request with this complete `body`. `chain` is the stored conversation that
+    /// Creates the request with this complete `body`. `transcript` is the stored conversation that
     /// it continues.
-    pub(super) fn new(chain: Option<Chain>, body: Bytes) -> Self {
+    pub(super) fn new(transcript: Option<Transcript>, body: Bytes) -> Self {
         Self {
-            chain,
+            transcript,
             body,
             attempts: Attempts::default(),
         }
@@ -37,7 +37,7 @@
         call: &Call,
         last_event_id: Option<&[u8]>,
     ) -> Result<ServerResponse, Refusal> {
-        let query = server_query(call, self.chain.as_ref());
+        let query = server_query(call, self.transcript.as_ref());
         loop {
             let (attempts, body) = (&self.attempts, &self.body);
             let result =
@@ -59,29 +59,29 @@
 
 /// Estimates how many prompt tokens belong to the stored conversation, by its share of the
 /// bytes. The server that ran its last turn has them in its cache.
-fn cached_tokens(call: &Call, chain: &Chain) -> u64 {
+fn cached_tokens(call: &Call, transcript: &Transcript) -> u64 {
     let prompt = call.meta.usage.map_or(0, |u| u.prompt);
-    let (stored_bytes, new_bytes) = (chain.body.len() as u64, call.body.len() as u64);
+    let (stored_bytes, new_bytes) = (transcript.body.len() as u64, call.body.len() as u64);
     (prompt * stored_bytes)
         .checked_div(stored_bytes + new_bytes)
         .unwrap_or(0)
 }
 
 /// Builds the query by which the fleet chooses a server for the request.
-fn server_query<'a>(call: &'a Call, chain: Option<&'a Chain>) -> Question<'a> {
-    Question {
+fn server_query<'a>(call: &'a Call, transcript: Option<&'a Transcript>) -> Query<'a> {
+    Query {
         service: &call.service,
-        request: &call.id,
-        tried: &[],
-        holder: chain.map(|c| &c.server),
+        request_id: &call.id,
+        excluded: &[],
+        cached_on: transcript.map(|c| &c.server),
         prompt_tokens: call.meta.usage.map_or(0, |u| u.prompt),
-        held_tokens: chain.map_or(0, |c| cached_tokens(call, c)),
+        cached_tokens: transcript.map_or(0, |c| cached_tokens(call, c)),
         parts: &call.meta.parts,
-        engine: true,
-        room: call.engine().map_or(0, |e| e.cache_tokens),
-        repeatable: call.route.repeatable(),
-        warm_up_rate: call.warm_up_rate(),
-        regions: call.regions.as_deref(),
+        is_engine: true,
+        cache_capacity_tokens: call.engine().map_or(0, |e| e.cache_tokens),
+        repeatable: call.route.is_repeatable(),
+        max_warm_up_rate_per_s: call.warm_up_rate(),
+        allowed_regions: call.regions.as_deref(),
         now: call.arrived,
     }
 }
--- a/crates/gradedyke-gateway/src/fleet/registry.rs
+++ b/crates/gradedyke-gateway/src/fleet/registry.rs
@@ -3,7 +3,7 @@
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
 
-use gradedyke_turns::load::{self, Busy};
+use gradedyke_turns::load::{self, ServerLoad};
 use gradedyke_turns::mirror::Item;
 use gradedyke_turns::record::Id;
 use slotmap::SlotMap;
@@ -12,8 +12,8 @@
 use super::sample::{self, RecentServers};
 use super::server_state::{DirectoryState, ServerState};
 use super::slow_start;
-use super::{Key, Location, Question, Server, request_hash};
-use crate::dialect::{Dialect, Invalid};
+use super::{Key, Location, Query, Server, request_hash};
+use crate::dialect::{Dialect, Error};
 use crate::estimate::{self, Times};
 use crate::health::Counts;
 use crate::link::Pool;
@@ -27,8 +27,8 @@
 const MAX_UNREADABLE_RECORDS: usize = 1_024;
 
 /// The error for a record without a start time whose server had one before.
-fn missing_start_time(id: &Id) -> Invalid {
-    Invalid {
+fn missing_start_time(id: &Id) -> Error {
+    Error {
         what: id.to_string(),
         cause: "the record has no start time, but earlier records of the server had".to_owned(),
     }
@@ -42,18 +42,18 @@
     pub(super) by_service: HashMap<String, Vec<Key>>,
     by_incarnation: HashMap<Id, Key>,
     /// By the hashed ID that load reports use.
-    by_load_id: HashMap<load::Server, Key>,
+    by_load_id: HashMap<load::ServerHash, Key>,
     /// Recently used servers of each service.
     recent: HashMap<String, RecentServers>,
-    /// Servers that may have to be included in this instance's load report.
+    /// Servers that may have to be included in this entry's load report.
     reportable: HashSet<Key>,
-    /// Servers with load reported by other instances.
+    /// Servers with load reported by other entries.
     with_peer_load: Vec<Key>,
     /// Learned times of each service.
     pub(super) estimates: HashMap<String, estimate::ServiceEstimate>,
     /// IDs of unknown servers whose records could not be parsed.
     unreadable: HashSet<Id>,
-    /// When load from other instances was last received.
+    /// When load from other entries was last received.
     pub(super) peer_load_received: Option<Instant>,
     /// Recent requests to each service that has a warm-up limit; those that found no
     /// server count as failures.
@@ -71,18 +71,18 @@
         estimate.unwrap_or_default().times(engine)
     }
 
-    /// Discards the load reported by other instances.
+    /// Discards the load reported by other entries.
     pub(super) fn clear_peer_load(&mut self) {
         self.peer_load_received = None;
         for key in std::mem::take(&mut self.with_peer_load) {
             if let Some(state) = self.servers.get_mut(key) {
-                state.peer_load = Busy::default();
+                state.peer_load = ServerLoad::default();
             }
         }
     }
 
-    /// Replaces the load reported by other instances.
-    pub(super) fn set_peer_load(&mut self, load: &[Busy], now: Instant) {
+    /// Replaces the load reported by other entries.
+    pub(super) fn set_peer_load(&mut self, load: &[ServerLoad], now: Instant) {
         self.clear_peer_load();
         self.peer_load_received = Some(now);
         for busy in load {
@@ -95,8 +95,8 @@
         }
     }
 
-    /// The load that this instance reports to others.
-    pub(super) fn report(&mut self, now: Instant) -> Vec<Busy> {
+    /// The load that this entry reports to others.
+    pub(super) fn report(&mut self, now: Instant) -> Vec<ServerLoad> {
         let mut report = Vec::new();
         let servers = &self.servers;
         self.reportable.retain(|key| {
@@ -137,7 +137,7 @@
         let service = state.server.service.clone();
         let key = self.servers.insert(state);
         self.by_id.insert(id, key);
-        self.by_load_id.insert(load::server(&incarnation), key);
+        self.by_load_id.insert(load::server_hash(&incarnation), key);
         self.by_incarnation.insert(incarnation, key);
         self.by_service.entry(service).or_default().push(key);
     }
@@ -145,9 +145,9 @@
     /// Removes a server from all indexes except `by_id`.
     fn detach(&mut self, key: Key) -> Option<ServerState> {
         let state = self.servers.remove(key)?;
-        state.pool.clear();
+        state.pool.close_idle();
         self.by_incarnation.remove(&state.incarnation);
-        let load_id = load::server(&state.incarnation);
+        let load_id = load::server_hash(&state.incarnation);
         // Hashed IDs may collide, so the index may point to another server.
         if self.by_load_id.get(&load_id) == Some(&key) {
             self.by_load_id.remove(&load_id);
@@ -233,12 +233,12 @@
                 state.is_unreadable = false;
             }
             if state.server.address != server.address {
-                state.pool.clear();
+                state.pool.close_idle();
                 state.pool = Arc::new(Pool::new(server.address));
             }
-            if state.server.leaving != server.leaving && !self.is_bulk_change {
+            if state.server.is_draining != server.is_draining && !self.is_bulk_change {
                 tracing::info!(event = "server_changed", server = %server.id,
-                    leaving = server.leaving);
+                    leaving = server.is_draining);
             }
             state.directory_state = DirectoryState::Listed;
             state.warm_up_end = ServerState::warm_up_end(&server, read_at);
@@ -247,7 +247,7 @@
         }
         if !self.is_bulk_change {
             tracing::info!(event = "server_listed", server = %server.id, service = server.service,
-                address = %server.address, leaving = server.leaving);
+                address = %server.address, leaving = server.is_draining);
         }
         self.insert(ServerState::new(server, read_at));
     }
@@ -267,7 +267,7 @@
 
     /// Marks a server whose record is invalid. It gets no new requests; those in flight may
     /// complete. Logged once until a valid record is read.
-    pub(super) fn mark_unreadable(&mut self, id: &Id, error: &Invalid) {
+    pub(super) fn mark_unreadable(&mut self, id: &Id, error: &Error) {
         let key = self.by_id.get(id).copied();
         let is_first = match key.and_then(|key| self.servers.get_mut(key)) {
             Some(state) => !std::mem::replace(&mut state.is_unreadable, true),
@@ -309,19 +309,16 @@
     /// backing off are returned only if there are no others.
     pub(super) fn eligible(
         &self,
-        question: &Question<'_>,
+        query: &Query<'_>,
         location: &Location,
         use_backoff: bool,
     ) -> Vec<Key> {
         let rank = |key: &Key| {
             let state = &self.servers[*key];
             let is_unlisted = state.directory_state != DirectoryState::Listed;
-            (
-                is_unlisted,
-                use_backoff && state.is_backing_off(question.now),
-            )
+            (is_unlisted, use_backoff && state.is_backing_off(query.now))
         };
-        let servers = self.limit_warming(question, location, self.preselect(question, location));
+        let servers = self.limit_warming(query, location, self.preselect(query, location));
         let best = servers.iter().map(rank).min();
         servers
             .into_iter()
@@ -330,33 +327,33 @@
     }
 
     /// Whether a server can be sent the request, regardless of its load.
-    fn can_run(&self, key: Key, question: &Question<'_>, location: &Location) -> bool {
+    fn can_run(&self, key: Key, query: &Query<'_>, location: &Location) -> bool {
         let state = &self.servers[key];
         let data_centre = &state.server.data_centre;
-        !state.server.leaving
+        !state.server.is_draining
             && !state.is_unreadable
             && !state.is_replaced
-            && !question.tried.contains(&key)
+            && !query.excluded.contains(&key)
             && !self.evacuated.contains(data_centre)
-            && location.allows(question.regions, data_centre)
+            && location.allows(query.allowed_regions, data_centre)
     }
 
     /// The servers to compare: all that can run the request or, if the service has very
     /// many, a sample of them with the recently used ones and the holder of the
     /// conversation.
-    fn preselect(&self, question: &Question<'_>, location: &Location) -> Vec<Key> {
-        let Some(keys) = self.by_service.get(question.service) else {
+    fn preselect(&self, query: &Query<'_>, location: &Location) -> Vec<Key> {
+        let Some(keys) = self.by_service.get(query.service) else {
             return Vec::new();
         };
-        let can_run = |key: Key| self.can_run(key, question, location);
+        let can_run = |key: Key| self.can_run(key, query, location);
         if keys.len() <= sample::MAX_UNSAMPLED_SERVERS {
             return keys.iter().copied().filter(|k| can_run(*k)).collect();
         }
         let is_local = |key: Key| self.servers[key].server.data_centre == location.data_centre;
-        let mut selected = sample::sample(keys, question.request, can_run, is_local);
-        let recent = self.recent.get(question.service).into_iter();
+        let mut selected = sample::sample(keys, query.request_id, can_run, is_local);
+        let recent = self.recent.get(query.service).into_iter();
         let recent = recent.flat_map(RecentServers::keys);
-        let holder = question.holder.and_then(|h| self.by_incarnation.get(h));
+        let holder = query.cached_on.and_then(|h| self.by_incarnation.get(h));
         for key in recent.chain(holder.copied()) {
             if can_run(key) && !selected.contains(&key) {
                 selected.push(key);
@@ -367,26 +364,21 @@
 
     /// Removes warming servers from `servers`, except those whose rate limit allows the
     /// request.
-    fn limit_warming(
-        &self,
-        question: &Question<'_>,
-        location: &Location,
-        servers: Vec<Key>,
-    ) -> Vec<Key> {
-        let Some(rate) = question.warm_up_rate else {
+    fn limit_warming(&self, query: &Query<'_>, location: &Location, servers: Vec<Key>) -> Vec<Key> {
+        let Some(rate) = query.max_warm_up_rate_per_s else {
             return servers;
         };
-        let is_warm = |key: &Key| self.servers[*key].is_warm(question.now);
+        let is_warm = |key: &Key| self.servers[*key].is_warm(query.now);
         let (mut allowed, warming): (Vec<Key>, Vec<Key>) = servers.into_iter().partition(is_warm);
         if warming.is_empty() {
             return allowed;
         }
-        let load = self.service_load(question, location);
+        let load = self.service_load(query, location);
         let candidates = warming.iter().map(|key| {
             let state = &self.servers[*key];
             slow_start::Candidate {
                 in_flight: state.total_in_flight(),
-                hash: request_hash(question.request, &state.server.id),
+                hash: request_hash(query.request_id, &state.server.id),
             }
         });
         let candidates: Vec<_> = candidates.collect();
@@ -397,43 +389,39 @@
 
     /// Counts a request to a service that has a warm-up limit. `found_none` says that no
     /// server was eligible.
-    pub(super) fn count_request(&mut self, question: &Question<'_>, found_none: bool) {
+    pub(super) fn count_request(&mut self, query: &Query<'_>, found_none: bool) {
         let counts = Counts {
             failures: u32::from(found_none),
             requests: 1,
         };
-        let service = question.service;
+        let service = query.service;
         if !self.recent_requests.contains_key(service) {
             self.recent_requests
                 .insert(service.to_owned(), Window::default());
         }
         if let Some(requests) = self.recent_requests.get_mut(service) {
-            requests.add(counts, question.now);
+            requests.add(counts, query.now);
         }
     }
 
-    /// The load of a service, over all instances whose load is known.
-    fn service_load(
-        &self,
-        question: &Question<'_>,
-        location: &Location,
-    ) -> slow_start::ServiceLoad {
-        let times = self.times(question.service, question.engine);
-        let requests = self.recent_requests.get(question.service);
+    /// The load of a service, over all entries whose load is known.
+    fn service_load(&self, query: &Query<'_>, location: &Location) -> slow_start::ServiceLoad {
+        let times = self.times(query.service, query.is_engine);
+        let requests = self.recent_requests.get(query.service);
         let mut load = slow_start::ServiceLoad {
-            recent_requests: requests.map_or(Counts::default(), |r| r.sum(question.now)),
+            recent_requests: requests.map_or(Counts::default(), |r| r.sum(query.now)),
             has_peer_load: self.peer_load_received.is_some(),
             in_flight: 0,
             recently_ended: 0,
-            answer_ms: times.answer_ms,
+            answer_ms: times.response_ms,
             warming_servers: 0,
         };
-        let keys = self.by_service.get(question.service).into_iter().flatten();
+        let keys = self.by_service.get(query.service).into_iter().flatten();
         for key in keys {
             let state = &self.servers[*key];
             load.in_flight += state.total_in_flight();
-            load.recently_ended += state.recently_ended(question.now);
-            let is_warming = !state.is_warm(question.now) && self.can_run(*key, question, location);
+            load.recently_ended += state.recently_ended(query.now);
+            let is_warming = !state.is_warm(query.now) && self.can_run(*key, query, location);
             load.warming_servers += u32::from(is_warming);
         }
         load
--- a/crates/gradedyke-gateway/src/news.rs
+++ b/crates/gradedyke-gateway/src/follow.rs
@@ -11,7 +11,7 @@
 use gradedyke_turns::feed;
 use gradedyke_turns::mirror::{self, Mirror, Need};
 use gradedyke_turns::quorum::Quorum;
-use gradedyke_turns::view::Disk;
+use gradedyke_turns::view::DiskId;
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
@@ -21,21 +21,21 @@
 const HEDGE_DELAY: Duration = Duration::from_millis(400);
 
 /// Poll and retry intervals of a keeper that reads the service.
-pub const KEEPER_PACE: mirror::Pace = mirror::Pace {
-    look: Duration::from_millis(100),
-    beside: Some(HEDGE_DELAY),
-    first: Duration::from_millis(50),
-    patience: Duration::from_millis(800),
-    unhurried: Duration::from_millis(800),
+pub const KEEPER_TIMING: mirror::Timing = mirror::Timing {
+    poll_interval: Duration::from_millis(100),
+    hedge_delay: Some(HEDGE_DELAY),
+    initial_max_delay: Duration::from_millis(50),
+    max_delay: Duration::from_millis(800),
+    low_need_max_delay: Duration::from_millis(800),
 };
 
 /// Poll and retry intervals of an entry. They are longer than those of a keeper, because
 /// many entries retry at the same time in an outage of the service.
-const ENTRY_PACE: mirror::Pace = mirror::Pace {
-    beside: None,
-    first: Duration::from_millis(400),
-    unhurried: Duration::from_millis(2_500),
-    ..KEEPER_PACE
+const ENTRY_TIMING: mirror::Timing = mirror::Timing {
+    hedge_delay: None,
+    initial_max_delay: Duration::from_millis(400),
+    low_need_max_delay: Duration::from_millis(2_500),
+    ..KEEPER_TIMING
 };
 
 /// Spawns one task per prefix, which reads the service as urgently as `need` says.
@@ -44,7 +44,7 @@
     mirror: &Arc<Mirror>,
     kv: &Arc<dyn KeyValue>,
     need: impl Fn() -> Need + Clone + Send + Sync + 'static,
-    pace: mirror::Pace,
+    timing: mirror::Timing,
     stop: &CancellationToken,
 ) {
     for prefix in mirror.prefixes().to_vec() {
@@ -53,7 +53,7 @@
             kv.clone(),
             prefix,
             need.clone(),
-            pace,
+            timing,
             stop.clone(),
         ));
     }
@@ -67,7 +67,7 @@
     /// Client for the other processes.
     pub peers: Arc<dyn feed::Peers>,
     /// Time within which a change must be in force.
-    pub in_force: Duration,
+    pub propagation_limit: Duration,
 }
 
 impl EntryFollower {
@@ -81,20 +81,24 @@
         now: Instant,
         stop: &CancellationToken,
     ) {
-        let reader = Arc::new(feed::Reader::new(now, feed::ENTRY_START, self.in_force));
+        let policy = Arc::new(feed::Policy::new(
+            now,
+            feed::ENTRY_START_GRACE,
+            self.propagation_limit,
+        ));
         tasks.spawn(feed::run(
             self.mirror.clone(),
             self.peers,
-            reader.clone(),
+            policy.clone(),
             sources,
             stop.clone(),
         ));
         let mirror = self.mirror.clone();
         let need = move || {
             let now = Instant::now();
-            reader.need(mirror.age(now), now)
+            policy.need(mirror.age(now), now)
         };
-        follow(tasks, &self.mirror, kv, need, ENTRY_PACE, stop);
+        follow(tasks, &self.mirror, kv, need, ENTRY_TIMING, stop);
     }
 }
 
@@ -103,7 +107,7 @@
     /// The address at which other processes reach this keeper.
     pub(crate) own_address: SocketAddr,
     /// Identity of the keeper's disk.
-    pub(crate) disk: Disk,
+    pub(crate) disk: DiskId,
     /// Keepers that read the service while the view has no members yet.
     pub(crate) seeds: Vec<SocketAddr>,
     /// The keeper's copy of the platform's data.
@@ -111,7 +115,7 @@
     /// Client for the other keepers.
     pub(crate) quorum: Arc<Quorum>,
     /// Decides when a keeper that is not a watcher reads the service.
-    pub(crate) reader: Arc<feed::Reader>,
+    pub(crate) policy: Arc<feed::Policy>,
     /// Decides when another watcher reads the service in place of the first one.
     pub(crate) standby: feed::Standby,
 }
@@ -131,7 +135,7 @@
                 let down = self.quorum.client(first.address).is_down();
                 self.standby.need(age, down, now)
             }
-            _ => self.reader.need(age, now),
+            _ => self.policy.need(age, now),
         }
     }
 
@@ -141,7 +145,7 @@
         let view = self.quorum.view();
         let mut sources = match view.find(self.disk) {
             Some(_) => view.watchers().map(|m| m.address).collect(),
-            None => self.quorum.by_distance(),
+            None => self.quorum.addresses_by_distance(),
         };
         if sources.is_empty() {
             sources.clone_from(&self.seeds);
@@ -162,12 +166,12 @@
         tasks.spawn(feed::run(
             keeper.mirror.clone(),
             keeper.quorum.clone(),
-            keeper.reader.clone(),
+            keeper.policy.clone(),
             move || follower.sources(),
             stop.clone(),
         ));
         let mirror = keeper.mirror.clone();
         let need = move || keeper.need(Instant::now());
-        follow(tasks, &mirror, kv, need, KEEPER_PACE, stop);
+        follow(tasks, &mirror, kv, need, KEEPER_TIMING, stop);
     }
 }
--- a/crates/gradedyke-gateway/src/process.rs
+++ b/crates/gradedyke-gateway/src/process.rs
@@ -10,7 +10,7 @@
 use gradedyke_http::Server;
 use gradedyke_http::server::{Config, Protocol};
 use gradedyke_platform::kv::KeyValue;
-use gradedyke_turns::desk::Desk;
+use gradedyke_turns::desk::Dispatcher;
 use gradedyke_turns::detour::Forwarder;
 use gradedyke_turns::membership::{self, Membership};
 use gradedyke_turns::mirror::Mirror;
@@ -23,19 +23,19 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-use crate::allowance::Register;
+use crate::allowance::Limiter;
 use crate::demand::Demand;
 use crate::dialect::Dialect;
-use crate::entry::{self, Door, Entry, Readiness};
+use crate::entry::{self, CallerHandler, Entry, Readiness};
 use crate::fleet::Fleet;
 use crate::mechanism::Enabled;
 use crate::settings::Settings;
 use crate::throttle::Throttle;
-use crate::{meter, news, placement};
+use crate::{follow, meter, placement};
 
 /// External dependencies of a process.
 #[derive(Clone)]
-pub struct World {
+pub struct Environment {
     /// Decodes and encodes the formats of callers, backend servers and the platform.
     pub dialect: Arc<dyn Dialect>,
     /// The platform's key-value service.
@@ -90,7 +90,7 @@
     if settings.seeds.is_empty() {
         return Duration::ZERO;
     }
-    membership::turn(settings.first_start)
+    membership::draw_join_delay(settings.first_start)
 }
 
 fn prefixes(dialect: &dyn Dialect) -> Vec<&str> {
@@ -119,10 +119,10 @@
     ///
     /// Fails if a required setting is missing, the placement policy does not exist, or a
     /// listener cannot be bound.
-    pub async fn entry(settings: Settings, world: World) -> eyre::Result<Self> {
+    pub async fn entry(settings: Settings, environment: Environment) -> eyre::Result<Self> {
         let caller = require(settings.listen.caller, "listen.caller")?;
         let ready = require(settings.listen.ready, "listen.ready")?;
-        let mirror = Mirror::new(&prefixes(&*world.dialect));
+        let mirror = Mirror::new(&prefixes(&*environment.dialect));
         let peer_listener = match settings.listen.peer {
             Some(address) => {
                 let listener = TcpListener::bind(address).await;
@@ -138,9 +138,9 @@
             .transpose()?;
         let quorum = Quorum::new(mirror.clone(), &settings.data_centre, own_address);
         let decisions = settings.decisions.clone();
-        let enabled = Enabled::without(&decisions.off);
-        let in_force = settings.in_force();
-        let policy = placement::policies(enabled).remove(decisions.placement.as_str());
+        let mechanisms = Enabled::without(&decisions.off);
+        let propagation_limit = settings.propagation_limit();
+        let policy = placement::policies(mechanisms).remove(decisions.placement.as_str());
         let policy = policy.ok_or_else(|| {
             eyre!(
                 "no placement policy named {}; change decisions.placement",
@@ -150,32 +150,32 @@
         tracing::info!(event = "deciding", placement = decisions.placement,
             off = ?decisions.off);
         let entry = Arc::new(Entry {
-            dialect: world.dialect.clone(),
+            dialect: environment.dialect.clone(),
             mirror: mirror.clone(),
             config: ArcSwapOption::empty(),
-            fleet: Fleet::new(settings.location(), own_address, policy, enabled),
+            fleet: Fleet::new(settings.location(), own_address, policy, mechanisms),
             quorum: quorum.clone(),
-            register: Register::new(rand::random(), settings.allowance_window(), Instant::now()),
+            limiter: Limiter::new(rand::random(), settings.allowance_window(), Instant::now()),
             demand: Demand::default(),
             throttle: Throttle::default(),
-            enabled,
+            mechanisms,
             drain: CancellationToken::new(),
-            configured: Mutex::default(),
-            in_force,
-            confirmation: settings.revocation().map(entry::confirmation),
-            applied: Mutex::new(0),
-            active: AtomicUsize::new(0),
+            config_revision: Mutex::default(),
+            propagation_limit,
+            max_key_age: settings.revocation().map(entry::max_key_age),
+            mirror_cursor: Mutex::new(0),
+            active_requests: AtomicUsize::new(0),
         });
         let stop = CancellationToken::new();
         let mut process = Self::new(settings, Some(entry.clone()), stop.clone());
         let sources = follow_sources(process.settings.clone(), quorum.clone());
         let tasks = &mut process.tasks;
-        let follower = news::EntryFollower {
+        let follower = follow::EntryFollower {
             mirror,
             peers: quorum,
-            in_force,
+            propagation_limit,
         };
-        follower.start(tasks, &world.kv, sources, Instant::now(), &stop);
+        follower.start(tasks, &environment.kv, sources, Instant::now(), &stop);
         tasks.spawn(refresh(entry.clone(), stop.clone()));
         if let Some(listener) = peer_listener {
             let forwarder = Arc::new(Forwarder::new(entry.quorum.clone()));
@@ -194,7 +194,7 @@
         };
         let caller_server = bind(caller, config.clone(), "listen.caller").await?;
         process.addresses.caller = Some(caller_server.address()?);
-        tasks.spawn(caller_server.serve(Arc::new(Door(entry.clone())), stop.clone()));
+        tasks.spawn(caller_server.serve(Arc::new(CallerHandler(entry.clone())), stop.clone()));
         let ready_server = bind(ready, config, "listen.ready").await?;
         process.addresses.ready = Some(ready_server.address()?);
         tasks.spawn(ready_server.serve(Arc::new(Readiness(entry)), stop));
@@ -208,11 +208,11 @@
     ///
     /// Fails if a required setting is missing, the data folder cannot be used, or a listener
     /// cannot be bound.
-    pub async fn keeper(settings: Settings, world: World) -> eyre::Result<Self> {
+    pub async fn keeper(settings: Settings, environment: Environment) -> eyre::Result<Self> {
         let peer = require(settings.listen.peer, "listen.peer")?;
         let folder = require(settings.data_folder.clone(), "data_folder")?;
         let stop = CancellationToken::new();
-        let mirror = Mirror::new(&prefixes(&*world.dialect));
+        let mirror = Mirror::new(&prefixes(&*environment.dialect));
         let listener = TcpListener::bind(peer).await;
         let listener = listener
             .wrap_err_with(|| format!("cannot listen on {peer}; free it or change listen.peer"))?;
@@ -232,35 +232,39 @@
             data_centres: settings.data_centres.clone(),
             first_start: settings.first_start,
             tolerate: settings.tolerate,
-            turn: join_delay(&settings),
+            join_delay: join_delay(&settings),
         };
         let seeds = settings.seeds.clone();
-        let in_force = settings.in_force();
+        let propagation_limit = settings.propagation_limit();
         let mut process = Self::new(settings, None, stop.clone());
         process.addresses.peer = Some(peer);
         let (replica_sender, replica) = watch::channel(None);
-        let handler = Arc::new(Desk::new(mirror.clone(), replica));
+        let handler = Arc::new(Dispatcher::new(mirror.clone(), replica));
         let tasks = &mut process.tasks;
         tasks.spawn(gradedyke_peer::server::serve(
             listener,
             handler,
             stop.clone(),
         ));
-        snapshot::load(&mirror, &folder, Instant::now());
-        tasks.spawn(snapshot::keep(mirror.clone(), folder.clone(), stop.clone()));
+        snapshot::load_mirror(&mirror, &folder, Instant::now());
+        tasks.spawn(snapshot::save_mirror_on_change(
+            mirror.clone(),
+            folder.clone(),
+            stop.clone(),
+        ));
         // Entries can read the mirror from this keeper while it still opens its disk.
-        let disk = replica::identity(&folder)?;
-        let reader = feed::Reader::new(Instant::now(), feed::KEEPER_START, in_force);
-        let follower = news::KeeperFollower {
+        let disk = replica::load_or_create_disk_id(&folder)?;
+        let policy = feed::Policy::new(Instant::now(), feed::KEEPER_START_GRACE, propagation_limit);
+        let follower = follow::KeeperFollower {
             own_address: peer,
             disk,
             seeds,
             mirror: mirror.clone(),
             quorum: Quorum::new(mirror.clone(), &config.data_centre, None),
-            reader: Arc::new(reader),
+            policy: Arc::new(policy),
             standby: feed::Standby::default(),
         };
-        follower.start(tasks, &world.kv, &stop);
+        follower.start(tasks, &environment.kv, &stop);
         let (replica_mirror, replica_stop, replica_folder) =
             (mirror.clone(), stop.clone(), folder.clone());
         let open = move || {
@@ -270,11 +274,16 @@
         };
         let replica = tokio::task::spawn_blocking(open).await??;
         replica_sender.send_replace(Some(replica.clone()));
-        let membership = Membership::new(config, replica.clone(), world.kv, world.dialect);
-        tasks.spawn(snapshot::keep_usage(replica.clone(), folder, stop.clone()));
+        let membership =
+            Membership::new(config, replica.clone(), environment.kv, environment.dialect);
+        tasks.spawn(snapshot::save_usage_periodically(
+            replica.clone(),
+            folder,
+            stop.clone(),
+        ));
         tasks.spawn(membership.run(stop));
         tasks.spawn(replica.clone().recover());
-        tasks.spawn(replica.expire());
+        tasks.spawn(replica.run_expiry());
         process.log_started("keeper");
         Ok(process)
     }
@@ -312,7 +321,7 @@
     }
 
     /// Waits until the process stops itself after a failure.
-    pub async fn failed(&self) {
+    pub async fn wait_for_failure(&self) {
         self.stop.cancelled().await;
     }
 
@@ -328,10 +337,10 @@
             tokio::time::sleep_until(deadline.min(started_at + BALANCER_NOTICE_DELAY)).await;
             // Stops accepting connections and closes idle ones.
             self.stop.cancel();
-            while entry.active.load(Ordering::Relaxed) > 0 && Instant::now() < deadline {
+            while entry.active_requests.load(Ordering::Relaxed) > 0 && Instant::now() < deadline {
                 tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
             }
-            let left = entry.active.load(Ordering::Relaxed);
+            let left = entry.active_requests.load(Ordering::Relaxed);
             tracing::info!(
                 event = "stopped",
                 ms = started_at.elapsed().as_millis(),
@@ -357,7 +366,7 @@
     quorum: Arc<Quorum>,
 ) -> impl Fn() -> Vec<SocketAddr> {
     move || {
-        let mut sources = quorum.by_distance();
+        let mut sources = quorum.addresses_by_distance();
         let settings = settings.load();
         let seeds = settings.seeds.iter().copied();
         let others: Vec<_> = seeds.filter(|s| !sources.contains(s)).collect();
@@ -368,15 +377,17 @@
 
 /// Applies changes of the mirror to the configuration and the fleet until `stop`.
 async fn refresh(entry: Arc<Entry>, stop: CancellationToken) {
-    let mut changed = entry.mirror.watch();
+    let mut changed = entry.mirror.subscribe();
     loop {
         tokio::select! {
             _ = changed.changed() => entry.refresh(),
-            () = tokio::time::sleep(REFRESH_INTERVAL) => entry.quorum.mend(),
+            () = tokio::time::sleep(REFRESH_INTERVAL) => entry.quorum.probe_unreachable(),
             () = stop.cancelled() => return,
         }
         let now = Instant::now();
-        entry.gauge(now);
-        entry.fleet.expire(entry.mirror.steady(), now);
+        entry.record_gauges(now);
+        entry
+            .fleet
+            .remove_expired(entry.mirror.service_available_since(), now);
     }
 }
--- a/crates/gradedyke-gateway/src/throttle.rs
+++ b/crates/gradedyke-gateway/src/throttle.rs
@@ -10,12 +10,12 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use gradedyke_turns::decay::Count;
+use gradedyke_turns::decay::Counter;
 use gradedyke_turns::pressure::Pressure;
 use gradedyke_turns::record::Id;
 use tokio::time::Instant;
 
-use crate::entry::refusal::SOON;
+use crate::entry::refusal::MIN_RETRY_AFTER;
 
 /// Half-life of the counts of admitted and refused turns: two retry intervals of a refused
 /// caller, so that the throttle reacts to a burst within its first second.
@@ -38,8 +38,8 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Counts {
-    admitted: Count,
-    refused: Count,
+    admitted: Counter,
+    refused: Counter,
     reported: Option<(Pressure, Instant)>,
 }
 
@@ -53,8 +53,8 @@
         {
             return pressure.share();
         }
-        let refused = self.refused.at(COUNT_HALF_LIFE, now);
-        refused / (self.admitted.at(COUNT_HALF_LIFE, now) + PRIOR_ADMITTED_TURNS + refused)
+        let refused = self.refused.value_at(COUNT_HALF_LIFE, now);
+        refused / (self.admitted.value_at(COUNT_HALF_LIFE, now) + PRIOR_ADMITTED_TURNS + refused)
     }
 }
 
@@ -65,9 +65,9 @@
 /// use gradedyke_turns::record::Id;
 ///
 /// let program = Id::parse("p").unwrap();
-/// assert!((0.0..1.0).contains(&throttle::draw(&program)));
+/// assert!((0.0..1.0).contains(&throttle::hash_fraction(&program)));
 /// ```
-pub fn draw(program: &Id) -> f64 {
+pub fn hash_fraction(program: &Id) -> f64 {
     use std::hash::{DefaultHasher, Hash, Hasher};
     let mut hasher = DefaultHasher::new();
     program.hash(&mut hasher);
@@ -86,21 +86,21 @@
     /// Records that keepers admitted a turn, and how long the exchange took. A slow
     /// exchange counts as a refusal: it is an earlier sign of overload, while refusals
     /// already fail running programs.
-    pub fn let_in(&self, took: Duration, now: Instant) {
-        if took > SLOW_EXCHANGE {
-            return self.refused(now);
+    pub fn record_admitted(&self, elapsed: Duration, now: Instant) {
+        if elapsed > SLOW_EXCHANGE {
+            return self.record_refused(now);
         }
-        self.lock().admitted.add(COUNT_HALF_LIFE, now);
+        self.lock().admitted.increment(COUNT_HALF_LIFE, now);
     }
 
     /// Records that keepers were reachable but refused a turn because of overload.
-    pub fn refused(&self, now: Instant) {
-        self.lock().refused.add(COUNT_HALF_LIFE, now);
+    pub fn record_refused(&self, now: Instant) {
+        self.lock().refused.increment(COUNT_HALF_LIFE, now);
     }
 
     /// Records the pressure that keepers reported at `at`. Keepers see the turns of all
     /// entries; one entry alone may see too few for a useful ratio.
-    pub fn told(&self, pressure: Pressure, at: Instant) {
+    pub fn record_pressure(&self, pressure: Pressure, at: Instant) {
         self.lock().reported = Some((pressure, at));
     }
 
@@ -112,7 +112,7 @@
     /// let now = tokio::time::Instant::now();
     /// let throttle = Throttle::default();
     /// assert_eq!(throttle.admission_ratio(now), 1.0);
-    /// (0..20).for_each(|_| throttle.refused(now));
+    /// (0..20).for_each(|_| throttle.record_refused(now));
     /// assert!(throttle.admission_ratio(now) < 0.1);
     /// ```
     pub fn admission_ratio(&self, now: Instant) -> f64 {
@@ -122,10 +122,10 @@
         ratio.clamp(MIN_ADMISSION_RATIO, 1.0)
     }
 
-    /// Whether a program is admitted. `draw` is the program's number in `0.0..1.0`, either
-    /// random or from [`draw`].
-    pub fn admits(&self, draw: f64, now: Instant) -> bool {
-        draw < self.admission_ratio(now)
+    /// Whether a program is admitted. `fraction` is the program's number in `0.0..1.0`, either
+    /// random or from [`hash_fraction`].
+    pub fn admits(&self, fraction: f64, now: Instant) -> bool {
+        fraction < self.admission_ratio(now)
     }
 
     /// How long a caller whose program was refused should wait before it retries: the
@@ -136,10 +136,10 @@
     /// use std::time::Duration;
     ///
     /// let throttle = Throttle::default();
-    /// let wait = throttle.wait(tokio::time::Instant::now());
+    /// let wait = throttle.retry_after(tokio::time::Instant::now());
     /// assert_eq!(wait, Duration::from_millis(250));
     /// ```
-    pub fn wait(&self, now: Instant) -> Duration {
-        SOON.div_f64(self.admission_ratio(now))
+    pub fn retry_after(&self, now: Instant) -> Duration {
+        MIN_RETRY_AFTER.div_f64(self.admission_ratio(now))
     }
 }
--- a/crates/gradedyke-gateway/tests/news/main.rs
+++ b/crates/gradedyke-gateway/tests/follow/main.rs
@@ -12,7 +12,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-use gradedyke_gateway::news;
+use gradedyke_gateway::follow;
 use gradedyke_platform::kv::KeyValue;
 use gradedyke_turns::mirror::{self, Mirror, Need};
 use network::{Loss, Network, PeerClient};
@@ -76,7 +76,7 @@
         self.keeper_cut_off = client.cut_off.clone();
         let (kv, stop) = (Arc::new(client), self.stop.clone());
         let need = || Need::High;
-        let follow = mirror::follow(mirror, kv, String::new(), need, news::KEEPER_PACE, stop);
+        let follow = mirror::follow(mirror, kv, String::new(), need, follow::KEEPER_TIMING, stop);
         self.tasks.spawn(follow);
     }
 
@@ -91,10 +91,10 @@
         };
         let kv: Arc<dyn KeyValue> = Arc::new(Client::new(self.service.clone()));
         let (network, stop) = (self.network.clone(), self.stop.clone());
-        let follower = news::EntryFollower {
+        let follower = follow::EntryFollower {
             mirror,
             peers: Arc::new(peers),
-            in_force: IN_FORCE,
+            propagation_limit: IN_FORCE,
         };
         let sources = move || network.keepers();
         follower.start(&mut self.tasks, &kv, sources, Instant::now(), &stop);
@@ -111,8 +111,8 @@
     /// and returns how long that took.
     async fn time_until_vouched(&self) -> Duration {
         let since = Instant::now();
-        let vouched = |m: &Arc<Mirror>| m.vouched().is_some_and(|at| at >= since);
-        while !self.entries.iter().all(vouched) {
+        let is_confirmed = |m: &Arc<Mirror>| m.complete_as_of().is_some_and(|at| at >= since);
+        while !self.entries.iter().all(is_confirmed) {
             tokio::time::sleep(POLL_INTERVAL).await;
         }
         since.elapsed()
--- a/crates/gradedyke-gateway/tests/overload.rs
+++ b/crates/gradedyke-gateway/tests/overload.rs
@@ -10,7 +10,7 @@
 
 use gradedyke_gateway::throttle::Throttle;
 use gradedyke_turns::backlog;
-use gradedyke_turns::pressure::Gauge;
+use gradedyke_turns::pressure::Meter;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use tokio::time::Instant;
@@ -103,7 +103,7 @@
 fn is_full(first: bool, queue_ms: f64) -> bool {
     let active = (queue_ms / 1e3 * CAPACITY_PER_S) as usize;
     let age = Duration::from_secs_f64(queue_ms / 1e3);
-    backlog::full(active, age, first)
+    backlog::is_full(active, age, first)
 }
 
 struct Simulation {
@@ -116,7 +116,7 @@
     throttles: Vec<Throttle>,
     /// Time at which the keepers have finished all work in their queue.
     busy_until_ms: f64,
-    gauge: Gauge,
+    meter: Meter,
     /// Whether overload protection is on: keepers refuse turns while their queue is too long,
     /// and entries let fewer programs begin.
     protected: bool,
@@ -134,7 +134,7 @@
             programs: Vec::new(),
             throttles: (0..entries).map(|_| Throttle::default()).collect(),
             busy_until_ms: 0.0,
-            gauge: Gauge::default(),
+            meter: Meter::default(),
             protected,
             load,
             outcome: Outcome::default(),
@@ -206,7 +206,7 @@
         let queue_ms = (self.busy_until_ms - ms).max(0.0);
         let now = self.instant(ms);
         let refused = self.protected && is_full(first, queue_ms);
-        self.gauge.count(refused, now);
+        self.meter.record_attempt(refused, now);
         if refused {
             return Err(queue_ms + self.add_work(REFUSAL_COST, ms));
         }
@@ -221,25 +221,25 @@
     fn start_turn(&mut self, index: usize, ms: f64) {
         let program = self.programs[index];
         let now = self.instant(ms);
-        let draw = self.rng.random_range(0.0..1.0);
+        let fraction = self.rng.random_range(0.0..1.0);
         let first = program.completed_turns == 0;
         let throttle = &self.throttles[program.entry];
-        if self.protected && first && !throttle.admits(draw, now) {
+        if self.protected && first && !throttle.admits(fraction, now) {
             return self.retry_turn(index, ms);
         }
         let result = self.begin_turn(first, ms);
-        let pressure = self.gauge.pressure(now);
+        let pressure = self.meter.pressure(now);
         let throttle = &self.throttles[program.entry];
         let (Ok(took_ms) | Err(took_ms)) = result;
         let later = self.instant(ms + took_ms);
-        throttle.told(pressure, later);
+        throttle.record_pressure(pressure, later);
         match result {
             Ok(_) => {
-                throttle.let_in(Duration::from_secs_f64(took_ms / 1e3), later);
+                throttle.record_admitted(Duration::from_secs_f64(took_ms / 1e3), later);
                 self.schedule(ms + took_ms + TURN_MS, Event::CompleteTurn(index));
             }
             Err(_) => {
-                throttle.refused(later);
+                throttle.record_refused(later);
                 self.retry_turn(index, ms + took_ms);
             }
         }
@@ -271,7 +271,7 @@
             return;
         }
         let wait = if self.protected {
-            self.throttles[program.entry].wait(now)
+            self.throttles[program.entry].retry_after(now)
         } else {
             Duration::from_millis(250)
         };
--- a/crates/gradedyke-model/src/world.rs
+++ b/crates/gradedyke-model/src/world.rs
@@ -6,11 +6,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use gradedyke_gateway::estimate::Stream;
-use gradedyke_gateway::fleet::{Choice, Fleet, Question, Server};
+use gradedyke_gateway::estimate::Timing;
+use gradedyke_gateway::fleet::{Choice, Fleet, Query, Server};
 use gradedyke_gateway::mechanism::{Enabled, Mechanism};
 use gradedyke_gateway::placement;
-use gradedyke_turns::load::{Board, Busy};
+use gradedyke_turns::load::{Aggregator, ServerLoad};
 use gradedyke_turns::record::Id;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -110,7 +110,7 @@
     /// A program's next turn comes to its entry.
     Turn(usize),
     /// The exchange is over.
-    Place(usize, Vec<Busy>),
+    Place(usize, Vec<ServerLoad>),
     /// The request is at the engine.
     Arrive(usize),
     /// A step of an engine ends.
@@ -143,7 +143,7 @@
     random: StdRng,
     engines: Vec<Engine>,
     entries: Vec<Entry>,
-    board: Board,
+    aggregator: Aggregator,
     programs: Vec<Program>,
     turns: Vec<Option<Turn>>,
     /// The engine of each program's last turn.
@@ -173,10 +173,10 @@
             data_centre: "here".to_owned(),
             slots: setup.figures.slots,
             started_ms: None,
-            leaving: false,
-            warm_up: Duration::ZERO,
+            is_draining: false,
+            remaining_warm_up: Duration::ZERO,
         };
-        fleet.list(server, start);
+        fleet.upsert(server, start);
     }
     Entry { fleet, number }
 }
@@ -223,7 +223,7 @@
         random: StdRng::seed_from_u64(seed),
         engines: vec![Engine::new(setup.figures); setup.engines],
         entries: entries.collect(),
-        board: Board::default(),
+        aggregator: Aggregator::default(),
         programs: Vec::new(),
         turns: Vec::new(),
         last: Vec::new(),
@@ -306,34 +306,34 @@
         self.asked[program] = self.now_ms;
         let now = self.now();
         let entry = &self.entries[self.programs[program].entry];
-        let mut report = entry.fleet.report(now);
+        let mut report = entry.fleet.load_report(now);
         report.entry = entry.number;
-        self.board.put(report, now);
-        let load = self.board.others(entry.number, now);
+        self.aggregator.record_report(report, now);
+        let load = self.aggregator.total_excluding(entry.number, now);
         self.after(EXCHANGE_MS, Event::Place(program, load));
     }
 
-    fn place(&mut self, program: usize, load: &[Busy]) {
+    fn place(&mut self, program: usize, load: &[ServerLoad]) {
         let now = self.now();
         let answer = self.programs[program].ask();
         let state = &self.programs[program];
         let fleet = self.entries[state.entry].fleet.clone();
-        fleet.learn(load, now);
+        fleet.set_peer_load(load, now);
         let request = Id::parse(&format!("{program}-{}", state.turns.len()));
         let request = request.unwrap_or_else(|| unreachable!("it is a name"));
-        let chosen = fleet.choose(&Question {
+        let chosen = fleet.choose(&Query {
             service: "engines",
-            request: &request,
-            tried: &[],
-            holder: None,
+            request_id: &request,
+            excluded: &[],
+            cached_on: None,
             prompt_tokens: state.prompt_tokens(),
-            held_tokens: 0,
+            cached_tokens: 0,
             parts: &state.parts,
-            engine: true,
-            room: self.setup.figures.memory_tokens,
+            is_engine: true,
+            cache_capacity_tokens: self.setup.figures.memory_tokens,
             repeatable: false,
-            warm_up_rate: None,
-            regions: None,
+            max_warm_up_rate_per_s: None,
+            allowed_regions: None,
             now,
         });
         let choice = chosen.unwrap_or_else(|| unreachable!("all engines are listed"));
@@ -390,22 +390,27 @@
         let Some(turn) = self.turns[program].take() else {
             return;
         };
-        let (choice, view) = (&turn.choice, &turn.choice.view);
-        let since = (choice.since - self.start).as_secs_f64() * 1e3;
-        let stream = Stream {
-            beside: view.in_flight,
-            slots: view.slots,
-            unread: view.unread_tokens,
-            first_ms: turn.first_ms - since,
-            rest_ms: end_ms - turn.first_ms,
+        let (choice, candidate) = (&turn.choice, &turn.choice.candidate);
+        let since = (choice.chosen_at - self.start).as_secs_f64() * 1e3;
+        let stream = Timing {
+            concurrent: candidate.in_flight,
+            slots: candidate.slots,
+            uncached_tokens: candidate.uncached_tokens,
+            first_event_ms: turn.first_ms - since,
+            remaining_ms: end_ms - turn.first_ms,
             events: turn.answer / EVENT_TOKENS,
         };
         let state = &mut self.programs[program];
         let fleet = self.entries[state.entry].fleet.clone();
-        let gap = stream.rest_ms / f64::from(stream.events.max(1));
+        let gap = stream.remaining_ms / f64::from(stream.events.max(1));
         let gap = Duration::from_secs_f64(gap.max(0.0) / 1e3);
-        fleet.paced(choice.key, view.in_flight, gap, self.start + ms(end_ms));
-        fleet.streamed(choice.key, &state.parts, u64::from(turn.answer), &stream);
+        fleet.record_event_gap(
+            choice.key,
+            candidate.in_flight,
+            gap,
+            self.start + ms(end_ms),
+        );
+        fleet.record_stream(choice.key, &state.parts, u64::from(turn.answer), &stream);
         state.answered(turn.answer);
         let second = |ms: f64| (ms / 1e3) as usize;
         if let Some(ended) = self.outcome.ended.get_mut(second(end_ms)) {
--- a/crates/gradedyke-turns/src/quorum/gathered.rs
+++ b/crates/gradedyke-turns/src/quorum/gathered.rs
@@ -2,10 +2,10 @@
 
 use std::collections::HashMap;
 
-use super::{Ask, Refusal};
-use crate::conversation::Chain;
+use super::{BeginParams, Error};
+use crate::conversation::Transcript;
 use crate::index::Attempt;
-use crate::load::Busy;
+use crate::load::ServerLoad;
 use crate::message::{Found, Reply};
 use crate::pressure::Pressure;
 use crate::record::{Id, Reserved};
@@ -31,7 +31,7 @@
     /// All known attempts of the program.
     attempts: HashMap<Id, Attempt>,
     /// The conversation up to the parent turn.
-    pub(super) chain: Option<Chain>,
+    pub(super) transcript: Option<Transcript>,
     /// A member that has the parent turn but did not send the conversation.
     pub(super) holder: Option<Member>,
     /// Members that do not have the parent turn.
@@ -40,8 +40,8 @@
     pub(super) starting: bool,
     /// Whether a member is overloaded.
     pub(super) busy: bool,
-    /// Requests that other gateways have in flight.
-    pub(super) load: Option<Vec<Busy>>,
+    /// Requests that other entries have in flight.
+    pub(super) load: Option<Vec<ServerLoad>>,
     /// Pressure of each member that reported it.
     pressures: Vec<Pressure>,
     /// The largest usage total that a member reported.
@@ -52,14 +52,14 @@
     pub(super) fn new(view: &View) -> Self {
         Self {
             needed: view.quorum(),
-            required_copies: view.copies(),
+            required_copies: view.required_copies(),
             stored: 0,
             member_count: view.members.len(),
             finished: 0,
             not_executed: 0,
             answered: 0,
             attempts: HashMap::new(),
-            chain: None,
+            transcript: None,
             holder: None,
             missing: 0,
             starting: false,
@@ -95,8 +95,8 @@
     }
 
     /// Returns whether no further reply is needed or expected.
-    pub(super) fn is_complete(&self, params: &Ask) -> bool {
-        let has_parent = params.parent.is_none() || self.chain.is_some();
+    pub(super) fn is_complete(&self, params: &BeginParams) -> bool {
+        let has_parent = params.parent.is_none() || self.transcript.is_some();
         self.has_quorum() && has_parent || self.finished == self.member_count
     }
 
@@ -149,7 +149,7 @@
 
     fn record_parent(&mut self, member: &Member, parent: Option<Found>) {
         match parent {
-            Some(Found::Whole(chain)) => self.chain = Some(chain),
+            Some(Found::Whole(transcript)) => self.transcript = Some(transcript),
             Some(Found::Here) => self.holder = Some(member.clone()),
             Some(Found::Missing) => self.missing += 1,
             None => {}
@@ -165,17 +165,17 @@
     }
 
     /// Checks that the budget has room for the reservation in addition to all other attempts.
-    pub(super) fn check_budget(&self, reserved: &Reserved, budget: u64) -> Result<(), Refusal> {
+    pub(super) fn check_budget(&self, reserved: &Reserved, budget: u64) -> Result<(), Error> {
         let others = self.attempts.values();
         let others = others.filter(|a| a.request != reserved.request);
         let used: u64 = others.map(|a| u64::from(a.tokens)).sum();
         if used + u64::from(reserved.tokens) <= budget {
             return Ok(());
         }
-        Err(Refusal::Spent {
+        Err(Error::BudgetExceeded {
             budget,
             used,
-            asked: reserved.tokens,
+            requested: reserved.tokens,
         })
     }
 }
