--- a/crates/gradedyke-gateway/src/account.rs
+++ b/crates/gradedyke-gateway/src/account.rs
@@ -65,9 +65,9 @@
     ///
     /// let account = |name| Account {
     ///     name: Id::parse(name).unwrap(),
-    ///     rank: None,
+    ///     priority: None,
     ///     allowance: None,
-    ///     regions: None,
+    ///     allowed_regions: None,
     /// };
     /// let turn = Id::parse("t1").unwrap();
     /// assert_ne!(account("a").scoped_id(&turn), account("b").scoped_id(&turn));
--- a/crates/gradedyke-gateway/src/allowance.rs
+++ b/crates/gradedyke-gateway/src/allowance.rs
@@ -174,7 +174,7 @@
 }
 
 impl Limiter {
-    /// Creates an empty register. `entry` identifies this process in reports, and limits
+    /// Creates a limiter without usage. `entry` identifies this process in reports, and limits
     /// apply to every time span of length `window`.
     pub fn new(entry: u64, window: Duration, now: Instant) -> Self {
         Self {
--- a/crates/gradedyke-gateway/src/config.rs
+++ b/crates/gradedyke-gateway/src/config.rs
@@ -186,12 +186,12 @@
 /// `route_priorities`. The account's priority takes precedence.
 ///
 /// ```
-/// use gradedyke_gateway::config::rank;
+/// use gradedyke_gateway::config::priority;
 ///
 /// // Routes have the priorities 0 to 2.
-/// assert_eq!(rank(None, 1, 3), 1);
-/// assert_eq!(rank(Some(0), 2, 3), 2);
-/// assert_eq!(rank(Some(1), 0, 3), 3);
+/// assert_eq!(priority(None, 1, 3), 1);
+/// assert_eq!(priority(Some(0), 2, 3), 2);
+/// assert_eq!(priority(Some(1), 0, 3), 3);
 /// ```
 pub fn priority(account: Option<u8>, route: u8, route_priorities: u8) -> u8 {
     let account = account.unwrap_or(0);
--- a/crates/gradedyke-gateway/src/entry/mod.rs
+++ b/crates/gradedyke-gateway/src/entry/mod.rs
@@ -126,8 +126,8 @@
     }
 
     /// Returns the greatest possible age of the local data at `now`; `None` before the
-    /// platform first confirmed it. The age counts from when the platform was asked, not from when it answered, so
-    /// that network delay cannot make the data look newer than it is.
+    /// platform first confirmed it. The age counts from when the platform was asked, not from
+    /// when it answered, so that network delay cannot make the data look newer than it is.
     fn config_age(&self, now: Instant) -> Option<Duration> {
         let confirmed = self.mirror.complete_as_of()?;
         Some(now.saturating_duration_since(confirmed))
--- a/crates/gradedyke-gateway/src/entry/relay.rs
+++ b/crates/gradedyke-gateway/src/entry/relay.rs
@@ -161,15 +161,17 @@
 
     /// Reports to the fleet that the stream ended by the server's fault. Returns whether it did.
     fn report_server_fault(&self, end: &End) -> bool {
-        let (fault, cause) = match end {
+        let (failure, cause) = match end {
             End::Broken(cause) => (health::Failure::ConnectionLost, cause.as_str()),
             End::Stalled => (health::Failure::Slow, ""),
             End::Complete | End::CallerGone | End::TimedOut | End::NotStored => return false,
         };
         let now = Instant::now();
-        self.entry.fleet.record_failure(self.choice.key, fault, now);
+        self.entry
+            .fleet
+            .record_failure(self.choice.key, failure, now);
         tracing::info!(event = "stream_broke", request = %self.call.id,
-            server = %self.choice.id, fault = fault.name(), cause);
+            server = %self.choice.id, fault = failure.name(), cause);
         true
     }
 
--- a/crates/gradedyke-gateway/src/fleet/mod.rs
+++ b/crates/gradedyke-gateway/src/fleet/mod.rs
@@ -84,8 +84,8 @@
     ///     address: "127.0.0.1:9".parse().unwrap(),
     ///     data_centre: "here".to_owned(),
     ///     slots: 4,
-    ///     leaving: false,
-    ///     warm_up: std::time::Duration::ZERO,
+    ///     is_draining: false,
+    ///     remaining_warm_up: std::time::Duration::ZERO,
     /// };
     /// assert_eq!(server(None).incarnation().as_str(), "s");
     /// assert_ne!(server(Some(1)).incarnation(), server(Some(2)).incarnation());
@@ -110,7 +110,7 @@
     pub cached_on: Option<&'a Id>,
     /// Number of tokens of the prompt; 0 for a plain service.
     pub prompt_tokens: u64,
-    /// Number of tokens of the prompt that the holder has cached.
+    /// Number of tokens of the prompt that this server has cached.
     pub cached_tokens: u64,
     /// The identified parts of the prompt; empty if there are none.
     pub parts: &'a [Part],
--- a/crates/gradedyke-gateway/src/placement/mod.rs
+++ b/crates/gradedyke-gateway/src/placement/mod.rs
@@ -71,13 +71,13 @@
 ///
 /// let times = ServiceEstimate::default().times(false);
 /// assert_eq!(wait_ms(3, 4, &times), 0.0);
-/// assert_eq!(wait_ms(7, 4, &times), times.answer_ms);
+/// assert_eq!(wait_ms(7, 4, &times), times.response_ms);
 /// ```
 pub fn wait_ms(in_flight: u32, slots: u32, times: &Times) -> f64 {
-    let answer_ms = times.response_ms(concurrent(in_flight, slots));
+    let response_ms = times.response_ms(concurrent(in_flight, slots));
     let slots = f64::from(slots.max(1));
     let queued = (f64::from(in_flight) + 1.0 - slots).max(0.0);
-    queued * answer_ms / slots
+    queued * response_ms / slots
 }
 
 fn concurrent(in_flight: u32, slots: u32) -> u32 {
--- a/crates/gradedyke-gateway/src/prefix.rs
+++ b/crates/gradedyke-gateway/src/prefix.rs
@@ -50,8 +50,8 @@
     /// let mut cache = Cache::default();
     /// cache.record_prompt(&[part("rules", 500), part("talk", 300)], 40, 10_000);
     /// // The conversation has grown by the response and by a new message.
-    /// assert_eq!(cache.uncached(&[part("rules", 500), part("talk", 400)]), 60);
-    /// assert_eq!(cache.uncached(&[part("other", 500), part("talk", 400)]), 900);
+    /// assert_eq!(cache.uncached_tokens(&[part("rules", 500), part("talk", 400)]), 60);
+    /// assert_eq!(cache.uncached_tokens(&[part("other", 500), part("talk", 400)]), 900);
     /// ```
     pub fn uncached_tokens(&self, prompt: &[Part]) -> u64 {
         let mut uncached = 0;
--- a/crates/gradedyke-gateway/src/settings.rs
+++ b/crates/gradedyke-gateway/src/settings.rs
@@ -225,7 +225,7 @@
     ///     "in_force_ms": 5000, "drain_ms": 4000,
     /// }"#;
     /// let settings = Settings::read("a.jsonc", text).unwrap();
-    /// assert_eq!(settings.in_force(), Duration::from_secs(4));
+    /// assert_eq!(settings.propagation_limit(), Duration::from_secs(4));
     /// ```
     pub fn propagation_limit(&self) -> Duration {
         let configured_ms = self.in_force_ms.min(self.drain_ms);
--- a/crates/gradedyke-turns/src/backlog.rs
+++ b/crates/gradedyke-turns/src/backlog.rs
@@ -27,9 +27,9 @@
 /// use std::time::Duration;
 ///
 /// let age = Duration::from_millis(70);
-/// assert!(backlog::full(40, age, true));
-/// assert!(!backlog::full(40, age, false));
-/// assert!(!backlog::full(10, age, true));
+/// assert!(backlog::is_full(40, age, true));
+/// assert!(!backlog::is_full(40, age, false));
+/// assert!(!backlog::is_full(10, age, true));
 /// ```
 pub fn is_full(active: usize, age: Duration, first: bool) -> bool {
     let max_age = if first {
@@ -69,7 +69,7 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Adds a request, or returns `None` if it must be rejected (see [`full`]). `first` tells
+    /// Adds a request, or returns `None` if it must be rejected (see [`is_full`]). `first` tells
     /// whether it is for a program's first turn.
     ///
     /// ```
--- a/crates/gradedyke-turns/src/membership/decide.rs
+++ b/crates/gradedyke-turns/src/membership/decide.rs
@@ -55,7 +55,7 @@
     pub first_start: bool,
     /// How many disks may be lost at the same time without losing records.
     pub tolerate: usize,
-    /// Delay before this replica joins where several may, as drawn by [`turn`].
+    /// Delay before this replica joins where several may, as drawn by [`draw_join_delay`].
     pub join_delay: Duration,
 }
 
--- a/crates/gradedyke-turns/src/replica.rs
+++ b/crates/gradedyke-turns/src/replica.rs
@@ -291,7 +291,7 @@
         transcript.map_or(Found::Here, Found::Whole)
     }
 
-    async fn chain_reply(&self, id: &Id) -> Reply {
+    async fn transcript_reply(&self, id: &Id) -> Reply {
         match self.load_for_request(None, Some(id)).await {
             Ok(()) => Reply::Chain(self.transcript(id).await),
             Err(error) => Reply::Failed(error.to_string()),
@@ -455,7 +455,7 @@
             } => self.store_in_view(view, &record, usage).await,
             Request::KeepAll { view, records } => self.store_all(view, &records).await,
             Request::Usage(report) => Reply::Usage(self.apply_usage_report(report)),
-            Request::Chain(id) => self.chain_reply(&id).await,
+            Request::Chain(id) => self.transcript_reply(&id).await,
             Request::Keys { disk, boot, from } => self.wait_for_keys(disk, boot, from).await,
             Request::Records(keys) => match self.records(&keys).await {
                 Some(records) => Reply::Records(records),
--- a/crates/gradedyke-turns/src/stats.rs
+++ b/crates/gradedyke-turns/src/stats.rs
@@ -1,7 +1,7 @@
 //! Request statistics of a replica, logged about once a second while it is overloaded.
 //!
-//! The statistics cover the number of requests of each kind, how long requests waited to be read, and how
-//! long responses took.
+//! The statistics cover the number of requests of each kind, how long requests waited to be
+//! read, and how long responses took.
 
 use std::time::Duration;
 
--- a/crates/gradedyke-turns/src/view.rs
+++ b/crates/gradedyke-turns/src/view.rs
@@ -60,7 +60,7 @@
     ///
     /// let view = View { tolerate: 1, ..View::default() };
     /// assert_eq!(view.quorum(), 1);
-    /// assert_eq!(view.copies(), 2);
+    /// assert_eq!(view.required_copies(), 2);
     /// ```
     pub fn quorum(&self) -> usize {
         let active = self.active().count();
--- a/crates/gradedyke-turns/tests/feed.rs
+++ b/crates/gradedyke-turns/tests/feed.rs
@@ -101,7 +101,7 @@
 }
 
 #[tokio::test]
-async fn a_gateway_without_replicas_follows_a_neighbour_with_a_fresh_copy() {
+async fn an_entry_without_replicas_follows_a_neighbour_with_a_fresh_copy() {
     let stop = CancellationToken::new();
     let now = Instant::now();
     let confirmed_update = |age_ms| Update {
--- a/crates/gradedyke-turns/tests/quorum/main.rs
+++ b/crates/gradedyke-turns/tests/quorum/main.rs
@@ -290,7 +290,7 @@
 }
 
 #[tokio::test]
-async fn gateways_receive_load_of_other_gateways() {
+async fn entries_receive_load_of_other_entries() {
     let group = Group::start(3).await;
     let params = |entry, requests| BeginParams {
         usage: None,
--- a/crates/gradedyke-turns/tests/quorum/relay.rs
+++ b/crates/gradedyke-turns/tests/quorum/relay.rs
@@ -17,7 +17,7 @@
 use super::{Group, id, near_deadline};
 
 #[tokio::test]
-async fn partitioned_gateway_reaches_replica_through_neighbour() {
+async fn partitioned_entry_reaches_replica_through_neighbour() {
     let mut group = Group::start(3).await;
     group.keep("a", None).await.unwrap();
     // The neighbour can reach the replicas.
