--- a/crates/gradedyke-gateway/src/dialect.rs
+++ b/crates/gradedyke-gateway/src/dialect.rs
@@ -106,7 +106,7 @@
     fn outbound(&self, headers: &HeaderMap, outbound: &Outbound<'_>) -> HeaderMap;
 
     /// Decodes the status and headers of a backend server's response.
-    fn answer(&self, status: StatusCode, headers: &HeaderMap) -> Head;
+    fn head(&self, status: StatusCode, headers: &HeaderMap) -> Head;
 
     /// The headers of the response to the caller: the server's headers without hop-by-hop
     /// headers.
--- a/crates/gradedyke-gateway/src/entry/attempt.rs
+++ b/crates/gradedyke-gateway/src/entry/attempt.rs
@@ -35,7 +35,7 @@
     /// The response, with the body still to be read.
     pub response: Response<Incoming>,
     /// What the server says in the response headers.
-    pub answer: Head,
+    pub head: Head,
 }
 
 /// Why a request certainly did not run at a server.
@@ -294,24 +294,24 @@
     response: Response<Incoming>,
     sent: Instant,
 ) -> Outcome {
-    let answer = entry.dialect.answer(response.status(), response.headers());
-    if answer.misdirected {
+    let head = entry.dialect.head(response.status(), response.headers());
+    if head.misdirected {
         entry.fleet.mark_replaced(choice.key);
         return Outcome::NotRun(NotRunReason::Misdirected);
     }
     // A response to another request means that requests and responses on this connection no
     // longer match, so the connection is closed.
-    if answer.request_id.as_ref() != Some(&call.id) {
+    if head.request_id.as_ref() != Some(&call.id) {
         tracing::info!(event = "answer_of_another", request = %call.id, server = %choice.id);
         return Outcome::Unknown;
     }
-    if answer.not_run {
+    if head.not_run {
         entry
             .fleet
             .record_failure(choice.key, Failure::Rejected, Instant::now());
         choice
             .pool
-            .put_back(connection, answer.idle_timeout, Instant::now());
+            .put_back(connection, head.idle_timeout, Instant::now());
         return Outcome::NotRun(NotRunReason::Refused);
     }
     let now = Instant::now();
@@ -327,7 +327,7 @@
         choice,
         connection,
         response,
-        answer,
+        head,
     }))
 }
 
--- a/crates/gradedyke-gateway/src/entry/plain.rs
+++ b/crates/gradedyke-gateway/src/entry/plain.rs
@@ -128,9 +128,9 @@
         choice,
         connection,
         response,
-        answer,
+        head,
     } = received;
-    let (head, incoming) = response.into_parts();
+    let (response_parts, incoming) = response.into_parts();
     let read_body = Limited::new(incoming, MAX_RESPONSE_BYTES).collect();
     let bytes: Bytes = match tokio::time::timeout_at(call.deadline, read_body).await {
         Ok(Ok(collected)) => collected.to_bytes(),
@@ -144,16 +144,16 @@
         }
         Err(_) => return None,
     };
-    if !answer.close {
+    if !head.close {
         choice
             .pool
-            .put_back(connection, answer.idle_timeout, Instant::now());
+            .put_back(connection, head.idle_timeout, Instant::now());
     }
     tracing::info!(event = "answered", request = %call.id, server = %choice.id,
-        status = head.status.as_u16(), bytes = bytes.len(),
+        status = response_parts.status.as_u16(), bytes = bytes.len(),
         ms = call.arrived.elapsed().as_millis());
     let mut reply = Response::new(body::full(bytes));
-    *reply.status_mut() = head.status;
-    *reply.headers_mut() = entry.dialect.inbound(&head.headers);
+    *reply.status_mut() = response_parts.status;
+    *reply.headers_mut() = entry.dialect.inbound(&response_parts.headers);
     Some(reply)
 }
--- a/crates/gradedyke-gateway/src/entry/relay.rs
+++ b/crates/gradedyke-gateway/src/entry/relay.rs
@@ -60,7 +60,7 @@
         event_count: 0,
     };
     let incoming = received.response.into_body();
-    tokio::spawn(relay.run(status, incoming, received.connection, received.answer));
+    tokio::spawn(relay.run(status, incoming, received.connection, received.head));
     let mut response = Response::new(body);
     *response.status_mut() = status;
     *response.headers_mut() = headers;
@@ -108,7 +108,7 @@
         status: StatusCode,
         mut incoming: Incoming,
         mut connection: Connection,
-        mut answer: Head,
+        mut head: Head,
     ) {
         let end = loop {
             let end = self.forward_events(status, &mut incoming).await;
@@ -119,7 +119,7 @@
                 break end;
             };
             // Dropping the old connection closes it.
-            (incoming, connection, answer) = next;
+            (incoming, connection, head) = next;
         };
         let (name, cause) = match &end {
             End::Complete => ("whole", ""),
@@ -143,10 +143,10 @@
                     // An error response generated no tokens.
                     self.reservation.settle(&self.entry, 0);
                 }
-                if !answer.close {
+                if !head.close {
                     self.choice
                         .pool
-                        .put_back(connection, answer.idle_timeout, now);
+                        .put_back(connection, head.idle_timeout, now);
                 }
                 return;
             }
@@ -202,7 +202,7 @@
         self.choice = received.choice;
         (self.event_times, self.event_count) = (None, 0);
         let incoming = received.response.into_body();
-        Some((incoming, received.connection, received.answer))
+        Some((incoming, received.connection, received.head))
     }
 
     /// Returns the deadline for the next event, and whether to resume at another server when
@@ -297,7 +297,7 @@
             return;
         };
         let candidate = &self.choice.candidate;
-        let stream = Timing {
+        let timing = Timing {
             concurrent: candidate.in_flight,
             slots: candidate.slots,
             uncached_tokens: candidate.uncached_tokens,
@@ -307,7 +307,7 @@
         };
         let (parts, generated) = (&self.call.meta.parts, u64::from(self.tokens));
         let fleet = &self.entry.fleet;
-        fleet.record_stream(self.choice.key, parts, generated, &stream);
+        fleet.record_stream(self.choice.key, parts, generated, &timing);
     }
 
     /// Adds an event to the turn and to the timing statistics.
--- a/crates/gradedyke-gateway/src/estimate.rs
+++ b/crates/gradedyke-gateway/src/estimate.rs
@@ -301,16 +301,16 @@
     }
 
     /// Records a streamed response of an engine.
-    pub fn record_stream(&mut self, stream: &Timing) {
+    pub fn record_stream(&mut self, timing: &Timing) {
         // With more requests in flight, the time may include waiting for a slot.
-        if stream.concurrent < stream.slots / 2 {
+        if timing.concurrent < timing.slots / 2 {
             self.first_event
-                .add(stream.uncached_tokens as f64, stream.first_event_ms);
+                .add(timing.uncached_tokens as f64, timing.first_event_ms);
         }
-        self.events.add(f64::from(stream.events));
-        if stream.events > 0 {
-            let concurrent = f64::from(stream.concurrent.min(stream.slots));
-            let event_gap_ms = stream.remaining_ms / f64::from(stream.events);
+        self.events.add(f64::from(timing.events));
+        if timing.events > 0 {
+            let concurrent = f64::from(timing.concurrent.min(timing.slots));
+            let event_gap_ms = timing.remaining_ms / f64::from(timing.events);
             self.gap.add(concurrent, event_gap_ms);
         }
     }
--- a/crates/gradedyke-gateway/src/fleet/mod.rs
+++ b/crates/gradedyke-gateway/src/fleet/mod.rs
@@ -359,7 +359,7 @@
     }
 
     /// Records the times of an engine's response of `tokens` tokens to a prompt of `parts`.
-    pub fn record_stream(&self, key: Key, parts: &[Part], tokens: u64, stream: &Timing) {
+    pub fn record_stream(&self, key: Key, parts: &[Part], tokens: u64, timing: &Timing) {
         let mut registry = self.lock();
         let Some(state) = registry.servers.get_mut(key) else {
             return;
@@ -369,7 +369,7 @@
         }
         let service = state.server.service.clone();
         let estimate = registry.estimates.entry(service).or_default();
-        estimate.record_stream(stream);
+        estimate.record_stream(timing);
     }
 
     /// Records the time between two events of an engine's response, with `concurrent` other
--- a/crates/gradedyke-model/src/world.rs
+++ b/crates/gradedyke-model/src/world.rs
@@ -392,7 +392,7 @@
         };
         let (choice, candidate) = (&turn.choice, &turn.choice.candidate);
         let since = (choice.chosen_at - self.start).as_secs_f64() * 1e3;
-        let stream = Timing {
+        let timing = Timing {
             concurrent: candidate.in_flight,
             slots: candidate.slots,
             uncached_tokens: candidate.uncached_tokens,
@@ -402,7 +402,7 @@
         };
         let state = &mut self.programs[program];
         let fleet = self.entries[state.entry].fleet.clone();
-        let gap = stream.remaining_ms / f64::from(stream.events.max(1));
+        let gap = timing.remaining_ms / f64::from(timing.events.max(1));
         let gap = Duration::from_secs_f64(gap.max(0.0) / 1e3);
         fleet.record_event_gap(
             choice.key,
@@ -410,7 +410,7 @@
             gap,
             self.start + ms(end_ms),
         );
-        fleet.record_stream(choice.key, &state.parts, u64::from(turn.answer), &stream);
+        fleet.record_stream(choice.key, &state.parts, u64::from(turn.answer), &timing);
         state.answered(turn.answer);
         let second = |ms: f64| (ms / 1e3) as usize;
         if let Some(ended) = self.outcome.ended.get_mut(second(end_ms)) {
--- a/crates/gradedyke-turns/src/quorum.rs
+++ b/crates/gradedyke-turns/src/quorum.rs
@@ -2,14 +2,14 @@
 //! replicas.
 //!
 //! - `begin`: reserves tokens for an attempt and reads the conversation it continues.
-//! - `keep`: writes records and reads usage totals.
+//! - `store`: writes records and reads usage totals.
 //! - `settle`: reports in the background how many tokens attempts used.
 //! - `gathered`: combines the replies of the replicas.
 
 mod begin;
 mod gathered;
-mod keep;
 mod settle;
+mod store;
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
