--- a/crates/gradedyke-gateway/src/entry/call.rs
+++ b/crates/gradedyke-gateway/src/entry/call.rs
@@ -13,7 +13,7 @@
 use crate::config::{Config, Route};
 use crate::dialect::Meta;
 
-/// A response is considered slow after the route's objective times this factor.
+/// A response is considered slow after the route's latency objective times this factor.
 const SLOW_RATIO: f64 = 1.5;
 
 /// A request whose body was read and whose route is known.
@@ -33,7 +33,7 @@
     /// How the request was counted for its account; `None` if the account has no limit.
     pub charge: Option<Charge>,
     /// Regions in which the request may run; `None` for all.
-    pub regions: Option<Vec<String>>,
+    pub allowed_regions: Option<Vec<String>>,
     /// Request properties from the caller's headers.
     pub meta: Meta,
     /// HTTP method.
@@ -82,7 +82,7 @@
 
     /// Returns how many requests per second a server of the service can take while it warms
     /// up; `None` if there is no such limit.
-    pub fn warm_up_rate(&self) -> Option<f64> {
+    pub fn max_warm_up_rate_per_s(&self) -> Option<f64> {
         self.config
             .services
             .get(&self.service)?
--- a/crates/gradedyke-gateway/src/entry/plain.rs
+++ b/crates/gradedyke-gateway/src/entry/plain.rs
@@ -90,8 +90,8 @@
         is_engine: false,
         cache_capacity_tokens: 0,
         repeatable: call.route.kind == Kind::Idempotent,
-        max_warm_up_rate_per_s: call.warm_up_rate(),
-        allowed_regions: call.regions.as_deref(),
+        max_warm_up_rate_per_s: call.max_warm_up_rate_per_s(),
+        allowed_regions: call.allowed_regions.as_deref(),
         now: call.arrived,
     };
     let mut may_have_run = false;
--- a/crates/gradedyke-gateway/src/follow.rs
+++ b/crates/gradedyke-gateway/src/follow.rs
@@ -106,7 +106,7 @@
 pub(crate) struct KeeperFollower {
     /// The address at which other processes reach this keeper.
     pub(crate) own_address: SocketAddr,
-    /// Identity of the keeper's disk.
+    /// ID of the keeper's disk.
     pub(crate) disk: DiskId,
     /// Keepers that read the service while the view has no members yet.
     pub(crate) seeds: Vec<SocketAddr>,
--- a/crates/gradedyke-turns/src/replica.rs
+++ b/crates/gradedyke-turns/src/replica.rs
@@ -33,7 +33,7 @@
 const PAGE_DELAY: Duration = Duration::from_millis(50);
 /// Interval between removals of expired records.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(5);
-/// Name of the file in the data folder that holds the disk's identity.
+/// Name of the file in the data folder that holds the disk ID.
 const DISK_ID_FILE: &str = "disk-id";
 
 /// A replica of the records.
@@ -59,7 +59,7 @@
     pub(crate) stop: CancellationToken,
 }
 
-/// Reads the identity of the disk in `folder`. If there is none, a random one is
+/// Reads the ID of the disk in `folder`. If there is none, a random one is
 /// created and stored.
 ///
 /// # Errors
@@ -131,7 +131,7 @@
         }))
     }
 
-    /// Returns the identity of its disk.
+    /// Returns the ID of its disk.
     pub fn disk(&self) -> DiskId {
         self.disk
     }
--- a/crates/gradedyke-turns/src/view.rs
+++ b/crates/gradedyke-turns/src/view.rs
@@ -24,7 +24,7 @@
 pub struct Member {
     /// The name of its instance.
     pub name: String,
-    /// The identity of its disk.
+    /// The ID of its disk.
     pub disk: DiskId,
     /// The address on which it serves peers.
     pub address: SocketAddr,
