--- a/crates/gradedyke-gateway/src/entry/mod.rs
+++ b/crates/gradedyke-gateway/src/entry/mod.rs
@@ -126,8 +126,8 @@
     }
 
     /// Returns the greatest possible age of the local data at `now`; `None` before the
-    /// platform first confirmed it. The age counts from when the platform was asked, not from when it answered, so
-    /// that network delay cannot make the data look newer than it is.
+    /// platform first confirmed it. The age counts from when the platform was asked, not from
+    /// when it answered, so that network delay cannot make the data look newer than it is.
     fn config_age(&self, now: Instant) -> Option<Duration> {
         let confirmed = self.mirror.complete_as_of()?;
         Some(now.saturating_duration_since(confirmed))
@@ -330,12 +330,12 @@
             .ok_or(Refusal::NoServer)?
             .to_owned();
         let charge = self.count_request(account.as_deref(), &route, &meta, arrived)?;
-        let regions = Call::allowed_regions(&route, account.as_deref());
+        let allowed_regions = Call::allowed_regions(&route, account.as_deref());
         Ok(Call {
             id,
             config,
             route,
-            regions,
+            allowed_regions,
             service,
             account,
             charge,
--- a/crates/gradedyke-gateway/src/fleet/mod.rs
+++ b/crates/gradedyke-gateway/src/fleet/mod.rs
@@ -84,8 +84,8 @@
     ///     address: "127.0.0.1:9".parse().unwrap(),
     ///     data_centre: "here".to_owned(),
     ///     slots: 4,
-    ///     leaving: false,
-    ///     warm_up: std::time::Duration::ZERO,
+    ///     is_draining: false,
+    ///     remaining_warm_up: std::time::Duration::ZERO,
     /// };
     /// assert_eq!(server(None).incarnation().as_str(), "s");
     /// assert_ne!(server(Some(1)).incarnation(), server(Some(2)).incarnation());
@@ -110,7 +110,7 @@
     pub cached_on: Option<&'a Id>,
     /// Number of tokens of the prompt; 0 for a plain service.
     pub prompt_tokens: u64,
-    /// Number of tokens of the prompt that the holder has cached.
+    /// Number of tokens of the prompt that this server has cached.
     pub cached_tokens: u64,
     /// The identified parts of the prompt; empty if there are none.
     pub parts: &'a [Part],
@@ -359,7 +359,7 @@
     }
 
     /// Records the times of an engine's response of `tokens` tokens to a prompt of `parts`.
-    pub fn record_stream(&self, key: Key, parts: &[Part], tokens: u64, stream: &Timing) {
+    pub fn record_stream(&self, key: Key, parts: &[Part], tokens: u64, timing: &Timing) {
         let mut registry = self.lock();
         let Some(state) = registry.servers.get_mut(key) else {
             return;
@@ -369,7 +369,7 @@
         }
         let service = state.server.service.clone();
         let estimate = registry.estimates.entry(service).or_default();
-        estimate.record_stream(stream);
+        estimate.record_stream(timing);
     }
 
     /// Records the time between two events of an engine's response, with `concurrent` other
--- a/crates/gradedyke-turns/src/replica.rs
+++ b/crates/gradedyke-turns/src/replica.rs
@@ -33,7 +33,7 @@
 const PAGE_DELAY: Duration = Duration::from_millis(50);
 /// Interval between removals of expired records.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(5);
-/// Name of the file in the data folder that holds the disk's identity.
+/// Name of the file in the data folder that holds the disk ID.
 const DISK_ID_FILE: &str = "disk-id";
 
 /// A replica of the records.
@@ -59,7 +59,7 @@
     pub(crate) stop: CancellationToken,
 }
 
-/// Reads the identity of the disk in `folder`. If there is none, a random one is
+/// Reads the ID of the disk in `folder`. If there is none, a random one is
 /// created and stored.
 ///
 /// # Errors
@@ -131,7 +131,7 @@
         }))
     }
 
-    /// Returns the identity of its disk.
+    /// Returns the ID of its disk.
     pub fn disk(&self) -> DiskId {
         self.disk
     }
@@ -291,7 +291,7 @@
         transcript.map_or(Found::Here, Found::Whole)
     }
 
-    async fn chain_reply(&self, id: &Id) -> Reply {
+    async fn transcript_reply(&self, id: &Id) -> Reply {
         match self.load_for_request(None, Some(id)).await {
             Ok(()) => Reply::Chain(self.transcript(id).await),
             Err(error) => Reply::Failed(error.to_string()),
@@ -455,7 +455,7 @@
             } => self.store_in_view(view, &record, usage).await,
             Request::KeepAll { view, records } => self.store_all(view, &records).await,
             Request::Usage(report) => Reply::Usage(self.apply_usage_report(report)),
-            Request::Chain(id) => self.chain_reply(&id).await,
+            Request::Chain(id) => self.transcript_reply(&id).await,
             Request::Keys { disk, boot, from } => self.wait_for_keys(disk, boot, from).await,
             Request::Records(keys) => match self.records(&keys).await {
                 Some(records) => Reply::Records(records),
--- a/crates/gradedyke-turns/src/view.rs
+++ b/crates/gradedyke-turns/src/view.rs
@@ -24,7 +24,7 @@
 pub struct Member {
     /// The name of its instance.
     pub name: String,
-    /// The identity of its disk.
+    /// The ID of its disk.
     pub disk: DiskId,
     /// The address on which it serves peers.
     pub address: SocketAddr,
@@ -60,7 +60,7 @@
     ///
     /// let view = View { tolerate: 1, ..View::default() };
     /// assert_eq!(view.quorum(), 1);
-    /// assert_eq!(view.copies(), 2);
+    /// assert_eq!(view.required_copies(), 2);
     /// ```
     pub fn quorum(&self) -> usize {
         let active = self.active().count();
