--- a/crates/gradedyke-cli/src/serve.rs
+++ b/crates/gradedyke-cli/src/serve.rs
@@ -59,8 +59,8 @@
         kv: Arc::new(KeyValueClient::new(settings.platform)),
     };
     let process = match role {
-        "entry" => Process::entry(settings, environment).await?,
-        "keeper" => Process::keeper(settings, environment).await?,
+        "entry" => Process::start_entry(settings, environment).await?,
+        "keeper" => Process::start_keeper(settings, environment).await?,
         other => {
             return Err(Failure::Usage(format!(
                 "no role {other}; serve entry or keeper"
--- a/crates/gradedyke-gateway/src/account.rs
+++ b/crates/gradedyke-gateway/src/account.rs
@@ -38,7 +38,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Allowance {
     /// Requests per second.
-    pub per_second: f64,
+    pub requests_per_s: f64,
     /// Requests allowed in a window beyond that rate.
     pub burst: f64,
 }
@@ -65,9 +65,9 @@
     ///
     /// let account = |name| Account {
     ///     name: Id::parse(name).unwrap(),
-    ///     rank: None,
+    ///     priority: None,
     ///     allowance: None,
-    ///     regions: None,
+    ///     allowed_regions: None,
     /// };
     /// let turn = Id::parse("t1").unwrap();
     /// assert_ne!(account("a").scoped_id(&turn), account("b").scoped_id(&turn));
--- a/crates/gradedyke-gateway/src/allowance.rs
+++ b/crates/gradedyke-gateway/src/allowance.rs
@@ -30,7 +30,7 @@
 /// Number of entries assumed to admit calls of one account at the same time, unaware of
 /// each other. Each may use this fraction of the remaining requests before it has to ask
 /// the keepers.
-const CONCURRENT_ENTRIES: u32 = 16;
+const ASSUMED_CONCURRENT_ENTRIES: u32 = 16;
 /// Interval at which unchanged usage is reported again, so that a restarted keeper learns
 /// it.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
@@ -42,12 +42,12 @@
 /// use gradedyke_gateway::account::Allowance;
 /// use gradedyke_gateway::allowance::limit;
 ///
-/// let allowance = Allowance { per_second: 10.0, burst: 5.0 };
+/// let allowance = Allowance { requests_per_s: 10.0, burst: 5.0 };
 /// assert_eq!(limit(&allowance, Duration::from_secs(5)), 55);
 /// ```
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
 pub fn limit(allowance: &Allowance, window: Duration) -> u32 {
-    let limit = allowance.per_second * window.as_secs_f64() + allowance.burst;
+    let limit = allowance.requests_per_s * window.as_secs_f64() + allowance.burst;
     limit.clamp(0.0, f64::from(u32::MAX)) as u32
 }
 
@@ -83,7 +83,8 @@
     fn has_headroom(&self, estimate: &Estimate) -> bool {
         let requests = estimate.sum.requests;
         let remaining = self.limit.saturating_sub(requests);
-        let within_share = estimate.admitted_since <= (remaining / CONCURRENT_ENTRIES).max(1);
+        let within_share =
+            estimate.admitted_since <= (remaining / ASSUMED_CONCURRENT_ENTRIES).max(1);
         within_share && f64::from(requests) <= f64::from(self.limit) * LOCAL_ADMISSION_RATIO
     }
 }
@@ -125,7 +126,7 @@
     counter: Counter,
     /// Everything that this entry has admitted since it started; the counts wrap around.
     admitted: Total,
-    known: Option<KnownSum>,
+    known_sum: Option<KnownSum>,
     reported_at: Option<Instant>,
     /// Whether the usage has changed since the last report.
     changed: bool,
@@ -134,7 +135,7 @@
 impl AccountUsage {
     /// The estimated sum at `now`; `None` before the first sum was received.
     fn estimate(&self, now: Instant) -> Option<Estimate> {
-        let known = self.known?;
+        let known = self.known_sum?;
         let admitted_since = increase(known.admitted.requests, self.admitted.requests);
         let sum = Total {
             requests: known.sum.requests + admitted_since,
@@ -167,20 +168,20 @@
 /// Counts the requests that one entry admits, by account.
 #[derive(Debug)]
 pub struct Limiter {
-    entry: u64,
+    entry_id: u64,
     window: Duration,
-    start: Instant,
+    first_bucket_start: Instant,
     accounts: Mutex<HashMap<usage::AccountHash, AccountUsage>>,
 }
 
 impl Limiter {
     /// Creates an empty register. `entry` identifies this process in reports, and limits
     /// apply to every time span of length `window`.
-    pub fn new(entry: u64, window: Duration, now: Instant) -> Self {
+    pub fn new(entry_id: u64, window: Duration, now: Instant) -> Self {
         Self {
-            entry,
+            entry_id,
             window,
-            start: now,
+            first_bucket_start: now,
             accounts: Mutex::default(),
         }
     }
@@ -189,14 +190,16 @@
         self.accounts.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn bucket_len(&self) -> Duration {
+    fn bucket_duration(&self) -> Duration {
         self.window / BUCKETS_PER_WINDOW
     }
 
     /// The number of the bucket that contains `now`.
     fn bucket_number(&self, now: Instant) -> u64 {
-        let elapsed_ms = now.saturating_duration_since(self.start).as_millis();
-        let bucket = elapsed_ms.checked_div(self.bucket_len().as_millis());
+        let elapsed_ms = now
+            .saturating_duration_since(self.first_bucket_start)
+            .as_millis();
+        let bucket = elapsed_ms.checked_div(self.bucket_duration().as_millis());
         bucket
             .and_then(|b| u64::try_from(b).ok())
             .unwrap_or_default()
@@ -247,9 +250,9 @@
         let accounts = self.lock();
         let estimate = accounts.get(&charge.account).and_then(|u| u.estimate(now));
         match estimate {
-            Some(known) if known.age <= MAX_SUM_AGE => match charge.is_within(known.sum) {
+            Some(estimate) if estimate.age <= MAX_SUM_AGE => match charge.is_within(estimate.sum) {
                 false => Decision::Exceeded,
-                true if charge.has_headroom(&known) => Decision::Within,
+                true if charge.has_headroom(&estimate) => Decision::Within,
                 true => Decision::Unknown,
             },
             _ => Decision::Unknown,
@@ -263,7 +266,8 @@
     pub fn admits_offline(&self, charge: &Charge, now: Instant) -> bool {
         let accounts = self.lock();
         let estimate = accounts.get(&charge.account).and_then(|u| u.estimate(now));
-        estimate.is_some_and(|known| known.age <= self.window && charge.has_headroom(&known))
+        estimate
+            .is_some_and(|estimate| estimate.age <= self.window && charge.has_headroom(&estimate))
     }
 
     /// Builds the usage report that is sent to the keepers with a request: the usage of
@@ -296,8 +300,8 @@
             admitted: admitted.unwrap_or_default(),
         };
         let report = Report {
-            entry: self.entry,
-            part_ms: u32::try_from(self.bucket_len().as_millis()).unwrap_or(u32::MAX),
+            entry: self.entry_id,
+            part_ms: u32::try_from(self.bucket_duration().as_millis()).unwrap_or(u32::MAX),
             asked: charge.account,
             rows,
         };
@@ -308,7 +312,7 @@
     pub fn record_sum(&self, snapshot: Snapshot, sum: Total, now: Instant) {
         let mut accounts = self.lock();
         let account_usage = accounts.entry(snapshot.charge.account).or_default();
-        account_usage.known = Some(KnownSum {
+        account_usage.known_sum = Some(KnownSum {
             received_at: now,
             sum,
             admitted: snapshot.admitted,
--- a/crates/gradedyke-gateway/src/config.rs
+++ b/crates/gradedyke-gateway/src/config.rs
@@ -48,7 +48,7 @@
     /// Host name of the requests.
     pub host: String,
     /// Path prefix of the requests.
-    pub prefix: String,
+    pub path_prefix: String,
     /// Whether requests may run more than once, and how they are answered.
     pub kind: Kind,
     /// Maximum duration of a request.
@@ -78,7 +78,7 @@
     /// Number of requests that run at the same time.
     pub slots: u32,
     /// Number of tokens that fit in its cache.
-    pub cache_tokens: u64,
+    pub cache_capacity_tokens: u64,
     /// Maximum number of tokens in one event of a stream.
     pub max_event_tokens: u32,
 }
@@ -143,7 +143,7 @@
             by_host.entry(host).or_default().push(Arc::new(route));
         }
         for routes in by_host.values_mut() {
-            routes.sort_by_key(|r| std::cmp::Reverse(r.prefix.len()));
+            routes.sort_by_key(|r| std::cmp::Reverse(r.path_prefix.len()));
         }
         let by_name = |s: Service| (s.name.clone(), s);
         Self {
@@ -161,7 +161,7 @@
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let routes = self.routes.get(&name.to_ascii_lowercase())?;
-        routes.iter().find(|r| path.starts_with(&r.prefix))
+        routes.iter().find(|r| path.starts_with(&r.path_prefix))
     }
 
     /// The priority of a request at an engine; 0 is the highest. The priority of the account
@@ -186,18 +186,18 @@
 /// `route_priorities`. The account's priority takes precedence.
 ///
 /// ```
-/// use gradedyke_gateway::config::rank;
+/// use gradedyke_gateway::config::priority;
 ///
 /// // Routes have the priorities 0 to 2.
-/// assert_eq!(rank(None, 1, 3), 1);
-/// assert_eq!(rank(Some(0), 2, 3), 2);
-/// assert_eq!(rank(Some(1), 0, 3), 3);
+/// assert_eq!(priority(None, 1, 3), 1);
+/// assert_eq!(priority(Some(0), 2, 3), 2);
+/// assert_eq!(priority(Some(1), 0, 3), 3);
 /// ```
-pub fn priority(account: Option<u8>, route: u8, route_priorities: u8) -> u8 {
-    let account = account.unwrap_or(0);
-    account
-        .saturating_mul(route_priorities)
-        .saturating_add(route)
+pub fn priority(account_priority: Option<u8>, route_priority: u8, route_priority_count: u8) -> u8 {
+    let account_priority = account_priority.unwrap_or(0);
+    account_priority
+        .saturating_mul(route_priority_count)
+        .saturating_add(route_priority)
 }
 
 impl Route {
@@ -208,9 +208,9 @@
 
     /// Chooses the service for a request by the targets' weights. Requests with the same
     /// `name` get the same service.
-    pub fn target(&self, name: Option<&Id>) -> Option<&str> {
+    pub fn choose_service(&self, affinity_id: Option<&Id>) -> Option<&str> {
         let total: f64 = self.targets.iter().map(|t| t.weight).sum();
-        let mut remaining = total * hash_fraction(name);
+        let mut remaining = total * hash_fraction(affinity_id);
         for target in &self.targets {
             if remaining < target.weight {
                 return Some(&target.service);
@@ -222,13 +222,13 @@
 }
 
 /// Hashes a name to a number in `0.0..1.0`; without a name the number is random.
-fn hash_fraction(name: Option<&Id>) -> f64 {
+fn hash_fraction(id: Option<&Id>) -> f64 {
     use std::hash::{DefaultHasher, Hash, Hasher};
-    let Some(name) = name else {
+    let Some(id) = id else {
         return rand::random();
     };
     let mut hasher = DefaultHasher::new();
-    name.as_str().hash(&mut hasher);
+    id.as_str().hash(&mut hasher);
     // The upper 32 bits of the hash, divided by 2^32.
     let upper = u32::try_from(hasher.finish() >> 32).unwrap_or_default();
     f64::from(upper) / (f64::from(u32::MAX) + 1.0)
--- a/crates/gradedyke-gateway/src/demand.rs
+++ b/crates/gradedyke-gateway/src/demand.rs
@@ -11,7 +11,7 @@
 /// follow changes of the workload.
 const HALF_LIFE: Duration = Duration::from_secs(20);
 /// Lowest count of programs and of turns from which an estimate is made.
-const MIN_COUNT: f64 = 4.0;
+const MIN_OBSERVATIONS: f64 = 4.0;
 
 #[derive(Debug, Default)]
 struct RouteCounts {
@@ -26,7 +26,7 @@
     /// Turns of all routes.
     turns: Counter,
     /// Tool calls of all programs.
-    calls: Counter,
+    tool_calls: Counter,
 }
 
 /// Recent turns and tool calls, from which the requests of a program are estimated.
@@ -57,8 +57,8 @@
     }
 
     /// Records a tool call of a program.
-    pub fn record_call(&self, now: Instant) {
-        self.lock().calls.increment(HALF_LIFE, now);
+    pub fn record_tool_call(&self, now: Instant) {
+        self.lock().tool_calls.increment(HALF_LIFE, now);
     }
 
     /// Expected number of requests of a program on a route, including its tool calls; 1 if
@@ -71,7 +71,7 @@
     /// let demand = Demand::default();
     /// for turn in 0..40 {
     ///     demand.record_turn("draft", turn % 4 == 0, now);
-    ///     demand.record_call(now);
+    ///     demand.record_tool_call(now);
     /// }
     /// assert_eq!(demand.expected_requests("draft", now), 8);
     /// assert_eq!(demand.expected_requests("other", now), 1);
@@ -84,11 +84,11 @@
         };
         let started = route.started.value_at(HALF_LIFE, now);
         let turns = counts.turns.value_at(HALF_LIFE, now);
-        if started < MIN_COUNT || turns < MIN_COUNT {
+        if started < MIN_OBSERVATIONS || turns < MIN_OBSERVATIONS {
             return 1;
         }
-        let calls_per_turn = counts.calls.value_at(HALF_LIFE, now) / turns;
-        let requests = route.turns.value_at(HALF_LIFE, now) / started * (1.0 + calls_per_turn);
+        let tool_calls_per_turn = counts.tool_calls.value_at(HALF_LIFE, now) / turns;
+        let requests = route.turns.value_at(HALF_LIFE, now) / started * (1.0 + tool_calls_per_turn);
         requests.round().clamp(1.0, f64::from(u32::MAX)) as u32
     }
 }
--- a/crates/gradedyke-gateway/src/dialect.rs
+++ b/crates/gradedyke-gateway/src/dialect.rs
@@ -21,7 +21,7 @@
     /// The request's id, different for each attempt of the caller.
     pub request_id: Option<Id>,
     /// How long the caller waits, counted from the request's arrival.
-    pub deadline: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// The program that the request belongs to.
     pub program: Option<Id>,
     /// The conversation within the program.
@@ -31,7 +31,7 @@
     /// Maximum number of tokens that all turns of the program may generate together.
     pub token_budget: Option<u64>,
     /// Size of the prompt and maximum size of the answer.
-    pub usage: Option<Usage>,
+    pub size: Option<Size>,
     /// The turn that this request continues.
     pub parent: Option<Id>,
     /// The parts of the prompt, in order; parts shared by many requests come first.
@@ -42,11 +42,11 @@
 
 /// Sizes of a model call, in tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Usage {
+pub struct Size {
     /// Size of the whole prompt.
-    pub prompt: u64,
+    pub prompt_tokens: u64,
     /// Maximum size of the answer.
-    pub answer: u32,
+    pub max_response_tokens: u32,
 }
 
 /// What the gateway adds to the headers of a request to a backend server.
@@ -87,11 +87,11 @@
 /// A value in the platform's key-value service that cannot be decoded.
 #[derive(Clone, Debug, thiserror::Error)]
 #[error(
-    "cannot decode {what}: {cause}; the previous value stays in force, check who wrote this one"
+    "cannot decode {item}: {cause}; the previous value stays in force, check who wrote this one"
 )]
 pub struct Error {
     /// The item that cannot be decoded.
-    pub what: String,
+    pub item: String,
     /// The reason.
     pub cause: String,
 }
@@ -103,14 +103,14 @@
 
     /// The headers of a request to a backend server: the caller's headers without hop-by-hop
     /// headers and those reserved for the gateway, plus the headers for `outbound`.
-    fn outbound(&self, headers: &HeaderMap, outbound: &Outbound<'_>) -> HeaderMap;
+    fn request_headers(&self, headers: &HeaderMap, outbound: &Outbound<'_>) -> HeaderMap;
 
     /// Decodes the status and headers of a backend server's response.
-    fn answer(&self, status: StatusCode, headers: &HeaderMap) -> Head;
+    fn response_head(&self, status: StatusCode, headers: &HeaderMap) -> Head;
 
     /// The headers of the response to the caller: the server's headers without hop-by-hop
     /// headers.
-    fn inbound(&self, headers: &HeaderMap) -> HeaderMap;
+    fn response_headers(&self, headers: &HeaderMap) -> HeaderMap;
 
     /// The text that the data line of an event adds to the conversation.
     fn event_data<'a>(&self, event: &'a [u8]) -> Option<&'a [u8]>;
--- a/crates/gradedyke-gateway/src/entry/admission.rs
+++ b/crates/gradedyke-gateway/src/entry/admission.rs
@@ -18,7 +18,7 @@
 /// Timeout of one usage query to the keepers.
 const USAGE_QUERY_TIMEOUT: Duration = Duration::from_millis(100);
 /// Longest wait for keepers that are restarting.
-const QUORUM_RECOVERY_TIMEOUT: Duration = Duration::from_millis(1_000);
+const USAGE_CHECK_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Backoff before the first retry of a usage query.
 const MIN_BACKOFF: Duration = Duration::from_millis(40);
 /// Longest backoff between retries of a usage query.
@@ -30,7 +30,7 @@
     ///
     /// # Errors
     ///
-    /// [`Refusal::Exceeded`] if the request is known to exceed the allowance.
+    /// [`Refusal::AllowanceExceeded`] if the request is known to exceed the allowance.
     pub(super) fn count_request(
         &self,
         account: Option<&Account>,
@@ -50,7 +50,7 @@
         };
         if self.limiter.check(&charge, now) == Decision::Exceeded {
             self.limiter.refund(&charge);
-            return Err(Refusal::Exceeded);
+            return Err(Refusal::AllowanceExceeded);
         }
         Ok(Some(charge))
     }
@@ -75,22 +75,22 @@
     ///
     /// # Errors
     ///
-    /// [`Refusal::Exceeded`], or [`Refusal::NoKeepers`] if the keepers cannot be reached and the
+    /// [`Refusal::AllowanceExceeded`], or [`Refusal::NoKeepers`] if the keepers cannot be reached and the
     /// local estimate leaves no room.
     pub(super) async fn check_allowance(&self, call: &Call) -> Result<(), Refusal> {
         let now = Instant::now();
         if call.meta.program.is_some() {
-            self.demand.record_call(now);
+            self.demand.record_tool_call(now);
         }
         let Some(charge) = &call.charge else {
             return Ok(());
         };
         match self.limiter.check(charge, now) {
             Decision::Within => return Ok(()),
-            Decision::Exceeded => return Err(Refusal::Exceeded),
+            Decision::Exceeded => return Err(Refusal::AllowanceExceeded),
             Decision::Unknown => {}
         }
-        let deadline = call.deadline.min(now + QUORUM_RECOVERY_TIMEOUT);
+        let deadline = call.deadline.min(now + USAGE_CHECK_TIMEOUT);
         let mut backoff = Backoff::endless(MIN_BACKOFF, MAX_BACKOFF);
         loop {
             metrics::counter!("gradedyke_usage_asked_total").increment(1);
@@ -98,7 +98,7 @@
             let query_deadline = deadline.min(Instant::now() + USAGE_QUERY_TIMEOUT);
             if let Ok(Some(total)) = self.quorum.report_usage(&report, query_deadline).await {
                 let within = self.record_usage(call, snapshot, total);
-                return within.then_some(()).ok_or(Refusal::Exceeded);
+                return within.then_some(()).ok_or(Refusal::AllowanceExceeded);
             }
             let now = Instant::now();
             if self.limiter.admits_offline(charge, now) {
--- a/crates/gradedyke-gateway/src/entry/attempt.rs
+++ b/crates/gradedyke-gateway/src/entry/attempt.rs
@@ -35,7 +35,7 @@
     /// The response, with the body still to be read.
     pub response: Response<Incoming>,
     /// What the server says in the response headers.
-    pub answer: Head,
+    pub head: Head,
 }
 
 /// Why a request certainly did not run at a server.
@@ -73,13 +73,14 @@
 struct State {
     tried: Vec<Key>,
     /// Servers that received the request or are being sent it.
-    sent: u32,
-    unreachable: u32,
+    sent_count: u32,
+    unreachable_count: u32,
 }
 
 impl State {
     fn has_attempt_left(&self, call: &Call) -> bool {
-        self.sent < call.route.max_attempts && self.unreachable < MAX_UNREACHABLE_SERVERS
+        self.sent_count < call.route.max_attempts
+            && self.unreachable_count < MAX_UNREACHABLE_SERVERS
     }
 }
 
@@ -97,15 +98,15 @@
     fn reserve(&self, call: &Call) -> bool {
         let mut state = self.lock();
         let has_attempt_left = state.has_attempt_left(call);
-        state.sent += u32::from(has_attempt_left);
+        state.sent_count += u32::from(has_attempt_left);
         has_attempt_left
     }
 
     /// Counts a reserved attempt as one at an unreachable server.
     fn mark_unreachable(&self) {
         let mut state = self.lock();
-        state.sent -= 1;
-        state.unreachable += 1;
+        state.sent_count -= 1;
+        state.unreachable_count += 1;
     }
 }
 
@@ -115,7 +116,7 @@
 ///
 /// # Errors
 ///
-/// [`Refusal::Broken`] or [`Refusal::TimedOut`] if the request may have run. After any other
+/// [`Refusal::Interrupted`] or [`Refusal::TimedOut`] if the request may have run. After any other
 /// refusal it has not run.
 pub async fn dispatch(
     entry: &Entry,
@@ -128,18 +129,18 @@
     while attempts.reserve(call) {
         let choice = choose_server(entry, call, attempts, query).ok_or(Refusal::NoServer)?;
         if will_miss_deadline(call, &choice) {
-            return Err(Refusal::Full);
+            return Err(Refusal::NoCapacity);
         }
         match send(entry, call, attempts, choice, body.clone(), last_event_id).await {
             Outcome::Answered(response) => return Ok(*response),
             Outcome::NotRun(NotRunReason::NoTime) => return Err(Refusal::TooLate),
             Outcome::NotRun(NotRunReason::Unreachable) => attempts.mark_unreachable(),
             Outcome::NotRun(NotRunReason::Refused | NotRunReason::Misdirected) => {}
-            Outcome::Unknown => return Err(Refusal::Broken),
+            Outcome::Unknown => return Err(Refusal::Interrupted),
             Outcome::TimedOut => return Err(Refusal::TimedOut),
         }
     }
-    Err(Refusal::Full)
+    Err(Refusal::NoCapacity)
 }
 
 /// A request is refused at once if its expected wait for a slot is longer than its time left
@@ -177,9 +178,9 @@
     let mut request = Request::new(Full::new(body));
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.uri.clone();
-    *request.headers_mut() = entry.dialect.outbound(&call.headers, &outbound);
-    let repeatable = call.route.is_repeatable();
-    let exchange = choice.pool.send(request, repeatable, now);
+    *request.headers_mut() = entry.dialect.request_headers(&call.headers, &outbound);
+    let is_repeatable = call.route.is_repeatable();
+    let exchange = choice.pool.send(request, is_repeatable, now);
     let exchange = choice.process_ended.run_until_cancelled(exchange);
     let result = wait_for_head(entry, call, attempts, &choice, exchange).await;
     let (response, connection) = match result {
@@ -292,26 +293,28 @@
     choice: Choice,
     connection: Connection,
     response: Response<Incoming>,
-    sent: Instant,
+    sent_at: Instant,
 ) -> Outcome {
-    let answer = entry.dialect.answer(response.status(), response.headers());
-    if answer.misdirected {
+    let head = entry
+        .dialect
+        .response_head(response.status(), response.headers());
+    if head.misdirected {
         entry.fleet.mark_replaced(choice.key);
         return Outcome::NotRun(NotRunReason::Misdirected);
     }
     // A response to another request means that requests and responses on this connection no
     // longer match, so the connection is closed.
-    if answer.request_id.as_ref() != Some(&call.id) {
+    if head.request_id.as_ref() != Some(&call.id) {
         tracing::info!(event = "answer_of_another", request = %call.id, server = %choice.id);
         return Outcome::Unknown;
     }
-    if answer.not_run {
+    if head.not_run {
         entry
             .fleet
             .record_failure(choice.key, Failure::Rejected, Instant::now());
         choice
             .pool
-            .put_back(connection, answer.idle_timeout, Instant::now());
+            .put_back(connection, head.idle_timeout, Instant::now());
         return Outcome::NotRun(NotRunReason::Refused);
     }
     let now = Instant::now();
@@ -320,14 +323,14 @@
             .fleet
             .record_failure(choice.key, Failure::ServerError, now);
     } else {
-        let response_time = call.engine().is_none().then(|| now - sent);
+        let response_time = call.engine().is_none().then(|| now - sent_at);
         entry.fleet.record_success(choice.key, response_time, now);
     }
     Outcome::Answered(Box::new(ServerResponse {
         choice,
         connection,
         response,
-        answer,
+        head,
     }))
 }
 
--- a/crates/gradedyke-gateway/src/entry/call.rs
+++ b/crates/gradedyke-gateway/src/entry/call.rs
@@ -53,7 +53,7 @@
 impl Call {
     /// Returns the identifier under which the caller's `id` is stored. It includes the client
     /// account, so that accounts cannot reach each other's data.
-    pub fn scope_id(&self, id: &Id) -> Id {
+    pub fn scoped_id(&self, id: &Id) -> Id {
         match &self.account {
             Some(account) => account.scoped_id(id),
             None => id.clone(),
@@ -82,7 +82,7 @@
 
     /// Returns how many requests per second a server of the service can take while it warms
     /// up; `None` if there is no such limit.
-    pub fn warm_up_rate(&self) -> Option<f64> {
+    pub fn max_warm_up_rate_per_s(&self) -> Option<f64> {
         self.config
             .services
             .get(&self.service)?
--- a/crates/gradedyke-gateway/src/entry/door.rs
+++ b/crates/gradedyke-gateway/src/entry/door.rs
@@ -77,7 +77,7 @@
         metrics::histogram!("gradedyke_head_seconds").record(seconds);
         let mut response = result.unwrap_or_else(|refused| {
             let config = entry.config.load().as_ref().map(|c| c.version);
-            refused.response(arrived.elapsed(), config, entry.config_age(arrived))
+            refused.response(arrived.elapsed(), config, entry.max_data_age(arrived))
         });
         // While this entry is not ready, the connection is closed so that the caller connects to
         // another entry.
--- a/crates/gradedyke-gateway/src/entry/mod.rs
+++ b/crates/gradedyke-gateway/src/entry/mod.rs
@@ -40,7 +40,7 @@
 use crate::demand::Demand;
 use crate::dialect::{Dialect, Meta};
 use crate::fleet::Fleet;
-use crate::mechanism::Enabled;
+use crate::mechanism::Mechanisms;
 use crate::throttle::Throttle;
 use call::Call;
 use door::RefusedRequest;
@@ -86,7 +86,7 @@
     /// Limits how many programs begin while the keepers are overloaded.
     pub throttle: Throttle,
     /// The optional mechanisms that are switched on in the settings.
-    pub mechanisms: Enabled,
+    pub mechanisms: Mechanisms,
     /// Cancelled when the process begins its graceful shutdown.
     pub drain: CancellationToken,
     /// Revision of the configuration that was last read from the mirror.
@@ -110,7 +110,7 @@
     pub fn is_ready(&self) -> bool {
         let started = self.config.load().is_some() && self.fleet.listed_count() > 0;
         let draining = self.drain.is_cancelled();
-        let can_use_keys = self.can_use_keys(self.config_age(Instant::now()));
+        let can_use_keys = self.can_use_keys(self.max_data_age(Instant::now()));
         started && !draining && self.quorum.is_majority_reachable() && can_use_keys
     }
 
@@ -128,7 +128,7 @@
     /// Returns the greatest possible age of the local data at `now`; `None` before the
     /// platform first confirmed it. The age counts from when the platform was asked, not from when it answered, so
     /// that network delay cannot make the data look newer than it is.
-    fn config_age(&self, now: Instant) -> Option<Duration> {
+    fn max_data_age(&self, now: Instant) -> Option<Duration> {
         let confirmed = self.mirror.complete_as_of()?;
         Some(now.saturating_duration_since(confirmed))
     }
@@ -138,7 +138,7 @@
         if let Some(config) = &*self.config.load() {
             metrics::gauge!("gradedyke_config_version").set(config.version as f64);
         }
-        if let Some(age) = self.config_age(now) {
+        if let Some(age) = self.max_data_age(now) {
             metrics::gauge!("gradedyke_config_age_seconds").set(age.as_secs_f64());
         }
     }
@@ -230,7 +230,9 @@
             refusal,
             meta,
             expected_wait: match refusal {
-                Refusal::Overload | Refusal::NoKeepers => self.throttle.retry_after(Instant::now()),
+                Refusal::Throttled | Refusal::NoKeepers => {
+                    self.throttle.retry_after(Instant::now())
+                }
                 _ => self.estimate_slot_wait(&refused_call),
             },
         })
@@ -245,9 +247,9 @@
 
     /// Estimates the time until a server of the call's service has a free slot.
     fn estimate_slot_wait(&self, call: &Call) -> Duration {
-        let engine = call.engine().is_some();
+        let is_engine = call.engine().is_some();
         self.fleet
-            .expected_wait(&call.service, engine, Instant::now())
+            .expected_wait(&call.service, is_engine, Instant::now())
     }
 
     /// Returns the active configuration. After a start, waits until the first configuration
@@ -284,7 +286,7 @@
         };
         match meta.key.and_then(|key| accounts.find(key)) {
             Some(account) if self.can_use_keys(age) => Ok(Some(account.clone())),
-            Some(_) => Err(Refusal::Unconfirmed),
+            Some(_) => Err(Refusal::StaleData),
             None if route.public => Ok(None),
             None => Err(self.deny(Refusal::Unauthorized, age)),
         }
@@ -300,9 +302,9 @@
         let config = self
             .wait_for_config(arrived)
             .await
-            .ok_or(Refusal::NotStarted)?;
+            .ok_or(Refusal::NoConfig)?;
         // Read before the configuration, so that the age is never understated.
-        let age = self.config_age(arrived);
+        let age = self.max_data_age(arrived);
         let config = self.load_latest_config().unwrap_or(config);
         let (head, incoming) = request.into_parts();
         let host = head.headers.get(header::HOST);
@@ -313,7 +315,7 @@
             .clone();
         let account = self.authenticate(&config, &route, &meta, age)?;
         let id = meta.request_id.clone().ok_or(Refusal::Malformed)?;
-        let timeout = meta.deadline.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
+        let timeout = meta.timeout.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
         let deadline = arrived + timeout;
         let body_timeout = timeout.min(config.limits.idle_timeout);
         let body = body::collect(incoming, config.limits.max_body_bytes, body_timeout).await;
@@ -326,7 +328,7 @@
         })?;
         let affinity_id = meta.session.as_ref().or(meta.program.as_ref());
         let service = route
-            .target(affinity_id)
+            .choose_service(affinity_id)
             .ok_or(Refusal::NoServer)?
             .to_owned();
         let charge = self.count_request(account.as_deref(), &route, &meta, arrived)?;
@@ -350,11 +352,11 @@
     }
 
     /// Returns `refusal` for a request that the configuration forbids, or the retryable
-    /// [`Refusal::Unconfirmed`] if the local data with this `age` may be outdated.
+    /// [`Refusal::StaleData`] if the local data with this `age` may be outdated.
     fn deny(&self, refusal: Refusal, age: Option<Duration>) -> Refusal {
         if age.is_some_and(|age| age <= self.propagation_limit) {
             return refusal;
         }
-        Refusal::Unconfirmed
+        Refusal::StaleData
     }
 }
--- a/crates/gradedyke-gateway/src/entry/plain.rs
+++ b/crates/gradedyke-gateway/src/entry/plain.rs
@@ -89,8 +89,8 @@
         parts: &[],
         is_engine: false,
         cache_capacity_tokens: 0,
-        repeatable: call.route.kind == Kind::Idempotent,
-        max_warm_up_rate_per_s: call.warm_up_rate(),
+        is_repeatable: call.route.kind == Kind::Idempotent,
+        max_warm_up_rate_per_s: call.max_warm_up_rate_per_s(),
         allowed_regions: call.regions.as_deref(),
         now: call.arrived,
     };
@@ -102,10 +102,10 @@
                     return Ok(response);
                 }
             }
-            Err(Refusal::Broken) => {}
+            Err(Refusal::Interrupted) => {}
             Err(refusal) if may_have_run => {
                 tracing::info!(event = "not_repeated", request = %call.id, why = refusal.name());
-                return Err(Refusal::Broken);
+                return Err(Refusal::Interrupted);
             }
             Err(refusal) => return Err(refusal),
         }
@@ -114,7 +114,7 @@
             break;
         }
     }
-    Err(Refusal::Broken)
+    Err(Refusal::Interrupted)
 }
 
 /// Reads the response body and builds the response to the caller; `None` if the body is
@@ -128,9 +128,9 @@
         choice,
         connection,
         response,
-        answer,
+        head,
     } = received;
-    let (head, incoming) = response.into_parts();
+    let (parts, incoming) = response.into_parts();
     let read_body = Limited::new(incoming, MAX_RESPONSE_BYTES).collect();
     let bytes: Bytes = match tokio::time::timeout_at(call.deadline, read_body).await {
         Ok(Ok(collected)) => collected.to_bytes(),
@@ -144,16 +144,16 @@
         }
         Err(_) => return None,
     };
-    if !answer.close {
+    if !head.close {
         choice
             .pool
-            .put_back(connection, answer.idle_timeout, Instant::now());
+            .put_back(connection, head.idle_timeout, Instant::now());
     }
     tracing::info!(event = "answered", request = %call.id, server = %choice.id,
-        status = head.status.as_u16(), bytes = bytes.len(),
+        status = parts.status.as_u16(), bytes = bytes.len(),
         ms = call.arrived.elapsed().as_millis());
     let mut reply = Response::new(body::full(bytes));
-    *reply.status_mut() = head.status;
-    *reply.headers_mut() = entry.dialect.inbound(&head.headers);
+    *reply.status_mut() = parts.status;
+    *reply.headers_mut() = entry.dialect.response_headers(&parts.headers);
     Some(reply)
 }
--- a/crates/gradedyke-gateway/src/entry/refusal.rs
+++ b/crates/gradedyke-gateway/src/entry/refusal.rs
@@ -11,15 +11,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
     /// No configuration is known yet.
-    NotStarted,
+    NoConfig,
     /// No route matches host and path.
     NoRoute,
     /// The key is missing or belongs to no client account.
     Unauthorized,
     /// The local copy of keys and configuration may be outdated. The request has not run.
-    Unconfirmed,
+    StaleData,
     /// The request exceeds the allowance of its client account.
-    Exceeded,
+    AllowanceExceeded,
     /// The request is not well formed.
     Malformed,
     /// The body is larger than allowed.
@@ -28,19 +28,19 @@
     NoServer,
     /// The backend servers that were tried refused the request or could not be reached, or
     /// no slot is expected before its deadline. It has not run.
-    Full,
+    NoCapacity,
     /// The keepers cannot be reached, are starting or are overloaded. The request has not run.
     NoKeepers,
     /// The keepers are overloaded, and the request may begin a program.
-    Overload,
+    Throttled,
     /// The turn that the request continues does not exist.
-    NoTurn,
+    TurnNotFound,
     /// The token budget of the program is used up.
-    Spent,
+    BudgetExceeded,
     /// The deadline passed before the request could be sent.
     TooLate,
     /// The request was sent, but no complete response arrived. It may have run.
-    Broken,
+    Interrupted,
     /// The request was sent, and its deadline passed. It may have run.
     TimedOut,
 }
@@ -62,46 +62,46 @@
     /// Name in logs, metrics and response bodies.
     pub fn name(self) -> &'static str {
         match self {
-            Refusal::NotStarted => "not_started",
+            Refusal::NoConfig => "not_started",
             Refusal::NoRoute => "no_route",
             Refusal::Unauthorized => "unauthorized",
-            Refusal::Unconfirmed => "unconfirmed",
-            Refusal::Exceeded => "exceeded",
+            Refusal::StaleData => "unconfirmed",
+            Refusal::AllowanceExceeded => "exceeded",
             Refusal::Malformed => "malformed",
             Refusal::TooLarge => "too_large",
             Refusal::NoServer => "no_server",
-            Refusal::Full => "full",
+            Refusal::NoCapacity => "full",
             Refusal::NoKeepers => "no_keepers",
-            Refusal::Overload => "overload",
-            Refusal::NoTurn => "no_turn",
-            Refusal::Spent => "spent",
+            Refusal::Throttled => "overload",
+            Refusal::TurnNotFound => "no_turn",
+            Refusal::BudgetExceeded => "spent",
             Refusal::TooLate => "too_late",
-            Refusal::Broken => "broken",
+            Refusal::Interrupted => "broken",
             Refusal::TimedOut => "timed_out",
         }
     }
 
     /// Whether it is certain that the request has not run and will not run.
     pub fn is_unexecuted(self) -> bool {
-        !matches!(self, Refusal::Broken | Refusal::TimedOut)
+        !matches!(self, Refusal::Interrupted | Refusal::TimedOut)
     }
 
     fn status(self) -> StatusCode {
         match self {
-            Refusal::NoRoute | Refusal::NoTurn => StatusCode::NOT_FOUND,
+            Refusal::NoRoute | Refusal::TurnNotFound => StatusCode::NOT_FOUND,
             Refusal::Unauthorized => StatusCode::UNAUTHORIZED,
-            Refusal::Exceeded => StatusCode::TOO_MANY_REQUESTS,
+            Refusal::AllowanceExceeded => StatusCode::TOO_MANY_REQUESTS,
             Refusal::Malformed => StatusCode::BAD_REQUEST,
             Refusal::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
-            Refusal::Spent => StatusCode::PAYMENT_REQUIRED,
-            Refusal::Broken => StatusCode::BAD_GATEWAY,
+            Refusal::BudgetExceeded => StatusCode::PAYMENT_REQUIRED,
+            Refusal::Interrupted => StatusCode::BAD_GATEWAY,
             Refusal::TimedOut => StatusCode::GATEWAY_TIMEOUT,
-            Refusal::NotStarted
-            | Refusal::Unconfirmed
+            Refusal::NoConfig
+            | Refusal::StaleData
             | Refusal::NoServer
-            | Refusal::Full
+            | Refusal::NoCapacity
             | Refusal::NoKeepers
-            | Refusal::Overload
+            | Refusal::Throttled
             | Refusal::TooLate => StatusCode::SERVICE_UNAVAILABLE,
         }
     }
@@ -115,18 +115,18 @@
     /// use std::time::Duration;
     ///
     /// let second = Duration::from_secs(1);
-    /// assert_eq!(Refusal::Full.retry_after(second, 0.5), Some(second));
-    /// assert_eq!(Refusal::Full.retry_after(second, 0.0), Some(second.mul_f64(0.75)));
-    /// assert_eq!(Refusal::Spent.retry_after(second, 0.5), None);
+    /// assert_eq!(Refusal::NoCapacity.retry_after(second, 0.5), Some(second));
+    /// assert_eq!(Refusal::NoCapacity.retry_after(second, 0.0), Some(second.mul_f64(0.75)));
+    /// assert_eq!(Refusal::BudgetExceeded.retry_after(second, 0.5), None);
     /// ```
     pub fn retry_after(self, expected_wait: Duration, random: f64) -> Option<Duration> {
         let wait = match self {
-            Refusal::NotStarted => STARTUP_RETRY_AFTER,
-            Refusal::Exceeded => ALLOWANCE_RETRY_AFTER,
-            Refusal::Full | Refusal::NoKeepers | Refusal::Overload => {
+            Refusal::NoConfig => STARTUP_RETRY_AFTER,
+            Refusal::AllowanceExceeded => ALLOWANCE_RETRY_AFTER,
+            Refusal::NoCapacity | Refusal::NoKeepers | Refusal::Throttled => {
                 expected_wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
             }
-            Refusal::NoServer | Refusal::Unconfirmed => MIN_RETRY_AFTER,
+            Refusal::NoServer | Refusal::StaleData => MIN_RETRY_AFTER,
             _ => return None,
         };
         let factor =
@@ -136,27 +136,29 @@
 
     fn message(self) -> &'static str {
         match self {
-            Refusal::NotStarted => "no configuration is known yet; come back soon",
+            Refusal::NoConfig => "no configuration is known yet; come back soon",
             Refusal::NoRoute => "no route for this host and path; correct them",
             Refusal::Unauthorized => {
                 "the key is missing or not known; send a key of your client account"
             }
-            Refusal::Unconfirmed => {
+            Refusal::StaleData => {
                 "whether it is allowed cannot be checked here now; come back soon"
             }
-            Refusal::Exceeded => "the allowance of the client account is used; come back soon",
+            Refusal::AllowanceExceeded => {
+                "the allowance of the client account is used; come back soon"
+            }
             Refusal::Malformed => "the request is not well formed; correct its headers or body",
             Refusal::TooLarge => "the body is larger than allowed; send less",
             Refusal::NoServer => "no backend server is available; come back soon",
-            Refusal::Full => "the backend servers are full; come back soon",
+            Refusal::NoCapacity => "the backend servers are full; come back soon",
             Refusal::NoKeepers => "the conversation cannot be kept now; come back soon",
-            Refusal::Overload => {
+            Refusal::Throttled => {
                 "no program can begin now, others under way go first; come back soon"
             }
-            Refusal::NoTurn => "there is no such turn; start a new conversation",
-            Refusal::Spent => "the program's budget is spent; end it",
+            Refusal::TurnNotFound => "there is no such turn; start a new conversation",
+            Refusal::BudgetExceeded => "the program's budget is spent; end it",
             Refusal::TooLate => "the time was over before the request could be sent",
-            Refusal::Broken => "the backend server broke off; the request may have run",
+            Refusal::Interrupted => "the backend server broke off; the request may have run",
             Refusal::TimedOut => "the time is over; the request may have run",
         }
     }
--- a/crates/gradedyke-gateway/src/entry/relay.rs
+++ b/crates/gradedyke-gateway/src/entry/relay.rs
@@ -27,7 +27,7 @@
 
 /// Number of events after which the average time between events is reported to the fleet, so
 /// that a slow server is detected before its response ends.
-const PACE_SAMPLE_EVENTS: u32 = 3;
+const GAP_SAMPLE_EVENTS: u32 = 3;
 /// Number of events buffered for a caller that reads slowly.
 const EVENT_BUFFER_LEN: usize = 64;
 /// Timeout for storing a turn after its last event.
@@ -41,10 +41,10 @@
     upstream: Upstream,
     received: ServerResponse,
 ) -> Response<Body> {
-    let headers = entry.dialect.inbound(received.response.headers());
+    let headers = entry.dialect.response_headers(received.response.headers());
     let status = received.response.status();
     let (sender, body) = body::channel(EVENT_BUFFER_LEN);
-    let event_tokens = call.engine().map_or(1, |e| e.max_event_tokens);
+    let max_event_tokens = call.engine().map_or(1, |e| e.max_event_tokens);
     let relay = Relay {
         entry: entry.clone(),
         call,
@@ -55,12 +55,12 @@
         choice: received.choice,
         output: BytesMut::new(),
         tokens: 0,
-        event_tokens,
+        max_event_tokens,
         event_times: None,
         event_count: 0,
     };
     let incoming = received.response.into_body();
-    tokio::spawn(relay.run(status, incoming, received.connection, received.answer));
+    tokio::spawn(relay.run(status, incoming, received.connection, received.head));
     let mut response = Response::new(body);
     *response.status_mut() = status;
     *response.headers_mut() = headers;
@@ -82,7 +82,7 @@
     /// Upper bound on the number of tokens forwarded.
     tokens: u32,
     /// Largest number of tokens in one event.
-    event_tokens: u32,
+    max_event_tokens: u32,
     /// Arrival of the first and the latest event from the current server.
     event_times: Option<(Instant, Instant)>,
     /// Number of events from the current server.
@@ -93,10 +93,10 @@
 enum End {
     Complete,
     /// The connection to the server broke, or the server sent an invalid stream.
-    Broken(String),
+    Interrupted(String),
     /// The server has sent nothing for far longer than expected.
     Stalled,
-    CallerGone,
+    CallerDisconnected,
     TimedOut,
     /// The turn could not be stored.
     NotStored,
@@ -108,24 +108,24 @@
         status: StatusCode,
         mut incoming: Incoming,
         mut connection: Connection,
-        mut answer: Head,
+        mut head: Head,
     ) {
         let end = loop {
             let end = self.forward_events(status, &mut incoming).await;
-            if !self.report_server_fault(&end) {
+            if !self.report_server_failure(&end) {
                 break end;
             }
             let Some(next) = self.resume(status).await else {
                 break end;
             };
             // Dropping the old connection closes it.
-            (incoming, connection, answer) = next;
+            (incoming, connection, head) = next;
         };
         let (name, cause) = match &end {
             End::Complete => ("whole", ""),
-            End::Broken(cause) => ("broken", cause.as_str()),
+            End::Interrupted(cause) => ("broken", cause.as_str()),
             End::Stalled => ("silent", ""),
-            End::CallerGone => ("caller_left", ""),
+            End::CallerDisconnected => ("caller_left", ""),
             End::TimedOut => ("timed_out", ""),
             End::NotStored => ("not_kept", ""),
         };
@@ -143,14 +143,18 @@
                     // An error response generated no tokens.
                     self.reservation.settle(&self.entry, 0);
                 }
-                if !answer.close {
+                if !head.close {
                     self.choice
                         .pool
-                        .put_back(connection, answer.idle_timeout, now);
+                        .put_back(connection, head.idle_timeout, now);
                 }
                 return;
             }
-            End::Broken(_) | End::Stalled | End::CallerGone | End::TimedOut | End::NotStored => {}
+            End::Interrupted(_)
+            | End::Stalled
+            | End::CallerDisconnected
+            | End::TimedOut
+            | End::NotStored => {}
         }
         self.reservation.settle(&self.entry, self.tokens);
         // The error aborts the connection, so that the caller can tell that the response is
@@ -160,16 +164,20 @@
     }
 
     /// Reports to the fleet that the stream ended by the server's fault. Returns whether it did.
-    fn report_server_fault(&self, end: &End) -> bool {
-        let (fault, cause) = match end {
-            End::Broken(cause) => (health::Failure::ConnectionLost, cause.as_str()),
+    fn report_server_failure(&self, end: &End) -> bool {
+        let (failure, cause) = match end {
+            End::Interrupted(cause) => (health::Failure::ConnectionLost, cause.as_str()),
             End::Stalled => (health::Failure::Slow, ""),
-            End::Complete | End::CallerGone | End::TimedOut | End::NotStored => return false,
+            End::Complete | End::CallerDisconnected | End::TimedOut | End::NotStored => {
+                return false;
+            }
         };
         let now = Instant::now();
-        self.entry.fleet.record_failure(self.choice.key, fault, now);
+        self.entry
+            .fleet
+            .record_failure(self.choice.key, failure, now);
         tracing::info!(event = "stream_broke", request = %self.call.id,
-            server = %self.choice.id, fault = fault.name(), cause);
+            server = %self.choice.id, fault = failure.name(), cause);
         true
     }
 
@@ -200,7 +208,7 @@
         self.choice = received.choice;
         (self.event_times, self.event_count) = (None, 0);
         let incoming = received.response.into_body();
-        Some((incoming, received.connection, received.answer))
+        Some((incoming, received.connection, received.head))
     }
 
     /// Returns the deadline for the next event, and whether to resume at another server when
@@ -229,20 +237,20 @@
                 // Events that have arrived are forwarded even if the server is gone by now.
                 biased;
                 frame = tokio::time::timeout_at(deadline, incoming.frame()) => frame,
-                () = self.sender.closed() => return End::CallerGone,
+                () = self.sender.closed() => return End::CallerDisconnected,
                 () = self.choice.process_ended.cancelled() => {
-                    return End::Broken("the server process was restarted or has ended".to_owned());
+                    return End::Interrupted("the server process was restarted or has ended".to_owned());
                 }
             };
             let data = match frame {
                 Err(_) if switch_server => return End::Stalled,
                 Err(_) => return End::TimedOut,
-                Ok(Some(Err(error))) => return End::Broken(error.to_string()),
+                Ok(Some(Err(error))) => return End::Interrupted(error.to_string()),
                 Ok(Some(Ok(frame))) => frame.into_data().unwrap_or_default(),
                 Ok(None) => break,
             };
             if let Err(error) = events.push(&data) {
-                return End::Broken(error.to_string());
+                return End::Interrupted(error.to_string());
             }
             while let Some(event) = events.next_event() {
                 self.record_event(&event, Instant::now());
@@ -251,17 +259,17 @@
                     .map(Bytes::copy_from_slice)
                     .or(self.last_event_id.take());
                 if !self.send_event(event).await {
-                    return End::CallerGone;
+                    return End::CallerDisconnected;
                 }
             }
         }
-        let rest = Bytes::copy_from_slice(events.remainder());
+        let remainder = Bytes::copy_from_slice(events.remainder());
         if !status.is_success() {
             // The body of an error response need not consist of events.
-            return self.send_rest(rest).await;
+            return self.send_remainder(remainder).await;
         }
-        if !rest.is_empty() {
-            return End::Broken("the stream ended within an event".to_owned());
+        if !remainder.is_empty() {
+            return End::Interrupted("the stream ended within an event".to_owned());
         }
         // The end of the stream tells the caller that the turn is stored.
         if !self.store_turn().await {
@@ -271,11 +279,11 @@
     }
 
     /// Sends the remaining bytes of an error response.
-    async fn send_rest(&self, rest: Bytes) -> End {
-        if rest.is_empty() || self.send_event(rest).await {
+    async fn send_remainder(&self, remainder: Bytes) -> End {
+        if remainder.is_empty() || self.send_event(remainder).await {
             return End::Complete;
         }
-        End::CallerGone
+        End::CallerDisconnected
     }
 
     /// Returns the time from the choice of the server to its first event.
@@ -313,16 +321,16 @@
         let first = self.event_times.map_or(now, |(first, _)| first);
         self.event_times = Some((first, now));
         self.event_count += 1;
-        if self.event_count == PACE_SAMPLE_EVENTS {
+        if self.event_count == GAP_SAMPLE_EVENTS {
             let (key, concurrent) = (self.choice.key, self.choice.candidate.in_flight);
-            let gap = (now - first) / (PACE_SAMPLE_EVENTS - 1);
+            let gap = (now - first) / (GAP_SAMPLE_EVENTS - 1);
             self.entry.fleet.record_event_gap(key, concurrent, gap, now);
         }
         if let Some(data) = self.entry.dialect.event_data(event) {
             self.output.extend_from_slice(data);
             self.output.extend_from_slice(b"\n");
         }
-        self.tokens += self.event_tokens;
+        self.tokens += self.max_event_tokens;
         tracing::debug!(event = "event", request = %self.call.id, text = ?event);
     }
 
@@ -338,13 +346,13 @@
             return true;
         };
         let record = Record::Turn(Turn {
-            request: self.call.scope_id(&self.call.id),
+            request: self.call.scoped_id(&self.call.id),
             parent: self
                 .call
                 .meta
                 .parent
                 .as_ref()
-                .map(|p| self.call.scope_id(p)),
+                .map(|p| self.call.scoped_id(p)),
             input: self.call.body.clone(),
             output: self.output.split().freeze(),
             server: self.choice.incarnation.clone(),
--- a/crates/gradedyke-gateway/src/entry/turn.rs
+++ b/crates/gradedyke-gateway/src/entry/turn.rs
@@ -69,12 +69,12 @@
 ) -> Result<(Option<Transcript>, Reservation), Refusal> {
     let started = Instant::now();
     if !is_admitted(entry, call, started) {
-        return Err(Refusal::Overload);
+        return Err(Refusal::Throttled);
     }
     let budget_request = budget_request(call);
     let reservation = Reservation::new(budget_request.as_ref().map(|(r, _)| r.clone()));
     let parent = call.route.retention.and(call.meta.parent.as_ref());
-    let parent = parent.map(|p| call.scope_id(p));
+    let parent = parent.map(|p| call.scoped_id(p));
     let usage_report = call.charge.map(|c| entry.limiter.report(&c, started));
     let (usage, snapshot) = usage_report.unzip();
     let params = BeginParams {
@@ -103,7 +103,7 @@
                 && !entry.record_usage(call, snapshot, total)
             {
                 reservation.settle(entry, 0);
-                return Err(Refusal::Exceeded);
+                return Err(Refusal::AllowanceExceeded);
             }
             let is_program_start = Call::is_program_start(&call.route, &call.meta);
             entry
@@ -126,8 +126,8 @@
                 entry.throttle.record_refused(Instant::now());
             }
             Err(match error {
-                quorum::Error::TurnNotFound => Refusal::NoTurn,
-                quorum::Error::BudgetExceeded { .. } => Refusal::Spent,
+                quorum::Error::TurnNotFound => Refusal::TurnNotFound,
+                quorum::Error::BudgetExceeded { .. } => Refusal::BudgetExceeded,
                 quorum::Error::Indeterminate
                 | quorum::Error::Starting
                 | quorum::Error::Busy
@@ -158,11 +158,11 @@
 /// without a budget.
 fn budget_request(call: &Call) -> Option<(Reserved, u64)> {
     let budget = call.meta.token_budget?;
-    let program = call.scope_id(call.meta.program.as_ref()?);
+    let program = call.scoped_id(call.meta.program.as_ref()?);
     let reserved = Reserved {
         program,
-        request: call.scope_id(&call.id),
-        tokens: call.meta.usage.map_or(0, |u| u.answer),
+        request: call.scoped_id(&call.id),
+        tokens: call.meta.size.map_or(0, |s| s.max_response_tokens),
         keep_ms: retention_ms(call),
     };
     Some((reserved, budget))
--- a/crates/gradedyke-gateway/src/entry/upstream.rs
+++ b/crates/gradedyke-gateway/src/entry/upstream.rs
@@ -43,7 +43,7 @@
             let result =
                 attempt::dispatch(entry, call, attempts, &query, body, last_event_id).await;
             match result {
-                Err(Refusal::Broken) if self.can_resume(call) => {}
+                Err(Refusal::Interrupted) if self.can_resume(call) => {}
                 result => return result,
             }
         }
@@ -60,7 +60,7 @@
 /// Estimates how many prompt tokens belong to the stored conversation, by its share of the
 /// bytes. The server that ran its last turn has them in its cache.
 fn cached_tokens(call: &Call, transcript: &Transcript) -> u64 {
-    let prompt = call.meta.usage.map_or(0, |u| u.prompt);
+    let prompt = call.meta.size.map_or(0, |s| s.prompt_tokens);
     let (stored_bytes, new_bytes) = (transcript.body.len() as u64, call.body.len() as u64);
     (prompt * stored_bytes)
         .checked_div(stored_bytes + new_bytes)
@@ -74,13 +74,13 @@
         request_id: &call.id,
         excluded: &[],
         cached_on: transcript.map(|c| &c.server),
-        prompt_tokens: call.meta.usage.map_or(0, |u| u.prompt),
+        prompt_tokens: call.meta.size.map_or(0, |s| s.prompt_tokens),
         cached_tokens: transcript.map_or(0, |c| cached_tokens(call, c)),
         parts: &call.meta.parts,
         is_engine: true,
-        cache_capacity_tokens: call.engine().map_or(0, |e| e.cache_tokens),
-        repeatable: call.route.is_repeatable(),
-        max_warm_up_rate_per_s: call.warm_up_rate(),
+        cache_capacity_tokens: call.engine().map_or(0, |e| e.cache_capacity_tokens),
+        is_repeatable: call.route.is_repeatable(),
+        max_warm_up_rate_per_s: call.max_warm_up_rate_per_s(),
         allowed_regions: call.regions.as_deref(),
         now: call.arrived,
     }
--- a/crates/gradedyke-gateway/src/estimate.rs
+++ b/crates/gradedyke-gateway/src/estimate.rs
@@ -143,7 +143,7 @@
     /// Number of responses.
     pub responses: u32,
     /// Sum of the ratios of observed to expected time, in hundredths.
-    pub hundredths: u32,
+    pub ratio_hundredths: u32,
 }
 
 impl Add for LatencyRatioSum {
@@ -152,7 +152,7 @@
     fn add(self, other: Self) -> Self {
         Self {
             responses: self.responses + other.responses,
-            hundredths: self.hundredths + other.hundredths,
+            ratio_hundredths: self.ratio_hundredths + other.ratio_hundredths,
         }
     }
 }
@@ -168,7 +168,7 @@
     pub fn from_ratio(ratio: f64) -> Self {
         Self {
             responses: 1,
-            hundredths: (ratio.clamp(0.0, MAX_LATENCY_RATIO) * 100.0) as u32,
+            ratio_hundredths: (ratio.clamp(0.0, MAX_LATENCY_RATIO) * 100.0) as u32,
         }
     }
 
@@ -182,7 +182,7 @@
     /// assert_eq!(LatencyRatioSum::default().slowness(), 1.0);
     /// ```
     pub fn slowness(self) -> f64 {
-        let sum = f64::from(self.hundredths) / 100.0;
+        let sum = f64::from(self.ratio_hundredths) / 100.0;
         (sum + PRIOR_RESPONSES) / (f64::from(self.responses) + PRIOR_RESPONSES)
     }
 }
@@ -248,15 +248,15 @@
 /// Prior for the number of events after the first.
 const PRIOR_EVENTS_PER_RESPONSE: f64 = 8.0;
 /// Prior for the time of a call to a plain service.
-const PRIOR_CALL_MS: f64 = 200.0;
+const PRIOR_RESPONSE_MS: f64 = 200.0;
 /// Lower limit on expected times, so that ratios stay finite.
 const MIN_EXPECTED_MS: f64 = 0.1;
 /// Number of observations that a prior counts as.
 const PRIOR_WEIGHT: f64 = 10.0;
 /// Range of prompt tokens that sets the weight of the prior reading time.
-const READ_SPAN_TOKENS: f64 = 2_000.0;
+const PRIOR_UNCACHED_TOKENS_SPAN: f64 = 2_000.0;
 /// Range of concurrent requests that sets the weight of the prior for gaps.
-const GAP_SPAN_REQUESTS: f64 = 16.0;
+const PRIOR_CONCURRENT_SPAN: f64 = 16.0;
 
 /// Learned times of a service.
 #[derive(Clone, Copy, Debug)]
@@ -268,7 +268,7 @@
     /// Number of events after the first.
     events: DecayingMean,
     /// Time to the response head of a plain service, in milliseconds.
-    call: DecayingMean,
+    response: DecayingMean,
 }
 
 impl Default for ServiceEstimate {
@@ -277,17 +277,17 @@
             first_event: LinearFit::new(
                 PRIOR_FIRST_EVENT_MS,
                 PRIOR_READ_MS_PER_TOKEN,
-                READ_SPAN_TOKENS,
+                PRIOR_UNCACHED_TOKENS_SPAN,
                 PRIOR_WEIGHT,
             ),
             gap: LinearFit::new(
                 PRIOR_GAP_MS,
                 PRIOR_GAP_PER_CONCURRENT_MS,
-                GAP_SPAN_REQUESTS,
+                PRIOR_CONCURRENT_SPAN,
                 PRIOR_WEIGHT,
             ),
             events: DecayingMean::new(PRIOR_EVENTS_PER_RESPONSE, PRIOR_WEIGHT),
-            call: DecayingMean::new(PRIOR_CALL_MS, PRIOR_WEIGHT),
+            response: DecayingMean::new(PRIOR_RESPONSE_MS, PRIOR_WEIGHT),
         }
     }
 }
@@ -317,17 +317,17 @@
 
     /// Records a response of a plain service, and returns the ratio of its time to the
     /// previously expected time.
-    pub fn record_call(&mut self, elapsed_ms: f64) -> f64 {
-        let expected_ms = self.call.value();
-        self.call.add(elapsed_ms);
+    pub fn record_response(&mut self, elapsed_ms: f64) -> f64 {
+        let expected_ms = self.response.value();
+        self.response.add(elapsed_ms);
         elapsed_ms / expected_ms.max(MIN_EXPECTED_MS)
     }
 
     /// Expected times at the service. `engine` says whether it runs models.
-    pub fn times(&self, engine: bool) -> Times {
-        if !engine {
+    pub fn times(&self, is_engine: bool) -> Times {
+        if !is_engine {
             return Times {
-                response_ms: self.call.value(),
+                response_ms: self.response.value(),
                 first_event_ms: 0.0,
                 event_gap_ms: 0.0,
                 gap_per_concurrent_ms: 0.0,
--- a/crates/gradedyke-gateway/src/event.rs
+++ b/crates/gradedyke-gateway/src/event.rs
@@ -10,7 +10,7 @@
 pub struct Splitter {
     buffer: BytesMut,
     /// Number of bytes at the start of the buffer already searched for the end of an event.
-    searched: usize,
+    searched_len: usize,
 }
 
 /// The buffered data exceeds the maximum size of an event.
@@ -43,13 +43,13 @@
     /// assert!(events.next_event().is_none());
     /// ```
     pub fn next_event(&mut self) -> Option<Bytes> {
-        let from = self.searched.saturating_sub(3);
+        let from = self.searched_len.saturating_sub(3);
         let end = find_event_end(&self.buffer[from..]).map(|at| from + at);
         let Some(end) = end else {
-            self.searched = self.buffer.len();
+            self.searched_len = self.buffer.len();
             return None;
         };
-        self.searched = 0;
+        self.searched_len = 0;
         Some(self.buffer.split_to(end).freeze())
     }
 
--- a/crates/gradedyke-gateway/src/fleet/mod.rs
+++ b/crates/gradedyke-gateway/src/fleet/mod.rs
@@ -5,15 +5,15 @@
 //! remains a fallback for a short time, or, after an outage of the directory, until
 //! running servers have had time to renew their records.
 //!
-//! `registry` indexes the servers, `server_state` holds the state of one, and `location`
+//! `registry` indexes the servers, `server_state` holds the state of one, and `topology`
 //! maps data centres to regions. `sample` selects the servers to compare if there are
 //! very many, and [`slow_start`] limits the rate of those that are warming up.
 
-mod location;
 mod registry;
 mod sample;
 mod server_state;
 pub mod slow_start;
+mod topology;
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -30,12 +30,12 @@
 use crate::estimate::{self, LatencyRatioSum, Times, Timing};
 use crate::health::Failure;
 use crate::link::Pool;
-use crate::mechanism::{Enabled, Mechanism};
+use crate::mechanism::{Mechanism, Mechanisms};
 use crate::placement::{self, Candidate, Policy};
 use crate::prefix::Part;
-pub use location::Location;
 use registry::Registry;
 use server_state::ServerState;
+pub use topology::Topology;
 
 new_key_type! {
     /// Identifies an incarnation of a backend server within a [`Fleet`].
@@ -84,8 +84,8 @@
     ///     address: "127.0.0.1:9".parse().unwrap(),
     ///     data_centre: "here".to_owned(),
     ///     slots: 4,
-    ///     leaving: false,
-    ///     warm_up: std::time::Duration::ZERO,
+    ///     is_draining: false,
+    ///     remaining_warm_up: std::time::Duration::ZERO,
     /// };
     /// assert_eq!(server(None).incarnation().as_str(), "s");
     /// assert_ne!(server(Some(1)).incarnation(), server(Some(2)).incarnation());
@@ -119,7 +119,7 @@
     /// Capacity of a server's prompt cache in tokens; 0 if it has none.
     pub cache_capacity_tokens: u64,
     /// Whether the request may be run more than once.
-    pub repeatable: bool,
+    pub is_repeatable: bool,
     /// Limit on the request rate of a warming server, in requests per second over all
     /// entries; `None` for no limit.
     pub max_warm_up_rate_per_s: Option<f64>,
@@ -158,9 +158,9 @@
 
 /// The backend servers as this entry sees them.
 pub struct Fleet {
-    location: Location,
+    topology: Topology,
     policy: Arc<dyn Policy>,
-    mechanisms: Enabled,
+    mechanisms: Mechanisms,
     /// Random ID of this process in load reports.
     report_id: u64,
     /// Address at which this entry forwards requests for others.
@@ -169,16 +169,16 @@
 }
 
 impl Fleet {
-    /// Creates an empty fleet for an entry at `location`, which forwards requests for
+    /// Creates an empty fleet for an entry at `topology`, which forwards requests for
     /// other entries at `forwarding_address`.
     pub fn new(
-        location: impl Into<Location>,
+        topology: impl Into<Topology>,
         forwarding_address: Option<SocketAddr>,
         policy: Arc<dyn Policy>,
-        mechanisms: Enabled,
+        mechanisms: Mechanisms,
     ) -> Arc<Self> {
         Arc::new(Self {
-            location: location.into(),
+            topology: topology.into(),
             policy,
             mechanisms,
             report_id: rand::random(),
@@ -252,9 +252,9 @@
             registry.clear_peer_load();
         }
         let use_backoff = self.mechanisms.is_enabled(Mechanism::Rests);
-        let keys = registry.eligible(query, &self.location, use_backoff);
+        let keys = registry.eligible(query, &self.topology, use_backoff);
         if query.max_warm_up_rate_per_s.is_some() {
-            registry.count_request(query, keys.is_empty());
+            registry.record_request(query, keys.is_empty());
         }
         let times = if self.mechanisms.is_enabled(Mechanism::LearnedTimes) {
             registry.times(query.service, query.is_engine)
@@ -288,9 +288,9 @@
     }
 
     /// Expected time until one of a service's servers has a free slot.
-    pub fn expected_wait(&self, service: &str, engine: bool, now: Instant) -> Duration {
+    pub fn expected_wait(&self, service: &str, is_engine: bool, now: Instant) -> Duration {
         let registry = self.lock();
-        let times = registry.times(service, engine);
+        let times = registry.times(service, is_engine);
         let keys = registry.by_service.get(service).into_iter().flatten();
         let states = keys.map(|key| &registry.servers[*key]);
         let usable = states.filter(|s| !s.server.is_draining && !s.is_backing_off(now));
@@ -305,7 +305,7 @@
         Report {
             entry: self.report_id,
             address: self.forwarding_address,
-            busy: self.lock().report(now),
+            busy: self.lock().load_report(now),
         }
     }
 
@@ -317,8 +317,12 @@
     }
 
     fn candidate(&self, state: &ServerState, query: &Query<'_>, times: Times) -> Candidate {
-        let is_holder = query.cached_on == Some(&state.incarnation);
-        let cached_tokens = if is_holder { query.cached_tokens } else { 0 };
+        let caches_conversation = query.cached_on == Some(&state.incarnation);
+        let cached_tokens = if caches_conversation {
+            query.cached_tokens
+        } else {
+            0
+        };
         let uncached = query.prompt_tokens.saturating_sub(cached_tokens);
         let uncached = match query.parts {
             [] => uncached,
@@ -327,13 +331,15 @@
         Candidate {
             in_flight: state.total_in_flight(),
             slots: state.server.slots,
-            is_local: state.server.data_centre == self.location.data_centre,
+            is_local: state.server.data_centre == self.topology.data_centre,
             uncached_tokens: uncached,
             is_engine: query.is_engine,
-            has_idle_connection: state.pool.has_idle_connection(query.repeatable, query.now),
+            has_idle_connection: state
+                .pool
+                .has_idle_connection(query.is_repeatable, query.now),
             times,
             slowness: state.slowness(query.now),
-            repeatable: query.repeatable,
+            is_repeatable: query.is_repeatable,
             failure_rate: state.failure_rate(query.now),
             hash: request_hash(query.request_id, &state.server.id),
         }
@@ -351,7 +357,7 @@
         registry.mark_reportable(key);
         if let Some(time) = time {
             let estimate = registry.estimates.entry(service).or_default();
-            let ratio = estimate.record_call(time.as_secs_f64() * 1e3);
+            let ratio = estimate.record_response(time.as_secs_f64() * 1e3);
             registry.servers[key]
                 .latency
                 .add(LatencyRatioSum::from_ratio(ratio), now);
--- a/crates/gradedyke-gateway/src/fleet/registry.rs
+++ b/crates/gradedyke-gateway/src/fleet/registry.rs
@@ -12,7 +12,7 @@
 use super::sample::{self, RecentServers};
 use super::server_state::{DirectoryState, ServerState};
 use super::slow_start;
-use super::{Key, Location, Query, Server, request_hash};
+use super::{Key, Query, Server, Topology, request_hash};
 use crate::dialect::{Dialect, Error};
 use crate::estimate::{self, Times};
 use crate::health::Counts;
@@ -29,7 +29,7 @@
 /// The error for a record without a start time whose server had one before.
 fn missing_start_time(id: &Id) -> Error {
     Error {
-        what: id.to_string(),
+        item: id.to_string(),
         cause: "the record has no start time, but earlier records of the server had".to_owned(),
     }
 }
@@ -66,9 +66,9 @@
 
 impl Registry {
     /// Expected times at a service.
-    pub(super) fn times(&self, service: &str, engine: bool) -> Times {
+    pub(super) fn times(&self, service: &str, is_engine: bool) -> Times {
         let estimate = self.estimates.get(service).copied();
-        estimate.unwrap_or_default().times(engine)
+        estimate.unwrap_or_default().times(is_engine)
     }
 
     /// Discards the load reported by other entries.
@@ -96,14 +96,14 @@
     }
 
     /// The load that this entry reports to others.
-    pub(super) fn report(&mut self, now: Instant) -> Vec<ServerLoad> {
+    pub(super) fn load_report(&mut self, now: Instant) -> Vec<ServerLoad> {
         let mut report = Vec::new();
         let servers = &self.servers;
         self.reportable.retain(|key| {
             let Some(state) = servers.get(*key) else {
                 return false;
             };
-            let busy = state.report(now);
+            let busy = state.load_report(now);
             let is_reported = busy.requests + busy.failures + busy.unreached + busy.paced > 0;
             if is_reported {
                 report.push(busy);
@@ -219,14 +219,14 @@
         self.unreadable.remove(&server.id);
         if let Some(key) = self.by_id.get(&server.id).copied() {
             let state = &mut self.servers[key];
-            if state.is_from_previous_process(&server) {
+            if state.is_from_previous_incarnation(&server) {
                 return;
             }
             if state.server.started_ms.is_some() && server.started_ms.is_none() {
                 return self.mark_unreadable(&server.id, &missing_start_time(&server.id));
             }
-            if state.is_different_process(&server) {
-                return self.replace_process(key, server, read_at);
+            if state.is_other_incarnation(&server) {
+                return self.replace_incarnation(key, server, read_at);
             }
             if state.is_unreadable {
                 tracing::info!(event = "server_read", server = %server.id);
@@ -254,7 +254,7 @@
 
     /// Replaces the state of a process that has ended by that of its successor. Load,
     /// health and cache contents start anew.
-    fn replace_process(&mut self, previous: Key, server: Server, read_at: Instant) {
+    fn replace_incarnation(&mut self, previous: Key, server: Server, read_at: Instant) {
         let Some(state) = self.detach(previous) else {
             return;
         };
@@ -310,7 +310,7 @@
     pub(super) fn eligible(
         &self,
         query: &Query<'_>,
-        location: &Location,
+        topology: &Topology,
         use_backoff: bool,
     ) -> Vec<Key> {
         let rank = |key: &Key| {
@@ -318,7 +318,7 @@
             let is_unlisted = state.directory_state != DirectoryState::Listed;
             (is_unlisted, use_backoff && state.is_backing_off(query.now))
         };
-        let servers = self.limit_warming(query, location, self.preselect(query, location));
+        let servers = self.limit_warming(query, topology, self.preselect(query, topology));
         let best = servers.iter().map(rank).min();
         servers
             .into_iter()
@@ -327,7 +327,7 @@
     }
 
     /// Whether a server can be sent the request, regardless of its load.
-    fn can_run(&self, key: Key, query: &Query<'_>, location: &Location) -> bool {
+    fn can_run(&self, key: Key, query: &Query<'_>, topology: &Topology) -> bool {
         let state = &self.servers[key];
         let data_centre = &state.server.data_centre;
         !state.server.is_draining
@@ -335,26 +335,26 @@
             && !state.is_replaced
             && !query.excluded.contains(&key)
             && !self.evacuated.contains(data_centre)
-            && location.allows(query.allowed_regions, data_centre)
+            && topology.is_in_regions(query.allowed_regions, data_centre)
     }
 
     /// The servers to compare: all that can run the request or, if the service has very
     /// many, a sample of them with the recently used ones and the holder of the
     /// conversation.
-    fn preselect(&self, query: &Query<'_>, location: &Location) -> Vec<Key> {
+    fn preselect(&self, query: &Query<'_>, topology: &Topology) -> Vec<Key> {
         let Some(keys) = self.by_service.get(query.service) else {
             return Vec::new();
         };
-        let can_run = |key: Key| self.can_run(key, query, location);
+        let can_run = |key: Key| self.can_run(key, query, topology);
         if keys.len() <= sample::MAX_UNSAMPLED_SERVERS {
             return keys.iter().copied().filter(|k| can_run(*k)).collect();
         }
-        let is_local = |key: Key| self.servers[key].server.data_centre == location.data_centre;
+        let is_local = |key: Key| self.servers[key].server.data_centre == topology.data_centre;
         let mut selected = sample::sample(keys, query.request_id, can_run, is_local);
         let recent = self.recent.get(query.service).into_iter();
         let recent = recent.flat_map(RecentServers::keys);
-        let holder = query.cached_on.and_then(|h| self.by_incarnation.get(h));
-        for key in recent.chain(holder.copied()) {
+        let cached_on = query.cached_on.and_then(|h| self.by_incarnation.get(h));
+        for key in recent.chain(cached_on.copied()) {
             if can_run(key) && !selected.contains(&key) {
                 selected.push(key);
             }
@@ -364,7 +364,7 @@
 
     /// Removes warming servers from `servers`, except those whose rate limit allows the
     /// request.
-    fn limit_warming(&self, query: &Query<'_>, location: &Location, servers: Vec<Key>) -> Vec<Key> {
+    fn limit_warming(&self, query: &Query<'_>, topology: &Topology, servers: Vec<Key>) -> Vec<Key> {
         let Some(rate) = query.max_warm_up_rate_per_s else {
             return servers;
         };
@@ -373,10 +373,10 @@
         if warming.is_empty() {
             return allowed;
         }
-        let load = self.service_load(query, location);
+        let load = self.service_load(query, topology);
         let candidates = warming.iter().map(|key| {
             let state = &self.servers[*key];
-            slow_start::Candidate {
+            slow_start::WarmingServer {
                 in_flight: state.total_in_flight(),
                 hash: request_hash(query.request_id, &state.server.id),
             }
@@ -387,11 +387,11 @@
         allowed
     }
 
-    /// Counts a request to a service that has a warm-up limit. `found_none` says that no
+    /// Counts a request to a service that has a warm-up limit. `no_server` says that no
     /// server was eligible.
-    pub(super) fn count_request(&mut self, query: &Query<'_>, found_none: bool) {
+    pub(super) fn record_request(&mut self, query: &Query<'_>, no_server: bool) {
         let counts = Counts {
-            failures: u32::from(found_none),
+            failures: u32::from(no_server),
             requests: 1,
         };
         let service = query.service;
@@ -405,7 +405,7 @@
     }
 
     /// The load of a service, over all entries whose load is known.
-    fn service_load(&self, query: &Query<'_>, location: &Location) -> slow_start::ServiceLoad {
+    fn service_load(&self, query: &Query<'_>, topology: &Topology) -> slow_start::ServiceLoad {
         let times = self.times(query.service, query.is_engine);
         let requests = self.recent_requests.get(query.service);
         let mut load = slow_start::ServiceLoad {
@@ -413,7 +413,7 @@
             has_peer_load: self.peer_load_received.is_some(),
             in_flight: 0,
             recently_ended: 0,
-            answer_ms: times.response_ms,
+            response_ms: times.response_ms,
             warming_servers: 0,
         };
         let keys = self.by_service.get(query.service).into_iter().flatten();
@@ -421,7 +421,7 @@
             let state = &self.servers[*key];
             load.in_flight += state.total_in_flight();
             load.recently_ended += state.recently_ended(query.now);
-            let is_warming = !state.is_warm(query.now) && self.can_run(*key, query, location);
+            let is_warming = !state.is_warm(query.now) && self.can_run(*key, query, topology);
             load.warming_servers += u32::from(is_warming);
         }
         load
--- a/crates/gradedyke-gateway/src/fleet/server_state.rs
+++ b/crates/gradedyke-gateway/src/fleet/server_state.rs
@@ -27,7 +27,7 @@
 
 /// Number of previous processes of a server whose start times are remembered, to
 /// recognize records that arrive late.
-const MAX_PREVIOUS_STARTS: usize = 8;
+const MAX_PREVIOUS_START_TIMES: usize = 8;
 
 /// Whether the directory has a record of a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -107,13 +107,13 @@
     /// Whether a record was written by a previous process of this server and arrived
     /// late. Neither the order of writes in the store nor the order of start times shows
     /// that, because clocks may be set back.
-    pub(super) fn is_from_previous_process(&self, server: &Server) -> bool {
+    pub(super) fn is_from_previous_incarnation(&self, server: &Server) -> bool {
         let started_ms = server.started_ms;
         started_ms.is_some_and(|ms| self.previous_starts_ms.contains(&ms))
     }
 
     /// Whether a record was written by another process than the current one.
-    pub(super) fn is_different_process(&self, server: &Server) -> bool {
+    pub(super) fn is_other_incarnation(&self, server: &Server) -> bool {
         self.server.started_ms != server.started_ms
     }
 
@@ -121,7 +121,9 @@
     pub(super) fn successor(&self, server: Server, read_at: Instant) -> Self {
         let mut previous_starts_ms = self.previous_starts_ms.clone();
         previous_starts_ms.extend(self.server.started_ms);
-        let excess = previous_starts_ms.len().saturating_sub(MAX_PREVIOUS_STARTS);
+        let excess = previous_starts_ms
+            .len()
+            .saturating_sub(MAX_PREVIOUS_START_TIMES);
         previous_starts_ms.drain(..excess);
         Self {
             previous_starts_ms,
@@ -147,7 +149,7 @@
     }
 
     /// The load and failures that this entry reports to others.
-    pub(super) fn report(&self, now: Instant) -> ServerLoad {
+    pub(super) fn load_report(&self, now: Instant) -> ServerLoad {
         let health = self.health.report(now);
         let latency = self.latency.sum(now);
         ServerLoad {
@@ -157,7 +159,7 @@
             ended: health.counts.requests,
             unreached: health.unreachable,
             paced: latency.responses,
-            pace: latency.hundredths,
+            pace: latency.ratio_hundredths,
         }
     }
 
@@ -170,7 +172,7 @@
     pub(super) fn slowness(&self, now: Instant) -> f64 {
         let peer_latency = LatencyRatioSum {
             responses: self.peer_load.paced,
-            hundredths: self.peer_load.pace,
+            ratio_hundredths: self.peer_load.pace,
         };
         (self.latency.sum(now) + peer_latency).slowness()
     }
--- a/crates/gradedyke-gateway/src/fleet/slow_start.rs
+++ b/crates/gradedyke-gateway/src/fleet/slow_start.rs
@@ -23,7 +23,7 @@
     /// two buckets long.
     pub recently_ended: u32,
     /// Expected duration of a request, in milliseconds.
-    pub answer_ms: f64,
+    pub response_ms: f64,
     /// Number of warming servers that could run the request, including those that are
     /// not in its sample.
     pub warming_servers: u32,
@@ -45,14 +45,14 @@
     /// rate implied by the requests in flight, which rises first in a burst.
     fn served_per_s(&self) -> f64 {
         let ended = f64::from(self.recently_ended) / window::BUCKET_DURATION.as_secs_f64();
-        let started = f64::from(self.in_flight) * 1e3 / self.answer_ms.max(1.0);
+        let started = f64::from(self.in_flight) * 1e3 / self.response_ms.max(1.0);
         ended.max(started).max(1.0)
     }
 }
 
 /// A server that is warming up.
 #[derive(Clone, Copy, Debug)]
-pub struct Candidate {
+pub struct WarmingServer {
     /// Requests in flight there.
     pub in_flight: u32,
     /// Hash of the request and server IDs, used as a random number.
@@ -69,30 +69,30 @@
 /// available.
 ///
 /// ```
-/// use gradedyke_gateway::fleet::slow_start::{Candidate, ServiceLoad, choose};
+/// use gradedyke_gateway::fleet::slow_start::{WarmingServer, ServiceLoad, choose};
 /// use gradedyke_gateway::health::Counts;
 ///
 /// let recent_requests = Counts::default();
 /// let load = ServiceLoad {
-///     has_peer_load: true, in_flight: 60, recently_ended: 900, answer_ms: 200.0,
+///     has_peer_load: true, in_flight: 60, recently_ended: 900, response_ms: 200.0,
 ///     warming_servers: 1, recent_requests,
 /// };
-/// let candidate = |hash| Candidate { in_flight: 0, hash };
+/// let candidate = |hash| WarmingServer { in_flight: 0, hash };
 /// // The server gets 12 of 300 requests per second.
 /// assert_eq!(choose(&[candidate(u64::MAX / 30)], 20.0, &load, true), [0]);
 /// assert!(choose(&[candidate(u64::MAX / 20)], 20.0, &load, true).is_empty());
 /// ```
 pub fn choose(
-    candidates: &[Candidate],
-    rate: f64,
+    candidates: &[WarmingServer],
+    max_rate_per_s: f64,
     load: &ServiceLoad,
     has_warm_server: bool,
 ) -> Vec<usize> {
     if has_warm_server && !load.has_peer_load {
         return Vec::new();
     }
-    let fraction = (rate * TARGET_UTILIZATION / load.requests_per_s()).min(1.0);
-    let max_in_flight = (rate * TARGET_UTILIZATION * load.answer_ms / 1e3).max(1.0);
+    let fraction = (max_rate_per_s * TARGET_UTILIZATION / load.requests_per_s()).min(1.0);
+    let max_in_flight = (max_rate_per_s * TARGET_UTILIZATION * load.response_ms / 1e3).max(1.0);
     let has_room = |index: &usize| f64::from(candidates[*index].in_flight) < max_in_flight;
     let with_room: Vec<usize> = (0..candidates.len()).filter(has_room).collect();
     let selected = with_room.iter().copied();
--- a/crates/gradedyke-gateway/src/fleet/location.rs
+++ b/crates/gradedyke-gateway/src/fleet/topology.rs
@@ -4,14 +4,14 @@
 
 /// The data centre of this entry and the region of each data centre.
 #[derive(Clone, Debug, Default)]
-pub struct Location {
+pub struct Topology {
     /// The data centre of this entry.
     pub data_centre: String,
     /// Maps the name of a data centre to its region.
     pub regions: HashMap<String, String>,
 }
 
-impl From<&str> for Location {
+impl From<&str> for Topology {
     fn from(data_centre: &str) -> Self {
         Self {
             data_centre: data_centre.to_owned(),
@@ -20,21 +20,21 @@
     }
 }
 
-impl Location {
+impl Topology {
     /// Whether a data centre is in one of the `allowed` regions; `None` allows all. A data
     /// centre whose region is unknown is in none.
     ///
     /// ```
-    /// use gradedyke_gateway::fleet::Location;
+    /// use gradedyke_gateway::fleet::Topology;
     ///
     /// let regions = [("a".to_owned(), "north".to_owned())].into();
-    /// let location = Location { data_centre: "a".to_owned(), regions };
+    /// let topology = Topology { data_centre: "a".to_owned(), regions };
     /// let north = ["north".to_owned()];
-    /// assert!(location.allows(None, "b"));
-    /// assert!(location.allows(Some(&north), "a"));
-    /// assert!(!location.allows(Some(&north), "b"));
+    /// assert!(topology.is_in_regions(None, "b"));
+    /// assert!(topology.is_in_regions(Some(&north), "a"));
+    /// assert!(!topology.is_in_regions(Some(&north), "b"));
     /// ```
-    pub fn allows(&self, allowed: Option<&[String]>, data_centre: &str) -> bool {
+    pub fn is_in_regions(&self, allowed: Option<&[String]>, data_centre: &str) -> bool {
         let Some(allowed) = allowed else {
             return true;
         };
--- a/crates/gradedyke-gateway/src/health.rs
+++ b/crates/gradedyke-gateway/src/health.rs
@@ -111,7 +111,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Health {
     /// Number of consecutive failures that triggered a backoff.
-    backoffs: u32,
+    consecutive_backoffs: u32,
     backoff_until: Option<Instant>,
     recent: Window<Counts>,
     /// When the last attempt to connect failed, if none has succeeded since.
@@ -143,16 +143,16 @@
         if !failure.triggers_backoff() {
             return None;
         }
-        let backoff = INITIAL_BACKOFF * 2_u32.saturating_pow(self.backoffs.min(10));
+        let backoff = INITIAL_BACKOFF * 2_u32.saturating_pow(self.consecutive_backoffs.min(10));
         let backoff = backoff.min(MAX_BACKOFF);
-        self.backoffs += 1;
+        self.consecutive_backoffs += 1;
         self.backoff_until = Some(now + backoff);
         Some(backoff)
     }
 
     /// Records a success, which ends any backoff.
     pub fn record_success(&mut self, now: Instant) {
-        self.backoffs = 0;
+        self.consecutive_backoffs = 0;
         self.backoff_until = None;
         self.unreachable_at = None;
         let succeeded = Counts {
--- a/crates/gradedyke-gateway/src/link.rs
+++ b/crates/gradedyke-gateway/src/link.rs
@@ -33,7 +33,7 @@
 /// Maximum idle time of a connection that is used for a request which must not run twice.
 /// Shorter than the idle timeouts of servers: if the server closes the connection while the
 /// request is sent, the request may have run.
-const MAX_IDLE_ONCE: Duration = Duration::from_millis(900);
+const MAX_IDLE_NON_REPEATABLE: Duration = Duration::from_millis(900);
 /// Maximum idle time of a connection that is used for a repeatable request. It may exceed
 /// the server's idle timeout: if the server closes the connection, the request is repeated.
 const MAX_IDLE_REPEATABLE: Duration = Duration::from_millis(4_000);
@@ -67,11 +67,11 @@
 }
 
 impl IdleConnection {
-    fn is_usable(&self, repeatable: bool, now: Instant) -> bool {
-        let max_idle = if repeatable {
+    fn is_usable(&self, is_repeatable: bool, now: Instant) -> bool {
+        let max_idle = if is_repeatable {
             MAX_IDLE_REPEATABLE
         } else {
-            MAX_IDLE_ONCE
+            MAX_IDLE_NON_REPEATABLE
         };
         now.saturating_duration_since(self.idle_since) < max_idle.min(self.max_idle)
     }
@@ -99,7 +99,7 @@
 pub struct Connection {
     sender: SendRequest<Body>,
     /// Whether the connection has carried an earlier request.
-    pub used: bool,
+    pub is_reused: bool,
 }
 
 impl Pool {
@@ -124,18 +124,21 @@
     }
 
     /// Whether there is an idle connection that a request could use.
-    pub fn has_idle_connection(&self, repeatable: bool, now: Instant) -> bool {
+    pub fn has_idle_connection(&self, is_repeatable: bool, now: Instant) -> bool {
         let idle = self.lock_idle(now);
         idle.iter()
-            .any(|c| c.is_usable(repeatable, now) && c.sender.is_ready())
+            .any(|c| c.is_usable(is_repeatable, now) && c.sender.is_ready())
     }
 
-    fn take_idle(&self, repeatable: bool, now: Instant) -> Option<Connection> {
+    fn take_idle(&self, is_repeatable: bool, now: Instant) -> Option<Connection> {
         let mut idle = self.lock_idle(now);
-        let is_usable = |c: &IdleConnection| c.is_usable(repeatable, now) && c.sender.is_ready();
+        let is_usable = |c: &IdleConnection| c.is_usable(is_repeatable, now) && c.sender.is_ready();
         let index = idle.iter().rposition(is_usable)?;
         let sender = idle.swap_remove(index).sender;
-        Some(Connection { sender, used: true })
+        Some(Connection {
+            sender,
+            is_reused: true,
+        })
     }
 
     async fn connect(&self) -> Result<Connection, Error> {
@@ -157,7 +160,7 @@
         });
         Ok(Connection {
             sender,
-            used: false,
+            is_reused: false,
         })
     }
 
@@ -171,10 +174,10 @@
     pub async fn send(
         &self,
         mut request: Request<Body>,
-        repeatable: bool,
+        is_repeatable: bool,
         now: Instant,
     ) -> Result<(Response<Incoming>, Connection), Error> {
-        if let Some(mut connection) = self.take_idle(repeatable, now) {
+        if let Some(mut connection) = self.take_idle(is_repeatable, now) {
             match connection.sender.try_send_request(request).await {
                 Ok(response) => return Ok((response, connection)),
                 Err(mut failed) => match failed.take_message() {
--- a/crates/gradedyke-gateway/src/mechanism.rs
+++ b/crates/gradedyke-gateway/src/mechanism.rs
@@ -46,25 +46,25 @@
 
 /// The set of enabled mechanisms.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Enabled(u32);
+pub struct Mechanisms(u32);
 
-impl Default for Enabled {
+impl Default for Mechanisms {
     fn default() -> Self {
         Self(u32::MAX)
     }
 }
 
-impl Enabled {
+impl Mechanisms {
     /// Enables all mechanisms except those in `disabled`.
     ///
     /// ```
-    /// use gradedyke_gateway::mechanism::{Enabled, Mechanism};
+    /// use gradedyke_gateway::mechanism::{Mechanisms, Mechanism};
     ///
-    /// let enabled = Enabled::without(&[Mechanism::Warm]);
-    /// assert!(!enabled.is_enabled(Mechanism::Warm));
-    /// assert!(enabled.is_enabled(Mechanism::Risk));
+    /// let mechanisms = Mechanisms::all_except(&[Mechanism::Warm]);
+    /// assert!(!mechanisms.is_enabled(Mechanism::Warm));
+    /// assert!(mechanisms.is_enabled(Mechanism::Risk));
     /// ```
-    pub fn without(disabled: &[Mechanism]) -> Self {
+    pub fn all_except(disabled: &[Mechanism]) -> Self {
         let bits = disabled.iter().fold(0, |bits, m| bits | bit(*m));
         Self(!bits)
     }
--- a/crates/gradedyke-gateway/src/meter.rs
+++ b/crates/gradedyke-gateway/src/meter.rs
@@ -32,17 +32,17 @@
 
 /// Sample counts by bucket; the last bucket has no upper bound.
 #[derive(Default)]
-struct Buckets {
+struct HistogramData {
     counts: [AtomicU64; HISTOGRAM_BOUNDS_S.len() + 1],
-    micros: AtomicU64,
+    sum_micros: AtomicU64,
 }
 
-impl HistogramFn for Buckets {
+impl HistogramFn for HistogramData {
     fn record(&self, seconds: f64) {
         let bucket = HISTOGRAM_BOUNDS_S.partition_point(|bound| *bound < seconds);
         self.counts[bucket].fetch_add(1, Ordering::Relaxed);
         let micros = (seconds * MICROS_PER_SECOND).max(0.0) as u64;
-        self.micros.fetch_add(micros, Ordering::Relaxed);
+        self.sum_micros.fetch_add(micros, Ordering::Relaxed);
     }
 }
 
@@ -51,7 +51,7 @@
 struct Registry {
     counters: Mutex<BTreeMap<Key, Arc<AtomicU64>>>,
     gauges: Mutex<BTreeMap<Key, Arc<AtomicU64>>>,
-    histograms: Mutex<BTreeMap<Key, Arc<Buckets>>>,
+    histograms: Mutex<BTreeMap<Key, Arc<HistogramData>>>,
 }
 
 fn get_or_default<T: Default>(metrics: &Mutex<BTreeMap<Key, Arc<T>>>, key: &Key) -> Arc<T> {
@@ -95,11 +95,11 @@
     });
 }
 
-/// Formats a key's labels, followed by `more`, for the text format.
-fn format_labels(key: &Key, more: Option<String>) -> String {
+/// Formats a key's labels, followed by `extra_label`, for the text format.
+fn format_labels(key: &Key, extra_label: Option<String>) -> String {
     let labels = key.labels();
     let labels = labels.map(|l| format!("{}=\"{}\"", l.key(), l.value()));
-    let all: Vec<String> = labels.chain(more).collect();
+    let all: Vec<String> = labels.chain(extra_label).collect();
     if all.is_empty() {
         return String::new();
     }
@@ -149,7 +149,7 @@
     let _ = writeln!(text, "{name}{labels} {value}");
 }
 
-fn write_histogram(text: &mut String, key: &Key, buckets: &Buckets) {
+fn write_histogram(text: &mut String, key: &Key, buckets: &HistogramData) {
     let bounds = HISTOGRAM_BOUNDS_S.iter().map(ToString::to_string);
     let bounds = bounds.chain(["+Inf".to_owned()]);
     let bucket = format!("{}_bucket", key.name());
@@ -160,7 +160,7 @@
         write_sample(text, &bucket, &labels, &count.to_string());
     }
     let labels = format_labels(key, None);
-    let sum = buckets.micros.load(Ordering::Relaxed) as f64 / MICROS_PER_SECOND;
+    let sum = buckets.sum_micros.load(Ordering::Relaxed) as f64 / MICROS_PER_SECOND;
     write_sample(
         text,
         &format!("{}_sum", key.name()),
--- a/crates/gradedyke-gateway/src/placement/cost.rs
+++ b/crates/gradedyke-gateway/src/placement/cost.rs
@@ -11,14 +11,14 @@
 use std::sync::Arc;
 
 use super::{Candidate, Policy, PolicyRegistration};
-use crate::mechanism::{Enabled, Mechanism};
+use crate::mechanism::{Mechanism, Mechanisms};
 
 /// Chooses the server with the lowest estimated cost: waiting, work, expected failures
 /// and distance.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Cost {
     /// The terms that are included.
-    pub enabled: Enabled,
+    pub mechanisms: Mechanisms,
 }
 
 /// Cost of using another data centre: the round trip and the price of the traffic.
@@ -32,11 +32,11 @@
 const SLOWNESS_TOLERANCE_RATIO: f64 = 1.5;
 
 /// Cost of losing a call to a plain service that cannot be repeated: its program fails.
-const NON_REPEATABLE_LOSS_MS: f64 = 5_000.0;
+const NON_REPEATABLE_FAILURE_MS: f64 = 5_000.0;
 /// Cost of losing a turn: the caller has waited in vain and has to send it again.
-const TURN_LOSS_MS: f64 = 1_500.0;
+const TURN_FAILURE_MS: f64 = 1_500.0;
 /// Cost of losing a request that can be retried on another server.
-const REPEATABLE_LOSS_MS: f64 = 200.0;
+const REPEATABLE_FAILURE_MS: f64 = 200.0;
 
 /// Number of engines without any of the prompt that are considered. Load reports are
 /// slightly out of date, so if all entries considered all engines, they would send
@@ -52,11 +52,11 @@
     fn considered(self, candidates: &[Candidate]) -> Vec<usize> {
         let indices = 0..candidates.len();
         let engines = candidates.iter().all(|c| c.is_engine);
-        if !engines || !self.enabled.is_enabled(Mechanism::Sample) {
+        if !engines || !self.mechanisms.is_enabled(Mechanism::Sample) {
             return indices.collect();
         }
-        let max_unread = candidates.iter().map(|c| c.uncached_tokens).max();
-        let is_cached = |index: &usize| Some(candidates[*index].uncached_tokens) < max_unread;
+        let max_uncached = candidates.iter().map(|c| c.uncached_tokens).max();
+        let is_cached = |index: &usize| Some(candidates[*index].uncached_tokens) < max_uncached;
         let (mut considered, mut others): (Vec<usize>, Vec<usize>) = indices.partition(is_cached);
         others.sort_unstable_by_key(|index| candidates[*index].hash);
         let local = others.iter().filter(|index| candidates[**index].is_local);
@@ -69,18 +69,18 @@
     }
 
     /// Expected cost of a failure, in milliseconds.
-    fn expected_loss_ms(candidate: &Candidate) -> f64 {
-        let loss_ms = match (candidate.is_engine, candidate.repeatable) {
-            (true, _) => TURN_LOSS_MS,
-            (false, false) => NON_REPEATABLE_LOSS_MS,
-            (false, true) => REPEATABLE_LOSS_MS,
+    fn expected_failure_ms(candidate: &Candidate) -> f64 {
+        let failure_ms = match (candidate.is_engine, candidate.is_repeatable) {
+            (true, _) => TURN_FAILURE_MS,
+            (false, false) => NON_REPEATABLE_FAILURE_MS,
+            (false, true) => REPEATABLE_FAILURE_MS,
         };
-        candidate.failure_rate * loss_ms
+        candidate.failure_rate * failure_ms
     }
 
     /// Delay in milliseconds for this request and the requests that run beside it.
-    fn work_ms(self, candidate: &Candidate) -> f64 {
-        let term = |mechanism, value| self.enabled.value_if_enabled(mechanism, value);
+    fn delay_ms(self, candidate: &Candidate) -> f64 {
+        let term = |mechanism, value| self.mechanisms.value_if_enabled(mechanism, value);
         let times = &candidate.times;
         let wait_ms = term(Mechanism::Waiting, candidate.wait_ms());
         // Zero for a plain service.
@@ -96,7 +96,7 @@
     fn total_ms(self, candidate: &Candidate) -> f64 {
         let term_if = |mechanism, condition: bool, value: f64| {
             let value = if condition { value } else { 0.0 };
-            self.enabled.value_if_enabled(mechanism, value)
+            self.mechanisms.value_if_enabled(mechanism, value)
         };
         let distance_ms = term_if(
             Mechanism::Distance,
@@ -109,11 +109,14 @@
             IDLE_CONNECTION_SAVING_MS,
         );
         let excess = (candidate.slowness / SLOWNESS_TOLERANCE_RATIO).max(1.0) - 1.0;
-        let factor = 1.0 + self.enabled.value_if_enabled(Mechanism::Slowness, excess);
-        let loss_ms = self
-            .enabled
-            .value_if_enabled(Mechanism::Risk, Self::expected_loss_ms(candidate));
-        loss_ms + self.work_ms(candidate) * factor + distance_ms - saving_ms
+        let factor = 1.0
+            + self
+                .mechanisms
+                .value_if_enabled(Mechanism::Slowness, excess);
+        let failure_ms = self
+            .mechanisms
+            .value_if_enabled(Mechanism::Risk, Self::expected_failure_ms(candidate));
+        failure_ms + self.delay_ms(candidate) * factor + distance_ms - saving_ms
     }
 }
 
@@ -131,6 +134,6 @@
 inventory::submit! {
     PolicyRegistration {
         name: "cost",
-        build: |enabled| Arc::new(Cost { enabled }),
+        build: |mechanisms| Arc::new(Cost { mechanisms }),
     }
 }
--- a/crates/gradedyke-gateway/src/placement/mod.rs
+++ b/crates/gradedyke-gateway/src/placement/mod.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 
 use crate::estimate::Times;
-use crate::mechanism::Enabled;
+use crate::mechanism::Mechanisms;
 
 /// A server that could run the request, as a policy sees it.
 #[derive(Clone, Copy, Debug)]
@@ -37,7 +37,7 @@
     /// How long its responses take relative to the whole service; 1 is normal.
     pub slowness: f64,
     /// Whether the request may be run more than once.
-    pub repeatable: bool,
+    pub is_repeatable: bool,
     /// Expected share of requests that fail there, 0 to 1.
     pub failure_rate: f64,
     /// Hash of the request and server IDs, to break ties and draw samples.
@@ -71,13 +71,13 @@
 ///
 /// let times = ServiceEstimate::default().times(false);
 /// assert_eq!(wait_ms(3, 4, &times), 0.0);
-/// assert_eq!(wait_ms(7, 4, &times), times.answer_ms);
+/// assert_eq!(wait_ms(7, 4, &times), times.response_ms);
 /// ```
 pub fn wait_ms(in_flight: u32, slots: u32, times: &Times) -> f64 {
-    let answer_ms = times.response_ms(concurrent(in_flight, slots));
+    let response_ms = times.response_ms(concurrent(in_flight, slots));
     let slots = f64::from(slots.max(1));
     let queued = (f64::from(in_flight) + 1.0 - slots).max(0.0);
-    queued * answer_ms / slots
+    queued * response_ms / slots
 }
 
 fn concurrent(in_flight: u32, slots: u32) -> u32 {
@@ -95,7 +95,7 @@
     /// Name of the policy in the settings.
     pub name: &'static str,
     /// Builds the policy with the mechanisms that are enabled.
-    pub build: fn(Enabled) -> Arc<dyn Policy>,
+    pub build: fn(Mechanisms) -> Arc<dyn Policy>,
 }
 
 inventory::collect!(PolicyRegistration);
@@ -103,15 +103,15 @@
 /// Builds every registered policy, keyed by name.
 ///
 /// ```
-/// use gradedyke_gateway::{mechanism::Enabled, placement};
+/// use gradedyke_gateway::{mechanism::Mechanisms, placement};
 ///
-/// let policies = placement::policies(Enabled::default());
+/// let policies = placement::policies(Mechanisms::default());
 /// assert!(policies.contains_key("cost"));
 /// assert!(policies.contains_key("least_loaded"));
 /// ```
-pub fn policies(enabled: Enabled) -> BTreeMap<&'static str, Arc<dyn Policy>> {
+pub fn policies(mechanisms: Mechanisms) -> BTreeMap<&'static str, Arc<dyn Policy>> {
     let registrations = inventory::iter::<PolicyRegistration>.into_iter();
     registrations
-        .map(|p| (p.name, (p.build)(enabled)))
+        .map(|p| (p.name, (p.build)(mechanisms)))
         .collect()
 }
--- a/crates/gradedyke-gateway/src/prefix.rs
+++ b/crates/gradedyke-gateway/src/prefix.rs
@@ -50,8 +50,8 @@
     /// let mut cache = Cache::default();
     /// cache.record_prompt(&[part("rules", 500), part("talk", 300)], 40, 10_000);
     /// // The conversation has grown by the response and by a new message.
-    /// assert_eq!(cache.uncached(&[part("rules", 500), part("talk", 400)]), 60);
-    /// assert_eq!(cache.uncached(&[part("other", 500), part("talk", 400)]), 900);
+    /// assert_eq!(cache.uncached_tokens(&[part("rules", 500), part("talk", 400)]), 60);
+    /// assert_eq!(cache.uncached_tokens(&[part("other", 500), part("talk", 400)]), 900);
     /// ```
     pub fn uncached_tokens(&self, prompt: &[Part]) -> u64 {
         let mut uncached = 0;
@@ -73,7 +73,7 @@
             self.insert(part, extra_tokens);
         }
         while self.tokens > capacity || self.parts.len() > MAX_PARTS {
-            if !self.evict_oldest() {
+            if !self.evict_least_recent() {
                 return;
             }
         }
@@ -99,7 +99,7 @@
     }
 
     /// Evicts the least recently used part. Returns whether there was one.
-    fn evict_oldest(&mut self) -> bool {
+    fn evict_least_recent(&mut self) -> bool {
         let oldest = self.parts.iter().min_by_key(|(_, cached)| cached.last_use);
         let Some(id) = oldest.map(|(id, _)| id.clone()) else {
             return false;
--- a/crates/gradedyke-gateway/src/process.rs
+++ b/crates/gradedyke-gateway/src/process.rs
@@ -28,7 +28,7 @@
 use crate::dialect::Dialect;
 use crate::entry::{self, CallerHandler, Entry, Readiness};
 use crate::fleet::Fleet;
-use crate::mechanism::Enabled;
+use crate::mechanism::Mechanisms;
 use crate::settings::Settings;
 use crate::throttle::Throttle;
 use crate::{follow, meter, placement};
@@ -58,7 +58,7 @@
 const CALLER_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// How long a caller may leave sent data unacknowledged before its connection is closed.
-const CALLER_UNREAD_TIMEOUT: Duration = Duration::from_secs(10);
+const CALLER_ACK_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A running process. Dropping it aborts its tasks.
 pub struct Process {
@@ -119,7 +119,7 @@
     ///
     /// Fails if a required setting is missing, the placement policy does not exist, or a
     /// listener cannot be bound.
-    pub async fn entry(settings: Settings, environment: Environment) -> eyre::Result<Self> {
+    pub async fn start_entry(settings: Settings, environment: Environment) -> eyre::Result<Self> {
         let caller = require(settings.listen.caller, "listen.caller")?;
         let ready = require(settings.listen.ready, "listen.ready")?;
         let mirror = Mirror::new(&prefixes(&*environment.dialect));
@@ -138,7 +138,7 @@
             .transpose()?;
         let quorum = Quorum::new(mirror.clone(), &settings.data_centre, own_address);
         let decisions = settings.decisions.clone();
-        let mechanisms = Enabled::without(&decisions.off);
+        let mechanisms = Mechanisms::all_except(&decisions.off);
         let propagation_limit = settings.propagation_limit();
         let policy = placement::policies(mechanisms).remove(decisions.placement.as_str());
         let policy = policy.ok_or_else(|| {
@@ -153,7 +153,7 @@
             dialect: environment.dialect.clone(),
             mirror: mirror.clone(),
             config: ArcSwapOption::empty(),
-            fleet: Fleet::new(settings.location(), own_address, policy, mechanisms),
+            fleet: Fleet::new(settings.topology(), own_address, policy, mechanisms),
             quorum: quorum.clone(),
             limiter: Limiter::new(rand::random(), settings.allowance_window(), Instant::now()),
             demand: Demand::default(),
@@ -189,7 +189,7 @@
             protocol: Protocol::Http1,
             connections: MAX_CALLER_CONNECTIONS,
             idle: Some(CALLER_IDLE_TIMEOUT),
-            unread: Some(CALLER_UNREAD_TIMEOUT),
+            unread: Some(CALLER_ACK_TIMEOUT),
             ..Config::default()
         };
         let caller_server = bind(caller, config.clone(), "listen.caller").await?;
@@ -208,7 +208,7 @@
     ///
     /// Fails if a required setting is missing, the data folder cannot be used, or a listener
     /// cannot be bound.
-    pub async fn keeper(settings: Settings, environment: Environment) -> eyre::Result<Self> {
+    pub async fn start_keeper(settings: Settings, environment: Environment) -> eyre::Result<Self> {
         let peer = require(settings.listen.peer, "listen.peer")?;
         let folder = require(settings.data_folder.clone(), "data_folder")?;
         let stop = CancellationToken::new();
@@ -301,7 +301,7 @@
     }
 
     /// The entry; `None` if the process is a keeper.
-    pub fn gateway(&self) -> Option<&Arc<Entry>> {
+    pub fn entry(&self) -> Option<&Arc<Entry>> {
         self.entry.as_ref()
     }
 
--- a/crates/gradedyke-gateway/src/settings.rs
+++ b/crates/gradedyke-gateway/src/settings.rs
@@ -8,8 +8,8 @@
 use gradedyke_base::settings::parse::{Error, Source};
 use serde::Deserialize;
 
-use crate::fleet::Location;
-use crate::mechanism::{Enabled, Mechanism};
+use crate::fleet::Topology;
+use crate::mechanism::{Mechanism, Mechanisms};
 use crate::placement;
 
 /// Addresses a process listens on.
@@ -62,18 +62,18 @@
     #[serde(default)]
     pub first_start: bool,
     /// Number of disks that may fail at the same time without loss of data.
-    #[serde(default = "tolerate")]
+    #[serde(default = "default_tolerate")]
     pub tolerate: usize,
     /// Time from the request to stop until the process is killed, in seconds.
-    #[serde(default = "grace_s")]
+    #[serde(default = "default_grace_s")]
     pub grace_s: f64,
     /// Maximum time from the removal of a server until it receives its last new request, in
     /// milliseconds.
-    #[serde(default = "drain_ms")]
+    #[serde(default = "default_drain_ms")]
     pub drain_ms: u64,
     /// Maximum time from the confirmation of a configuration change until it is in force at
     /// every entry, in milliseconds.
-    #[serde(default = "in_force_ms")]
+    #[serde(default = "default_in_force_ms")]
     pub in_force_ms: u64,
     /// Time after which a revoked key is rejected by every entry, including those that are cut
     /// off, in milliseconds. If unset, an entry accepts the key until it learns of the
@@ -81,7 +81,7 @@
     #[serde(default)]
     pub revocation_ms: Option<u64>,
     /// Length of the window to which the allowance of a client account applies, in seconds.
-    #[serde(default = "allowance_window_s")]
+    #[serde(default = "default_allowance_window_s")]
     pub allowance_window_s: f64,
     /// How an entry chooses servers.
     #[serde(default)]
@@ -110,29 +110,29 @@
 /// Placement policy used if the settings name none.
 const DEFAULT_PLACEMENT: &str = "cost";
 
-fn tolerate() -> usize {
+fn default_tolerate() -> usize {
     1
 }
 
-fn grace_s() -> f64 {
+fn default_grace_s() -> f64 {
     8.0
 }
 
-fn allowance_window_s() -> f64 {
+fn default_allowance_window_s() -> f64 {
     5.0
 }
 
-fn drain_ms() -> u64 {
+fn default_drain_ms() -> u64 {
     2_000
 }
 
-fn in_force_ms() -> u64 {
+fn default_in_force_ms() -> u64 {
     2_000
 }
 
 /// Lower bound of [`Settings::propagation_limit`], in milliseconds: the longest time that a change
 /// takes to reach an entry.
-const MIN_IN_FORCE_MS: u64 = 2_000;
+const MIN_PROPAGATION_LIMIT_MS: u64 = 2_000;
 
 /// Minimum of `grace_s`, in seconds.
 const MIN_GRACE_S: f64 = 1.0;
@@ -190,7 +190,7 @@
                 "shorter than entries need to exchange their usage; set 1 or more",
             ));
         }
-        let policies = placement::policies(Enabled::default());
+        let policies = placement::policies(Mechanisms::default());
         if !policies.contains_key(settings.decisions.placement.as_str()) {
             let names: Vec<&str> = policies.into_keys().collect();
             let remedy = format!("no such policy; give one of {}", names.join(", "));
@@ -200,8 +200,8 @@
     }
 
     /// The data centre of the process, and the region of each data centre.
-    pub fn location(&self) -> Location {
-        Location {
+    pub fn topology(&self) -> Topology {
+        Topology {
             data_centre: self.data_centre.clone(),
             regions: self.regions.clone(),
         }
@@ -225,21 +225,21 @@
     ///     "in_force_ms": 5000, "drain_ms": 4000,
     /// }"#;
     /// let settings = Settings::read("a.jsonc", text).unwrap();
-    /// assert_eq!(settings.in_force(), Duration::from_secs(4));
+    /// assert_eq!(settings.propagation_limit(), Duration::from_secs(4));
     /// ```
     pub fn propagation_limit(&self) -> Duration {
         let configured_ms = self.in_force_ms.min(self.drain_ms);
         let revocation_ms = self.revocation_ms.map_or(configured_ms, |ms| ms / 2);
         let required_ms = configured_ms.min(revocation_ms);
-        if required_ms < MIN_IN_FORCE_MS {
+        if required_ms < MIN_PROPAGATION_LIMIT_MS {
             tracing::warn!(
                 event = "changes_too_late",
                 wanted_ms = required_ms,
-                least_ms = MIN_IN_FORCE_MS,
+                least_ms = MIN_PROPAGATION_LIMIT_MS,
                 remedy = "increase in_force_ms, drain_ms or revocation_ms"
             );
         }
-        Duration::from_millis(required_ms.max(MIN_IN_FORCE_MS))
+        Duration::from_millis(required_ms.max(MIN_PROPAGATION_LIMIT_MS))
     }
 
     /// Time after which a revoked key is rejected by every entry.
--- a/crates/gradedyke-gateway/src/throttle.rs
+++ b/crates/gradedyke-gateway/src/throttle.rs
@@ -30,7 +30,7 @@
 const MAX_REFUSAL_RATIO: f64 = 0.5;
 /// Duration of an exchange above which keepers count as overloaded: half the timeout of
 /// the exchange that begins a turn.
-const SLOW_EXCHANGE: Duration = Duration::from_millis(150);
+const SLOW_EXCHANGE_THRESHOLD: Duration = Duration::from_millis(150);
 /// How long a pressure reported by keepers is used: two retry intervals of a refused caller.
 const PRESSURE_TTL: Duration = Duration::from_millis(1_000);
 /// Share of programs that are always admitted, to detect when the keepers have recovered.
@@ -87,7 +87,7 @@
     /// exchange counts as a refusal: it is an earlier sign of overload, while refusals
     /// already fail running programs.
     pub fn record_admitted(&self, elapsed: Duration, now: Instant) {
-        if elapsed > SLOW_EXCHANGE {
+        if elapsed > SLOW_EXCHANGE_THRESHOLD {
             return self.record_refused(now);
         }
         self.lock().admitted.increment(COUNT_HALF_LIFE, now);
--- a/crates/gradedyke-gateway/tests/allowance.rs
+++ b/crates/gradedyke-gateway/tests/allowance.rs
@@ -17,9 +17,9 @@
 /// Number of requests that a program makes, one after the other.
 const REQUESTS_PER_PROGRAM: u32 = 16;
 /// Time between two requests of a program.
-const STEP_MS: u64 = 150;
+const REQUEST_INTERVAL_MS: u64 = 150;
 /// Minimum latency from an entry to a keeper.
-const LATENCY_MS: u64 = 2;
+const MIN_KEEPER_LATENCY_MS: u64 = 2;
 
 /// Demand of the accounts.
 #[derive(Clone, Copy)]
@@ -27,7 +27,7 @@
     entries: usize,
     accounts: usize,
     /// Allowance of each account, in requests per second, without a burst.
-    per_second: f64,
+    requests_per_s: f64,
     /// Demand of the first account, as a multiple of its allowance.
     first_demand: f64,
     /// Demand of each other account, as a multiple of its allowance.
@@ -73,18 +73,18 @@
     programs: Vec<Program>,
     outcomes: Vec<Outcome>,
     /// Number of tool calls for which the keepers were asked.
-    calls_asked: u64,
+    tool_call_queries: u64,
     /// Number of requests that a new program is expected to need; 0 disables the refusal of
     /// programs at their first request.
     planned: u32,
 }
 
-fn account(number: usize, per_second: f64) -> Account {
+fn account(number: usize, requests_per_s: f64) -> Account {
     Account {
         name: Id::parse(&format!("account{number}")).unwrap(),
         priority: None,
         allowance: Some(Allowance {
-            per_second,
+            requests_per_s,
             burst: 0.0,
         }),
         allowed_regions: None,
@@ -92,9 +92,9 @@
 }
 
 /// Maximum number of requests in a window of an account with this allowance.
-fn limit(per_second: f64) -> usize {
+fn limit(requests_per_s: f64) -> usize {
     let allowance = Allowance {
-        per_second,
+        requests_per_s,
         burst: 0.0,
     };
     usize::try_from(gradedyke_gateway::allowance::limit(&allowance, WINDOW)).unwrap()
@@ -108,13 +108,13 @@
         Self {
             rng: StdRng::seed_from_u64(seed),
             start,
-            accounts: accounts.map(|n| account(n, load.per_second)).collect(),
+            accounts: accounts.map(|n| account(n, load.requests_per_s)).collect(),
             limiters: entries.map(|n| Limiter::new(n, WINDOW, start)).collect(),
             aggregators: (0..5).map(|_| Aggregator::default()).collect(),
             pending: VecDeque::new(),
             programs: Vec::new(),
             outcomes: vec![Outcome::default(); load.accounts],
-            calls_asked: 0,
+            tool_call_queries: 0,
             planned,
         }
     }
@@ -139,7 +139,8 @@
             } else {
                 load.other_demand
             };
-            let starts_per_ms = load.per_second * demand / f64::from(REQUESTS_PER_PROGRAM) / 1e3;
+            let starts_per_ms =
+                load.requests_per_s * demand / f64::from(REQUESTS_PER_PROGRAM) / 1e3;
             if self.rng.random_bool(starts_per_ms.min(1.0)) {
                 let entry = self.rng.random_range(0..load.entries);
                 self.programs.push(Program {
@@ -164,11 +165,11 @@
 
     fn send_request(&mut self, index: usize, ms: u64) {
         let program = &self.programs[index];
-        let (first, turn) = (
+        let (is_program_start, is_turn) = (
             program.remaining == REQUESTS_PER_PROGRAM,
             program.remaining.is_multiple_of(2),
         );
-        let planned = if first { self.planned } else { 0 };
+        let planned = if is_program_start { self.planned } else { 0 };
         let (entry, now) = (program.entry, self.at(ms));
         let limiter = &self.limiters[entry];
         let account = &self.accounts[program.account];
@@ -178,13 +179,13 @@
                 limiter.refund(&charge);
                 self.refuse(index);
             }
-            Decision::Within if !turn => self.admit(index, ms),
+            Decision::Within if !is_turn => self.admit(index, ms),
             Decision::Within | Decision::Unknown => {
                 let (report, snapshot) = limiter.report(&charge, now);
-                self.calls_asked += u64::from(!turn);
+                self.tool_call_queries += u64::from(!is_turn);
                 let jitter_ms = self.rng.random_range(0..4);
                 self.pending.push_back(PendingReport {
-                    arrival_ms: ms + LATENCY_MS + jitter_ms,
+                    arrival_ms: ms + MIN_KEEPER_LATENCY_MS + jitter_ms,
                     entry,
                     program: index,
                     charge,
@@ -231,7 +232,7 @@
         outcome.started += u32::from(program.remaining == REQUESTS_PER_PROGRAM);
         program.remaining -= 1;
         outcome.completed += u32::from(program.remaining == 0);
-        program.next_ms = ms + STEP_MS;
+        program.next_ms = ms + REQUEST_INTERVAL_MS;
     }
 
     fn refuse(&mut self, index: usize) {
@@ -258,14 +259,14 @@
     Load {
         entries: 8,
         accounts: 8,
-        per_second: 60.0,
+        requests_per_s: 60.0,
         first_demand: 4.0,
         other_demand: 0.6,
     },
     Load {
         entries: 58,
         accounts: 16,
-        per_second: 60.0,
+        requests_per_s: 60.0,
         first_demand: 7.5,
         other_demand: 0.6,
     },
@@ -273,7 +274,7 @@
     Load {
         entries: 58,
         accounts: 4,
-        per_second: 280.0,
+        requests_per_s: 280.0,
         first_demand: 7.5,
         other_demand: 0.6,
     },
@@ -281,7 +282,7 @@
     Load {
         entries: 300,
         accounts: 4,
-        per_second: 20.0,
+        requests_per_s: 20.0,
         first_demand: 7.5,
         other_demand: 0.5,
     },
@@ -300,8 +301,10 @@
             let mut simulation = Simulation::new(load, planned, seed);
             simulation.run(load, 0, 12_000);
             for account in 0..load.accounts {
-                let (max_requests, limit) =
-                    (simulation.max_in_window(account), limit(load.per_second));
+                let (max_requests, limit) = (
+                    simulation.max_in_window(account),
+                    limit(load.requests_per_s),
+                );
                 let excess = max_requests.saturating_sub(limit);
                 assert!(
                     excess <= limit / 20 + 2,
@@ -317,7 +320,7 @@
     let load = Load {
         entries: 58,
         accounts: 16,
-        per_second: 280.0,
+        requests_per_s: 280.0,
         first_demand: 0.6,
         other_demand: 0.6,
     };
@@ -332,9 +335,9 @@
     assert_eq!(refused, 0);
     // Half of the requests are tool calls; at most a quarter of these ask the keepers.
     assert!(
-        simulation.calls_asked * 8 <= admitted as u64,
+        simulation.tool_call_queries * 8 <= admitted as u64,
         "{} of {admitted}",
-        simulation.calls_asked
+        simulation.tool_call_queries
     );
 }
 
@@ -348,11 +351,11 @@
         simulation.outcomes[0].completed
     };
     // If programs are not refused at their first turn, most are interrupted in the middle.
-    let (by_program, by_request) = (completed(REQUESTS_PER_PROGRAM), completed(0));
-    assert!(by_program >= 25, "{by_program} programs completed");
+    let (with_planning, without_planning) = (completed(REQUESTS_PER_PROGRAM), completed(0));
+    assert!(with_planning >= 25, "{with_planning} programs completed");
     assert!(
-        by_request * 2 <= by_program,
-        "{by_request} programs completed without planning, {by_program} with it"
+        without_planning * 2 <= with_planning,
+        "{without_planning} programs completed without planning, {with_planning} with it"
     );
 }
 
@@ -384,18 +387,18 @@
 
 #[tokio::test]
 async fn restarted_keepers_restore_usage_from_disk() {
-    let limit = limit(LOADS[1].per_second);
+    let limit = limit(LOADS[1].requests_per_s);
     for seed in 0..4 {
         // Requests admitted after the last save are lost.
         let restored = max_requests_around_restart(seed, true);
         assert!(restored <= limit * 11 / 10, "{restored} of {limit}");
-        let forgotten = max_requests_around_restart(seed, false);
-        assert!(forgotten >= limit * 13 / 10, "{forgotten} of {limit}");
+        let unrestored = max_requests_around_restart(seed, false);
+        assert!(unrestored >= limit * 13 / 10, "{unrestored} of {limit}");
     }
 }
 
 #[tokio::test]
-async fn a_keeper_that_lost_its_disk_is_outvoted_and_relearns_usage() {
+async fn usage_survives_a_keeper_that_lost_its_disk_and_is_reported_again() {
     let now = Instant::now();
     let limiter = Limiter::new(1, WINDOW, now);
     let limited = account(0, 10.0);
@@ -434,7 +437,7 @@
 }
 
 #[tokio::test]
-async fn a_program_that_needs_more_than_the_limit_starts_if_no_other_has() {
+async fn a_program_that_needs_more_than_the_limit_starts_if_no_other_has_started() {
     let now = Instant::now();
     let limiter = Limiter::new(1, WINDOW, now);
     // The limit is 10 requests per window, and a program needs 16.
--- a/crates/gradedyke-gateway/tests/follow/main.rs
+++ b/crates/gradedyke-gateway/tests/follow/main.rs
@@ -15,14 +15,14 @@
 use gradedyke_gateway::follow;
 use gradedyke_platform::kv::KeyValue;
 use gradedyke_turns::mirror::{self, Mirror, Need};
-use network::{Loss, Network, PeerClient};
+use network::{Failure, Network, PeerClient};
 use service::{Client, Outage, Service};
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
 /// Time within which a confirmed change must be in force everywhere.
-const IN_FORCE: Duration = Duration::from_secs(2);
+const PROPAGATION_LIMIT: Duration = Duration::from_secs(2);
 /// How long after the end of an outage of the service all entries must be up to date.
 const RECOVERY_TIME: Duration = Duration::from_secs(3);
 /// Time within which entries must detect that the service answers again; callers retry for
@@ -31,7 +31,7 @@
 /// Interval at which the state of the entries is checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Number of entries of a small and of a larger deployment.
-const ENTRIES: [u16; 2] = [8, 58];
+const ENTRY_COUNTS: [u16; 2] = [8, 58];
 
 fn address(number: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], number))
@@ -94,7 +94,7 @@
         let follower = follow::EntryFollower {
             mirror,
             peers: Arc::new(peers),
-            propagation_limit: IN_FORCE,
+            propagation_limit: PROPAGATION_LIMIT,
         };
         let sources = move || network.keepers();
         follower.start(&mut self.tasks, &kv, sources, Instant::now(), &stop);
@@ -109,7 +109,7 @@
 
     /// Waits until every entry's data was confirmed by a call to the service made after now,
     /// and returns how long that took.
-    async fn time_until_vouched(&self) -> Duration {
+    async fn time_until_confirmed(&self) -> Duration {
         let since = Instant::now();
         let is_confirmed = |m: &Arc<Mirror>| m.complete_as_of().is_some_and(|at| at >= since);
         while !self.entries.iter().all(is_confirmed) {
@@ -143,25 +143,25 @@
 
 #[tokio::test(start_paused = true)]
 async fn changes_arrive_in_time_without_keepers() {
-    for (entries, loss) in [
-        (ENTRIES[0], Loss::Silent),
-        (ENTRIES[0], Loss::Refused),
-        (ENTRIES[1], Loss::Silent),
-        (ENTRIES[1], Loss::Refused),
+    for (entries, failure) in [
+        (ENTRY_COUNTS[0], Failure::Silent),
+        (ENTRY_COUNTS[0], Failure::Refused),
+        (ENTRY_COUNTS[1], Failure::Silent),
+        (ENTRY_COUNTS[1], Failure::Refused),
     ] {
-        // Intervals that place changes at different moments of a loss.
+        // Intervals that place changes at different moments of a failure.
         for interval in [ms(50), ms(250), ms(930)] {
             let deployment = Deployment::start(entries);
             let mut worst = deployment.run_for(ms(5_000), interval).await;
             for _ in 0..5 {
-                deployment.network.set_keepers_lost(Some(loss));
+                deployment.network.set_keeper_failure(Some(failure));
                 worst = worst.max(deployment.run_for(ms(7_000), interval).await);
-                deployment.network.set_keepers_lost(None);
+                deployment.network.set_keeper_failure(None);
                 worst = worst.max(deployment.run_for(ms(4_000), interval).await);
             }
             assert!(
-                worst <= IN_FORCE,
-                "{entries} entries, keepers {loss:?}, a change every {interval:?}: {worst:?} late"
+                worst <= PROPAGATION_LIMIT,
+                "{entries} entries, keepers {failure:?}, a change every {interval:?}: {worst:?} late"
             );
         }
     }
@@ -169,7 +169,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn changes_arrive_in_time_while_the_keeper_has_stale_data() {
-    for entries in ENTRIES {
+    for entries in ENTRY_COUNTS {
         let deployment = Deployment::start(entries);
         let interval = ms(50);
         let mut worst = deployment.run_for(ms(5_000), interval).await;
@@ -179,17 +179,20 @@
             deployment.keeper_cut_off.store(false, Ordering::Relaxed);
             worst = worst.max(deployment.run_for(ms(4_000), interval).await);
         }
-        assert!(worst <= IN_FORCE, "{entries} entries: {worst:?} late");
+        assert!(
+            worst <= PROPAGATION_LIMIT,
+            "{entries} entries: {worst:?} late"
+        );
     }
 }
 
 #[tokio::test(start_paused = true)]
 async fn entries_recover_in_time_after_an_outage_of_any_length() {
     // A single entry, which has no neighbours, and several.
-    for entries in [1, ENTRIES[0]] {
+    for entries in [1, ENTRY_COUNTS[0]] {
         let deployment = Deployment::start(entries);
         deployment.run_for(ms(5_000), ms(500)).await;
-        deployment.network.set_keepers_lost(Some(Loss::Silent));
+        deployment.network.set_keeper_failure(Some(Failure::Silent));
         for outage_ms in [1_000, 3_000, 6_000, 12_000, 20_000].repeat(5) {
             deployment.run_for(ms(2_000), ms(500)).await;
             deployment.service.set_outage(Some(Outage::Silent));
@@ -198,7 +201,7 @@
             deployment.run_for(RECOVERY_TIME, ms(500)).await;
             let lag = deployment.lag();
             assert!(
-                lag <= IN_FORCE,
+                lag <= PROPAGATION_LIMIT,
                 "{entries} entries, {RECOVERY_TIME:?} after {outage_ms} ms: {lag:?} late"
             );
         }
@@ -209,7 +212,7 @@
 /// retries too and tells them when the service is back.
 #[tokio::test(start_paused = true)]
 async fn entries_retry_rarely_in_an_outage_while_a_keeper_is_up() {
-    let entries = ENTRIES[1];
+    let entries = ENTRY_COUNTS[1];
     let deployment = Deployment::start(entries);
     deployment.run_for(ms(5_000), ms(500)).await;
     let calls = || deployment.service.calls.load(Ordering::Relaxed);
@@ -221,14 +224,18 @@
     assert!(calls() - before <= max_calls, "{} calls", calls() - before);
     deployment.service.set_outage(None);
     deployment.run_for(RECOVERY_TIME, ms(500)).await;
-    assert!(deployment.lag() <= IN_FORCE, "{:?} late", deployment.lag());
+    assert!(
+        deployment.lag() <= PROPAGATION_LIMIT,
+        "{:?} late",
+        deployment.lag()
+    );
 }
 
 /// Guards against entries that keep waiting for unanswered calls, and refuse requests, after
 /// the service has recovered.
 #[tokio::test(start_paused = true)]
 async fn entries_soon_detect_that_a_silent_service_answers_again() {
-    let deployment = Deployment::start(ENTRIES[1]);
+    let deployment = Deployment::start(ENTRY_COUNTS[1]);
     deployment.run_for(ms(5_000), ms(500)).await;
     for phase in 0..20 {
         deployment.service.set_outage(Some(Outage::Silent));
@@ -236,7 +243,7 @@
             .run_for(ms(6_000 + 170 * phase), ms(60_000))
             .await;
         deployment.service.set_outage(None);
-        let detection_time = deployment.time_until_vouched().await;
+        let detection_time = deployment.time_until_confirmed().await;
         assert!(
             detection_time <= DETECTION_TIME,
             "phase {phase}: {detection_time:?}"
@@ -249,7 +256,7 @@
 /// The keeper lists for all entries; without a keeper each entry does.
 #[tokio::test(start_paused = true)]
 async fn the_keeper_lists_for_entries_after_a_compaction() {
-    for entries in ENTRIES {
+    for entries in ENTRY_COUNTS {
         let deployment = Deployment::start(entries);
         deployment.run_for(ms(5_000), ms(500)).await;
         let listings = || deployment.service.listings.load(Ordering::Relaxed);
@@ -262,25 +269,30 @@
         deployment.run_for(RECOVERY_TIME, ms(250)).await;
         assert!(listings() - before <= 3, "{entries} entries");
         assert_eq!(deployment.lag(), Duration::ZERO, "{entries} entries");
-        deployment.network.set_keepers_lost(Some(Loss::Refused));
+        deployment
+            .network
+            .set_keeper_failure(Some(Failure::Refused));
         deployment.service.compact();
         deployment.run_for(RECOVERY_TIME, ms(250)).await;
-        assert!(deployment.lag() <= IN_FORCE, "{entries} entries, no keeper");
+        assert!(
+            deployment.lag() <= PROPAGATION_LIMIT,
+            "{entries} entries, no keeper"
+        );
     }
 }
 
 /// Guards against all entries listing the whole service at once when they lose their keepers.
 #[tokio::test(start_paused = true)]
 async fn entries_that_lose_their_keepers_continue_without_listing() {
-    for entries in ENTRIES {
+    for entries in ENTRY_COUNTS {
         let deployment = Deployment::start(entries);
         deployment.run_for(ms(5_000), ms(500)).await;
         let listings = || deployment.service.listings.load(Ordering::Relaxed);
         let before = listings();
-        for loss in [Loss::Silent, Loss::Refused] {
-            deployment.network.set_keepers_lost(Some(loss));
+        for failure in [Failure::Silent, Failure::Refused] {
+            deployment.network.set_keeper_failure(Some(failure));
             deployment.run_for(ms(7_000), ms(250)).await;
-            deployment.network.set_keepers_lost(None);
+            deployment.network.set_keeper_failure(None);
             deployment.run_for(ms(4_000), ms(250)).await;
         }
         assert_eq!(listings(), before, "{entries} entries");
--- a/crates/gradedyke-gateway/tests/follow/network.rs
+++ b/crates/gradedyke-gateway/tests/follow/network.rs
@@ -19,7 +19,7 @@
 
 /// How calls to a lost process fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Loss {
+pub enum Failure {
     /// Calls time out, as if the machine had lost power.
     Silent,
     /// Connections are refused, as if the process had been killed.
@@ -29,7 +29,7 @@
 struct Node {
     mirror: Arc<Mirror>,
     is_keeper: bool,
-    lost: Option<Loss>,
+    failure: Option<Failure>,
 }
 
 /// The processes by address.
@@ -42,18 +42,18 @@
         let node = Node {
             mirror,
             is_keeper,
-            lost: None,
+            failure: None,
         };
         self.0.lock().unwrap().insert(address, node);
     }
 
-    /// Makes all keepers fail with `lost`, or restores them.
-    pub fn set_keepers_lost(&self, lost: Option<Loss>) {
+    /// Makes all keepers fail with `failure`, or restores them.
+    pub fn set_keeper_failure(&self, failure: Option<Failure>) {
         let mut nodes = self.0.lock().unwrap();
         nodes
             .values_mut()
             .filter(|n| n.is_keeper)
-            .for_each(|n| n.lost = lost);
+            .for_each(|n| n.failure = failure);
     }
 
     /// The addresses of the keepers.
@@ -75,8 +75,8 @@
             .collect()
     }
 
-    fn lost(&self, address: SocketAddr) -> Option<Loss> {
-        self.0.lock().unwrap()[&address].lost
+    fn failure(&self, address: SocketAddr) -> Option<Failure> {
+        self.0.lock().unwrap()[&address].failure
     }
 
     async fn answer(&self, address: SocketAddr, request: &Request) -> Reply {
@@ -128,10 +128,10 @@
     ) -> Result<Reply, Error> {
         let reply = tokio::time::timeout(timeout, async {
             tokio::time::sleep(ROUND_TRIP_TIME).await;
-            match self.network.lost(peer) {
+            match self.network.failure(peer) {
                 None => Ok(self.network.answer(peer, request).await),
-                Some(Loss::Silent) => std::future::pending().await,
-                Some(Loss::Refused) => Err(gradedyke_peer::Error::Unreachable(peer)),
+                Some(Failure::Silent) => std::future::pending().await,
+                Some(Failure::Refused) => Err(gradedyke_peer::Error::Unreachable(peer)),
             }
         });
         let reply = reply.await;
@@ -158,7 +158,7 @@
     ) -> Result<Reply, Error> {
         let reply = self.exchange(peer, request, timeout).await;
         // A process that was lost during the call does not answer it.
-        let reply = match (reply, self.network.lost(peer)) {
+        let reply = match (reply, self.network.failure(peer)) {
             (Ok(_), Some(_)) => Err(gradedyke_peer::Error::Broken(peer).into()),
             (reply, _) => reply,
         };
--- a/crates/gradedyke-gateway/tests/overload.rs
+++ b/crates/gradedyke-gateway/tests/overload.rs
@@ -16,13 +16,13 @@
 use tokio::time::Instant;
 
 /// Exchanges per second that the keepers can handle.
-const CAPACITY_PER_S: f64 = 400.0;
+const MAX_EXCHANGES_PER_S: f64 = 400.0;
 /// Time after which an entry abandons an exchange, in milliseconds.
 const EXCHANGE_TIMEOUT_MS: f64 = 300.0;
 /// Time that a turn takes at the backend servers, in milliseconds.
 const TURN_MS: f64 = 300.0;
 /// Work of the keepers to refuse a turn, as a share of an exchange.
-const REFUSAL_COST: f64 = 0.1;
+const REFUSAL_COST_RATIO: f64 = 0.1;
 /// Number of entries in a small and in a large deployment.
 const ENTRY_COUNTS: [usize; 2] = [50, 260];
 /// Number of turns of a short and of a long program.
@@ -34,11 +34,11 @@
 /// Attempts of a caller per turn, with all retries.
 const MAX_ATTEMPTS: u32 = 6;
 /// Load outside the burst, relative to the capacity of the keepers.
-const NORMAL_LOAD: f64 = 0.75;
+const NORMAL_LOAD_RATIO: f64 = 0.75;
 /// Load during the burst, relative to the capacity.
-const BURST_LOAD: f64 = 3.0;
+const BURST_LOAD_RATIO: f64 = 3.0;
 /// Load of the lasting overload, relative to the capacity.
-const SUSTAINED_LOAD: f64 = 1.6;
+const SUSTAINED_LOAD_RATIO: f64 = 1.6;
 /// Time during which programs arrive, in milliseconds.
 const ARRIVAL_DURATION_MS: f64 = 40_000.0;
 /// Start and end of the burst, in milliseconds.
@@ -101,7 +101,7 @@
 /// a program.
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
 fn is_full(first: bool, queue_ms: f64) -> bool {
-    let active = (queue_ms / 1e3 * CAPACITY_PER_S) as usize;
+    let active = (queue_ms / 1e3 * MAX_EXCHANGES_PER_S) as usize;
     let age = Duration::from_secs_f64(queue_ms / 1e3);
     backlog::is_full(active, age, first)
 }
@@ -170,7 +170,7 @@
         let mean_turns = (f64::from(PROGRAM_TURNS[0] * (10 - LONG_PROGRAMS_PER_TEN))
             + f64::from(PROGRAM_TURNS[1] * LONG_PROGRAMS_PER_TEN))
             / 10.0;
-        let programs_per_ms = load * CAPACITY_PER_S / (mean_turns * EXCHANGES_PER_TURN) / 1e3;
+        let programs_per_ms = load * MAX_EXCHANGES_PER_S / (mean_turns * EXCHANGES_PER_TURN) / 1e3;
         let interval_ms = -self.rng.random_range(f64::EPSILON..1.0).ln() / programs_per_ms;
         self.schedule(ms + interval_ms, Event::StartProgram);
         let kind = usize::from(self.rng.random_range(0..10) < LONG_PROGRAMS_PER_TEN);
@@ -196,7 +196,7 @@
     /// Adds work that costs this share of an exchange to the keepers' queue. Returns the time
     /// until it is done, in milliseconds.
     fn add_work(&mut self, cost: f64, ms: f64) -> f64 {
-        self.busy_until_ms = self.busy_until_ms.max(ms) + cost * 1e3 / CAPACITY_PER_S;
+        self.busy_until_ms = self.busy_until_ms.max(ms) + cost * 1e3 / MAX_EXCHANGES_PER_S;
         self.busy_until_ms - ms
     }
 
@@ -208,7 +208,7 @@
         let refused = self.protected && is_full(first, queue_ms);
         self.meter.record_attempt(refused, now);
         if refused {
-            return Err(queue_ms + self.add_work(REFUSAL_COST, ms));
+            return Err(queue_ms + self.add_work(REFUSAL_COST_RATIO, ms));
         }
         let took_ms = self.add_work(1.0, ms);
         // The keepers still do the work, but nobody waits for the result.
@@ -286,15 +286,15 @@
 /// Load at time `ms` with a burst, relative to the capacity.
 fn burst_load(ms: f64) -> f64 {
     if BURST_INTERVAL_MS.contains(&ms) {
-        BURST_LOAD
+        BURST_LOAD_RATIO
     } else {
-        NORMAL_LOAD
+        NORMAL_LOAD_RATIO
     }
 }
 
 /// Constant load above the capacity.
 fn sustained_load(_: f64) -> f64 {
-    SUSTAINED_LOAD
+    SUSTAINED_LOAD_RATIO
 }
 
 /// Simulates a load with and without overload protection, for each deployment size and seed.
@@ -348,7 +348,7 @@
 fn sustained_overload_leaves_most_of_the_capacity_usable() {
     for (description, with, _) in simulate_all(sustained_load) {
         assert!(
-            with.overall_completion_ratio() >= 0.8 / SUSTAINED_LOAD,
+            with.overall_completion_ratio() >= 0.8 / SUSTAINED_LOAD_RATIO,
             "{description}"
         );
     }
--- a/crates/gradedyke-gateway/tests/settings.rs
+++ b/crates/gradedyke-gateway/tests/settings.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn in_force_is_the_minimum_of_all_configured_times() {
+fn propagation_limit_is_derived_from_all_configured_times() {
     // `in_force_ms`, `drain_ms`, `revocation_ms`, and the expected result in milliseconds.
     let cases = [
         (5_000, 5_000, None, 5_000),
@@ -53,10 +53,10 @@
         (1_000, 3_000, None, 2_000),
         (3_000, 3_000, Some(3_000), 2_000),
     ];
-    for (config, drain, revocation, expected) in cases {
+    for (in_force_ms, drain_ms, revocation, expected) in cases {
         let revocation = revocation.map(|ms: u64| format!(r#""revocation_ms": {ms},"#));
         let extra = format!(
-            r#""in_force_ms": {config}, "drain_ms": {drain}, {}"#,
+            r#""in_force_ms": {in_force_ms}, "drain_ms": {drain_ms}, {}"#,
             revocation.unwrap_or_default()
         );
         let settings = read_with(&extra).unwrap();
--- a/crates/gradedyke-load/src/decision.rs
+++ b/crates/gradedyke-load/src/decision.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use gradedyke_gateway::fleet::{Fleet, Query, Server};
-use gradedyke_gateway::mechanism::Enabled;
+use gradedyke_gateway::mechanism::Mechanisms;
 use gradedyke_gateway::placement;
 use gradedyke_gateway::prefix::Part;
 use gradedyke_turns::record::Id;
@@ -25,7 +25,7 @@
 }
 
 fn fleet(policy: &str, servers: usize) -> eyre::Result<Arc<Fleet>> {
-    let enabled = Enabled::default();
+    let enabled = Mechanisms::default();
     let chosen = placement::policies(enabled).remove(policy);
     let chosen = chosen.ok_or_else(|| eyre::eyre!("no policy {policy}"))?;
     let fleet = Fleet::new("here", None, chosen, enabled);
@@ -75,7 +75,7 @@
                 parts: &parts,
                 is_engine: true,
                 cache_capacity_tokens: 100_000,
-                repeatable: false,
+                is_repeatable: false,
                 max_warm_up_rate_per_s: None,
                 allowed_regions: None,
                 now: start,
--- a/crates/gradedyke-load/src/usage.rs
+++ b/crates/gradedyke-load/src/usage.rs
@@ -27,7 +27,7 @@
         let name = format!("account{number}");
         let name = Id::parse(&name).ok_or_else(|| eyre::eyre!("{name} is no name"))?;
         let allowance = Allowance {
-            per_second: 1_000.0,
+            requests_per_s: 1_000.0,
             burst: 0.0,
         };
         Ok(Account {
--- a/crates/gradedyke-model/src/world.rs
+++ b/crates/gradedyke-model/src/world.rs
@@ -8,7 +8,7 @@
 
 use gradedyke_gateway::estimate::Timing;
 use gradedyke_gateway::fleet::{Choice, Fleet, Query, Server};
-use gradedyke_gateway::mechanism::{Enabled, Mechanism};
+use gradedyke_gateway::mechanism::{Mechanism, Mechanisms};
 use gradedyke_gateway::placement;
 use gradedyke_turns::load::{Aggregator, ServerLoad};
 use gradedyke_turns::record::Id;
@@ -161,7 +161,7 @@
 }
 
 fn entry(setup: &Setup, policy: &Policy, number: u64, start: Instant) -> Entry {
-    let enabled = Enabled::without(&policy.off);
+    let enabled = Mechanisms::all_except(&policy.off);
     let chosen = placement::policies(enabled).remove(policy.name.as_str());
     let chosen = chosen.unwrap_or_else(|| panic!("no policy {}", policy.name));
     let fleet = Fleet::new("here", None, chosen, enabled);
@@ -331,7 +331,7 @@
             parts: &state.parts,
             is_engine: true,
             cache_capacity_tokens: self.setup.figures.memory_tokens,
-            repeatable: false,
+            is_repeatable: false,
             max_warm_up_rate_per_s: None,
             allowed_regions: None,
             now,
