--- a/crates/gradedyke-gateway/src/account.rs
+++ b/crates/gradedyke-gateway/src/account.rs
@@ -1,8 +1,8 @@
 //! Client accounts and their API keys.
 //!
-//! Callers choose the names of their turns and programs themselves, and two accounts may
-//! choose the same name. Data is therefore stored under [`Account::scoped_id`], so that no
-//! account can read data of another.
+//! Callers choose the IDs of their turns and programs themselves, and two accounts may choose
+//! the same ID. Data is therefore stored under [`Account::scoped_id`], so that no account can
+//! read data of another.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -57,7 +57,7 @@
 }
 
 impl Account {
-    /// The name under which data is stored that callers of this account name `id`.
+    /// The ID under which data is stored for the `id` that callers of this account chose.
     ///
     /// ```
     /// use gradedyke_gateway::account::Account;
--- a/crates/gradedyke-gateway/src/allowance.rs
+++ b/crates/gradedyke-gateway/src/allowance.rs
@@ -1,16 +1,15 @@
 //! Rate limits of client accounts, enforced over all entries together.
 //!
 //! Each entry counts the requests that it admits and reports them to the keepers, which
-//! answer with the sum over all entries ([`gradedyke_turns::usage`]). A turn exchanges
-//! messages with the keepers before it starts anyway, so it is admitted by a sum that
-//! already includes it. A tool call has no such exchange: it is admitted by the last
-//! known sum if that is recent and well below the limit, and otherwise the entry asks
-//! the keepers first. This bounds how far requests that the sum does not include yet can
-//! exceed the limit.
+//! answer with the sum over all entries ([`gradedyke_turns::usage`]). A turn contacts the
+//! keepers before it starts in any case, so the sum by which it is admitted already includes
+//! it. A tool call does not contact them: it is admitted by the last known sum if that is
+//! recent and well below the limit, and otherwise the entry asks the keepers first. This bounds
+//! the excess over the limit that is caused by requests that the sum does not include yet.
 //!
-//! A program that has one request refused fails as a whole. A new program is therefore
-//! refused at its first turn if the programs started in the window are already expected
-//! to use up the allowance.
+//! If one request of a program is refused, the whole program fails. A new program is therefore
+//! refused at its first turn if the programs started in the window are already expected to use
+//! up the allowance.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -21,15 +20,14 @@
 
 use crate::account::{Account, Allowance};
 
-/// Maximum age of a sum by which a call is admitted without asking the keepers. Each turn
-/// brings a new sum, and tool calls usually follow soon after.
+/// Maximum age of a sum by which a tool call is admitted without asking the keepers.
 const MAX_SUM_AGE: Duration = Duration::from_millis(250);
-/// Share of the limit up to which a call is admitted without asking the keepers. The rest
+/// Share of the limit up to which a tool call is admitted without asking the keepers. The rest
 /// is headroom for requests that a sum of age [`MAX_SUM_AGE`] does not include.
 const LOCAL_ADMISSION_RATIO: f64 = 0.8;
-/// Number of entries assumed to admit calls of one account at the same time, unaware of
-/// each other. Each may use this fraction of the remaining requests before it has to ask
-/// the keepers.
+/// Number of entries assumed to admit tool calls of one account at the same time, unaware of
+/// each other. Each may admit the remaining requests divided by this number before it has to
+/// ask the keepers.
 const ASSUMED_CONCURRENT_ENTRIES: u32 = 16;
 /// Interval at which unchanged usage is reported again, so that a restarted keeper learns
 /// it.
@@ -70,9 +68,9 @@
         self.amount.planned > 0
     }
 
-    /// Whether the request is within the allowance, given a sum that includes it. A
-    /// program that needs more than the limit on its own may start if no other program
-    /// has: its requests are spread over more than one window.
+    /// Whether the request is within the allowance, given a sum that includes it. A program
+    /// that alone needs more than the limit may start if no other program has started in the
+    /// window: its requests are spread over more than one window.
     pub fn is_within(&self, sum: Total) -> bool {
         let max_planned = self.limit.max(self.amount.planned);
         let planned_fits = !self.starts_program() || sum.planned <= max_planned;
@@ -105,7 +103,7 @@
 struct KnownSum {
     received_at: Instant,
     sum: Total,
-    /// [`AccountUsage::admitted`] at the time of the report.
+    /// [`AccountUsage::admitted`] when the report that the sum answers was built.
     admitted: Total,
 }
 
@@ -114,7 +112,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Estimate {
     sum: Total,
-    /// Requests that this entry admitted since it reported its usage for the known sum.
+    /// Requests that this entry admitted since the report that the known sum answers.
     admitted_since: u32,
     /// Time since the sum was received.
     age: Duration,
@@ -149,19 +147,18 @@
     }
 }
 
-/// The increase of a count that wraps around; 0 if it decreased because requests were
-/// taken back.
+/// The increase of a count that wraps around; 0 if it decreased because requests were refunded.
 fn increase(before: u32, after: u32) -> u32 {
     i32::try_from(after.wrapping_sub(before)).map_or(0, i32::unsigned_abs)
 }
 
-/// The state at the time of a report, needed to interpret the answer in
-/// [`Limiter::record_sum`].
+/// The state when a report was built, which [`Limiter::record_sum`] needs to interpret the sum
+/// that answers it.
 #[derive(Clone, Copy, Debug)]
 pub struct Snapshot {
     /// The request for which the report was made.
     pub charge: Charge,
-    /// [`AccountUsage::admitted`] of the request's account at the time of the report.
+    /// [`AccountUsage::admitted`] of the request's account when the report was built.
     admitted: Total,
 }
 
@@ -175,7 +172,7 @@
 }
 
 impl Limiter {
-    /// Creates an empty register. `entry` identifies this process in reports, and limits
+    /// Creates an empty limiter. `entry_id` identifies this process in reports, and limits
     /// apply to every time span of length `window`.
     pub fn new(entry_id: u64, window: Duration, now: Instant) -> Self {
         Self {
@@ -260,9 +257,9 @@
     }
 
     /// Whether a request is admitted while no keeper can be reached: only if a sum was
-    /// received within the last window and leaves enough headroom. No program can start
-    /// without the keepers, so other entries admit only calls of running programs
-    /// meanwhile.
+    /// received within the last window and leaves enough headroom. Meanwhile the other entries
+    /// admit only tool calls of running programs, because no program can start without the
+    /// keepers.
     pub fn admits_offline(&self, charge: &Charge, now: Instant) -> bool {
         let accounts = self.lock();
         let estimate = accounts.get(&charge.account).and_then(|u| u.estimate(now));
@@ -308,7 +305,7 @@
         (report, snapshot)
     }
 
-    /// Records the sum that the keepers answered to a report.
+    /// Records the sum with which the keepers answered a report.
     pub fn record_sum(&self, snapshot: Snapshot, sum: Total, now: Instant) {
         let mut accounts = self.lock();
         let account_usage = accounts.entry(snapshot.charge.account).or_default();
--- a/crates/gradedyke-gateway/src/config.rs
+++ b/crates/gradedyke-gateway/src/config.rs
@@ -9,14 +9,15 @@
 
 use crate::account::Directory;
 
-/// Whether requests of a route may run more than once, and how they are answered.
+/// Whether requests of a route may run more than once, and whether their responses are streams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     /// A request may run any number of times.
     Idempotent,
     /// A request may run at most once.
     AtMostOnce,
-    /// A request may run at most once, and its response is a stream of events.
+    /// The response is a stream of events. A request may run more than once only if the route
+    /// is [resumable](Route::resumable).
     Stream,
 }
 
@@ -49,11 +50,11 @@
     pub host: String,
     /// Path prefix of the requests.
     pub path_prefix: String,
-    /// Whether requests may run more than once, and how they are answered.
+    /// Whether requests may run more than once, and whether their responses are streams.
     pub kind: Kind,
     /// Maximum duration of a request.
     pub timeout: Duration,
-    /// Target latency of an answer.
+    /// Target latency of a response.
     pub latency_objective: Duration,
     /// Priority; 0 is the highest.
     pub priority: u8,
@@ -72,12 +73,12 @@
     pub allowed_regions: Option<Vec<String>>,
 }
 
-/// Capacity of a model engine.
+/// Parameters of a service's engines, the backend servers that run a model.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Engine {
-    /// Number of requests that run at the same time.
+    /// Number of requests that an engine runs at the same time.
     pub slots: u32,
-    /// Number of tokens that fit in its cache.
+    /// Number of tokens that fit in the cache of an engine.
     pub cache_capacity_tokens: u64,
     /// Maximum number of tokens in one event of a stream.
     pub max_event_tokens: u32,
@@ -88,12 +89,12 @@
 pub struct Service {
     /// The service's name, unique in the configuration.
     pub name: String,
-    /// Maximum number of connections of one server, over all entries.
+    /// Maximum number of connections to one server, over all entries.
     pub max_connections: u32,
     /// Maximum requests per second to a server that is warming up, over all entries; `None`
     /// for no limit.
     pub max_warm_up_rate_per_s: Option<f64>,
-    /// Capacity of the service's engines, if it runs models.
+    /// Parameters of the service's engines, if it runs models.
     pub engine: Option<Engine>,
 }
 
@@ -115,7 +116,7 @@
 pub struct Config {
     /// Version number, which increases with each change.
     pub version: u64,
-    /// Number of route priorities: each is lower than this.
+    /// Number of route priorities, which are `0..priority_count`.
     priority_count: u8,
     /// The routes by host, those with the longest prefix first.
     routes: HashMap<String, Vec<Arc<Route>>>,
@@ -182,8 +183,8 @@
     }
 }
 
-/// Combines the priorities of an account and a route, where route priorities are lower than
-/// `route_priorities`. The account's priority takes precedence.
+/// Combines the priorities of an account and a route, where the latter is in
+/// `0..route_priority_count`. The account's priority takes precedence.
 ///
 /// ```
 /// use gradedyke_gateway::config::priority;
@@ -207,7 +208,7 @@
     }
 
     /// Chooses the service for a request by the targets' weights. Requests with the same
-    /// `name` get the same service.
+    /// `affinity_id`, a session or program ID, get the same service.
     pub fn choose_service(&self, affinity_id: Option<&Id>) -> Option<&str> {
         let total: f64 = self.targets.iter().map(|t| t.weight).sum();
         let mut remaining = total * hash_fraction(affinity_id);
@@ -221,7 +222,7 @@
     }
 }
 
-/// Hashes a name to a number in `0.0..1.0`; without a name the number is random.
+/// Hashes an ID to a number in `0.0..1.0`; without an ID the number is random.
 fn hash_fraction(id: Option<&Id>) -> f64 {
     use std::hash::{DefaultHasher, Hash, Hasher};
     let Some(id) = id else {
--- a/crates/gradedyke-gateway/src/demand.rs
+++ b/crates/gradedyke-gateway/src/demand.rs
@@ -7,8 +7,7 @@
 use gradedyke_turns::decay::Counter;
 use tokio::time::Instant;
 
-/// Half-life of the counts: several times the duration of a program, and short enough to
-/// follow changes of the workload.
+/// Half-life of the counts.
 const HALF_LIFE: Duration = Duration::from_secs(20);
 /// Lowest count of programs and of turns from which an estimate is made.
 const MIN_OBSERVATIONS: f64 = 4.0;
--- a/crates/gradedyke-gateway/src/dialect.rs
+++ b/crates/gradedyke-gateway/src/dialect.rs
@@ -18,9 +18,9 @@
 /// Metadata of a caller's request, taken from its headers.
 #[derive(Clone, Debug, Default)]
 pub struct Meta {
-    /// The request's id, different for each attempt of the caller.
+    /// The request's ID. A retry by the caller has a new one.
     pub request_id: Option<Id>,
-    /// How long the caller waits, counted from the request's arrival.
+    /// How long the caller waits, from the request's arrival.
     pub timeout: Option<Duration>,
     /// The program that the request belongs to.
     pub program: Option<Id>,
@@ -30,7 +30,7 @@
     pub program_deadline: Option<Duration>,
     /// Maximum number of tokens that all turns of the program may generate together.
     pub token_budget: Option<u64>,
-    /// Size of the prompt and maximum size of the answer.
+    /// Size of the prompt and maximum size of the response.
     pub size: Option<Size>,
     /// The turn that this request continues.
     pub parent: Option<Id>,
@@ -40,16 +40,16 @@
     pub key: Option<Key>,
 }
 
-/// Sizes of a model call, in tokens.
+/// Sizes of the prompt and the response of a turn, in tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Size {
     /// Size of the whole prompt.
     pub prompt_tokens: u64,
-    /// Maximum size of the answer.
+    /// Maximum size of the response.
     pub max_response_tokens: u32,
 }
 
-/// What the gateway adds to the headers of a request to a backend server.
+/// What an entry adds to the headers of a request to a backend server.
 #[derive(Clone, Debug)]
 pub struct Outbound<'a> {
     /// The intended server; any other must refuse the request.
@@ -60,18 +60,18 @@
     pub priority: Option<u8>,
     /// The client account of the request.
     pub account: Option<&'a Account>,
-    /// Id of the event after which a stream is resumed.
+    /// ID of the event after which a stream is resumed.
     pub last_event_id: Option<&'a [u8]>,
 }
 
 /// Metadata of a backend server's response, taken from its headers.
 #[derive(Clone, Debug, Default)]
 pub struct Head {
-    /// Id of the request that is answered.
+    /// ID of the request that the response belongs to.
     pub request_id: Option<Id>,
     /// Whether the server states that it did not run the request.
     pub not_run: bool,
-    /// Whether another server than the intended one answered.
+    /// Whether another server than the intended one responded.
     pub misdirected: bool,
     /// Whether the response carries the header that marks responses of backend servers.
     pub from_backend: bool,
@@ -81,18 +81,16 @@
     pub idle_timeout: Option<Duration>,
 }
 
-/// Result of decoding a backend server's item in the directory.
+/// Result of decoding a backend server's directory record.
 pub type ServerResult = Result<Server, Error>;
 
-/// A value in the platform's key-value service that cannot be decoded.
+/// A value in the platform's key-value store that cannot be decoded.
 #[derive(Clone, Debug, thiserror::Error)]
-#[error(
-    "cannot decode {item}: {cause}; the previous value stays in force, check who wrote this one"
-)]
+#[error("cannot decode {item}: {cause}; correct the value")]
 pub struct Error {
     /// The item that cannot be decoded.
     pub item: String,
-    /// The reason.
+    /// Why it cannot be decoded.
     pub cause: String,
 }
 
@@ -115,7 +113,7 @@
     /// The text that the data line of an event adds to the conversation.
     fn event_data<'a>(&self, event: &'a [u8]) -> Option<&'a [u8]>;
 
-    /// The id of an event, from which a stream can be resumed.
+    /// The ID of an event, from which a stream can be resumed.
     fn event_id<'a>(&self, event: &'a [u8]) -> Option<&'a [u8]>;
 
     /// The path of the platform's readiness checks.
@@ -134,15 +132,15 @@
     /// The prefix of the keys of backend servers.
     fn server_prefix(&self) -> &str;
 
-    /// Decodes a backend server's item.
+    /// Decodes a backend server's directory record.
     ///
     /// # Errors
     ///
-    /// [`Error`] if the item does not describe a backend server.
+    /// [`Error`] if the record does not describe a backend server.
     fn server(&self, key: &str, value: &[u8]) -> ServerResult;
 
-    /// The prefix of the keys that each request the evacuation of a data centre; the rest of
-    /// the key is the data centre's name.
+    /// The prefix of the keys by which the evacuation of data centres is requested; the rest of
+    /// a key is the data centre's name.
     fn evacuation_prefix(&self) -> &str;
 
     /// The prefixes of all keys that processes mirror.
--- a/crates/gradedyke-gateway/src/entry/admission.rs
+++ b/crates/gradedyke-gateway/src/entry/admission.rs
@@ -17,7 +17,7 @@
 
 /// Timeout of one usage query to the keepers.
 const USAGE_QUERY_TIMEOUT: Duration = Duration::from_millis(100);
-/// Longest wait for keepers that are restarting.
+/// Timeout of all usage queries of one request together.
 const USAGE_CHECK_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Backoff before the first retry of a usage query.
 const MIN_BACKOFF: Duration = Duration::from_millis(40);
@@ -55,8 +55,8 @@
         Ok(Some(charge))
     }
 
-    /// Records the account's `total` usage, as the keepers returned it for the report with
-    /// this `snapshot`. Returns whether the request is within its allowance.
+    /// Records the account's `total` usage, as the keepers returned it for the report that
+    /// `snapshot` belongs to. Returns whether the request is within its allowance.
     pub(super) fn record_usage(&self, call: &Call, snapshot: Snapshot, total: Total) -> bool {
         self.limiter.record_sum(snapshot, total, Instant::now());
         let charge = snapshot.charge;
@@ -71,7 +71,7 @@
     }
 
     /// Checks whether a request is within its allowance, asking the keepers if the local
-    /// estimate does not decide. Not used for turns, whose usage is reported when they begin.
+    /// estimate is not sufficient. Not used for turns, whose usage is reported when they begin.
     ///
     /// # Errors
     ///
--- a/crates/gradedyke-gateway/src/entry/attempt.rs
+++ b/crates/gradedyke-gateway/src/entry/attempt.rs
@@ -1,7 +1,7 @@
 //! Sends a request to backend servers, one after the other, until one runs it.
 //!
 //! [`dispatch`] tries another server only while it is certain that none has run the
-//! request. If the request may have run, its caller decides whether to send it again.
+//! request. If the request may have run, the calling function decides whether to send it again.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -55,7 +55,7 @@
 enum Outcome {
     Answered(Box<ServerResponse>),
     NotRun(NotRunReason),
-    /// No response arrived; the request may have run.
+    /// No valid response arrived; the request may have run.
     Unknown,
     /// The deadline passed; the request may have run.
     TimedOut,
@@ -72,7 +72,7 @@
 #[derive(Debug, Default)]
 struct State {
     tried: Vec<Key>,
-    /// Servers that received the request or are being sent it.
+    /// Number of servers that the request was or is being sent to.
     sent_count: u32,
     unreachable_count: u32,
 }
@@ -94,7 +94,7 @@
         self.lock().has_attempt_left(call)
     }
 
-    /// Counts one more attempt, if one is left. Returns whether it is.
+    /// Reserves an attempt if one is left. Returns whether it did.
     fn reserve(&self, call: &Call) -> bool {
         let mut state = self.lock();
         let has_attempt_left = state.has_attempt_left(call);
@@ -147,8 +147,8 @@
 /// times this factor, which allows for errors of the estimate.
 const MAX_WAIT_RATIO: f64 = 2.0;
 
-/// Whether the request would still wait for a slot at the chosen server when its deadline
-/// passes.
+/// Whether the expected wait for a slot at the chosen server exceeds the time left by more than
+/// the factor [`MAX_WAIT_RATIO`].
 fn will_miss_deadline(call: &Call, choice: &Choice) -> bool {
     let left_ms = call.time_left(Instant::now()).as_secs_f64() * 1e3;
     choice.candidate.wait_ms() > MAX_WAIT_RATIO * left_ms
@@ -257,9 +257,9 @@
 /// An engine is considered stalled after the expected time times this factor.
 const EVENT_TIMEOUT_RATIO: f64 = 4.0;
 
-/// Returns how long to wait for the next event of an engine that was expected in
-/// `expected_ms` milliseconds. It is never less than [`Call::slow_threshold`]: another server
-/// would have to process the whole prompt again.
+/// Returns how long to wait for an engine's next event, which is expected within `expected_ms`
+/// milliseconds. It is at least [`Call::slow_threshold`], because another server would have to
+/// process the whole prompt again.
 pub fn event_timeout(call: &Call, expected_ms: f64) -> Duration {
     let timeout = Duration::from_secs_f64(expected_ms * EVENT_TIMEOUT_RATIO / 1e3);
     timeout.max(call.slow_threshold())
--- a/crates/gradedyke-gateway/src/entry/budget.rs
+++ b/crates/gradedyke-gateway/src/entry/budget.rs
@@ -17,7 +17,7 @@
 }
 
 impl Reservation {
-    /// Creates a reservation; `None` if the request has no budget.
+    /// Creates a reservation. `reserved` is `None` if the request has no budget.
     pub(super) fn new(reserved: Option<Reserved>) -> Self {
         Self { reserved }
     }
--- a/crates/gradedyke-gateway/src/entry/call.rs
+++ b/crates/gradedyke-gateway/src/entry/call.rs
@@ -30,7 +30,7 @@
     /// The client account whose key was sent; `None` if the request was accepted without a
     /// key.
     pub account: Option<Arc<Account>>,
-    /// How the request was counted for its account; `None` if the account has no limit.
+    /// The charge to its account; `None` if the account has no limit.
     pub charge: Option<Charge>,
     /// Regions in which the request may run; `None` for all.
     pub regions: Option<Vec<String>>,
@@ -80,8 +80,8 @@
         self.route.latency_objective.mul_f64(SLOW_RATIO)
     }
 
-    /// Returns how many requests per second a server of the service can take while it warms
-    /// up; `None` if there is no such limit.
+    /// Returns the maximum request rate of a server of the service that is warming up; `None`
+    /// for no limit.
     pub fn max_warm_up_rate_per_s(&self) -> Option<f64> {
         self.config
             .services
--- a/crates/gradedyke-gateway/src/entry/door.rs
+++ b/crates/gradedyke-gateway/src/entry/door.rs
@@ -15,7 +15,7 @@
 use super::refusal::Refusal;
 use crate::dialect::Meta;
 
-/// Counts a request as in progress until it is dropped.
+/// Guard that counts a request as in progress until the guard is dropped.
 struct ActiveRequest(Arc<Entry>);
 
 impl Drop for ActiveRequest {
@@ -24,7 +24,7 @@
     }
 }
 
-/// A request that the gateway answers with an error.
+/// A request that the entry answers with an error response.
 pub(super) struct RefusedRequest {
     pub(super) refusal: Refusal,
     pub(super) meta: Meta,
@@ -79,8 +79,8 @@
             let config = entry.config.load().as_ref().map(|c| c.version);
             refused.response(arrived.elapsed(), config, entry.max_data_age(arrived))
         });
-        // While this entry is not ready, the connection is closed so that the caller connects to
-        // another entry.
+        // After an error response while this entry is not ready, the connection is closed, so
+        // that the caller connects to another entry.
         let should_reconnect = outcome != "answered" && !entry.is_ready();
         if entry.drain.is_cancelled() || should_reconnect {
             let close = HeaderValue::from_static("close");
--- a/crates/gradedyke-gateway/src/entry/mod.rs
+++ b/crates/gradedyke-gateway/src/entry/mod.rs
@@ -8,7 +8,7 @@
 //!   opens the stream at a backend server, `relay` forwards its events, `budget` reports
 //!   the tokens used.
 //! - `door`: HTTP handlers, with logs and metrics for each request.
-//! - [`refusal`]: error responses that the gateway sends itself.
+//! - [`refusal`]: error responses that an entry sends itself.
 
 mod admission;
 pub mod attempt;
@@ -51,17 +51,15 @@
 /// Timeout of a request whose caller sets none; the timeout of its route may be shorter.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Longest wait of a request for the first configuration. It covers the start of the
-/// keepers when all processes were restarted; a refusal would use up one of the caller's
-/// retries.
+/// Longest wait of a request for the first configuration. Waiting saves the caller a retry.
 const INITIAL_CONFIG_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Greatest age of the key data, as a share of the time after which a revoked key must no
-/// longer work. The rest is a margin for clock drift.
+/// Share of the revocation time up to which local data may age before API keys are no longer
+/// accepted. The rest is a margin for clock drift.
 const MAX_KEY_AGE_RATIO: f64 = 0.9;
 
-/// Returns the greatest age at which key data may still be used, if a revoked key must stop
-/// working within `revocation`.
+/// Returns the greatest age of the local data at which API keys are still accepted, if a
+/// revoked key must stop working within `revocation`.
 pub fn max_key_age(revocation: Duration) -> Duration {
     revocation.mul_f64(MAX_KEY_AGE_RATIO)
 }
@@ -71,7 +69,7 @@
 pub struct Entry {
     /// Encodes and decodes headers, keys and values of callers, backend servers and platform.
     pub dialect: Arc<dyn Dialect>,
-    /// Local copy of the data in the platform's key-value service.
+    /// Local copy of the data in the platform's key-value store.
     pub mirror: Arc<Mirror>,
     /// The active configuration; empty until the first one was read.
     pub config: ArcSwapOption<Config>,
@@ -115,7 +113,7 @@
     }
 
     /// Whether keys may be accepted when the local data has this `age`. A key may be revoked
-    /// while this entry is disconnected from the platform's key-value service.
+    /// while this entry is disconnected from the platform's key-value store.
     fn can_use_keys(&self, age: Option<Duration>) -> bool {
         let Some(max_age) = self.max_key_age else {
             return true;
@@ -125,9 +123,9 @@
         !requires_keys || age.is_some_and(|age| age <= max_age)
     }
 
-    /// Returns the greatest possible age of the local data at `now`; `None` before the
-    /// platform first confirmed it. The age counts from when the platform was asked, not from when it answered, so
-    /// that network delay cannot make the data look newer than it is.
+    /// Returns the greatest possible age of the local data at `now`; `None` before the platform
+    /// first confirmed it. The age counts from when the platform was asked, not from when it
+    /// responded, so that network delay cannot make the data look newer than it is.
     fn max_data_age(&self, now: Instant) -> Option<Duration> {
         let confirmed = self.mirror.complete_as_of()?;
         Some(now.saturating_duration_since(confirmed))
@@ -161,8 +159,8 @@
         *cursor = next;
     }
 
-    /// Activates the configuration in the mirror, if it is newer than the active one. Holds
-    /// the lock throughout, so that it is active on return even if another task read it.
+    /// Activates the configuration in the mirror, if it is newer than the active one. Holds the
+    /// lock throughout: if another task is activating it, this returns only once it is active.
     fn apply_config(&self) {
         let mut read_revision = self
             .config_revision
@@ -253,8 +251,8 @@
     }
 
     /// Returns the active configuration. After a start, waits until the first configuration
-    /// and the first backend servers are known, for at most a second; then returns the
-    /// configuration without servers, or `None` if there is none.
+    /// and the first backend servers are known, for at most `INITIAL_CONFIG_TIMEOUT`; then
+    /// returns the configuration without servers, or `None` if there is none.
     pub async fn wait_for_config(&self, now: Instant) -> Option<Arc<Config>> {
         let mut changed = self.mirror.subscribe();
         let deadline = now + INITIAL_CONFIG_TIMEOUT;
@@ -292,7 +290,7 @@
         }
     }
 
-    /// Routes and authenticates a request, reads its body and counts it for its account.
+    /// Routes and authenticates a request, reads its body and charges it to its account.
     async fn read_call(
         &self,
         request: Request<Incoming>,
--- a/crates/gradedyke-gateway/src/entry/plain.rs
+++ b/crates/gradedyke-gateway/src/entry/plain.rs
@@ -30,7 +30,7 @@
 ///
 /// # Errors
 ///
-/// The [`Refusal`] to answer with.
+/// The [`Refusal`] that is sent to the caller as an error response.
 pub async fn serve(entry: &Arc<Entry>, call: Arc<Call>) -> ServeResult {
     let attempts = Arc::new(Attempts::default());
     let slow_at = call.slow_at(Instant::now());
--- a/crates/gradedyke-gateway/src/entry/refusal.rs
+++ b/crates/gradedyke-gateway/src/entry/refusal.rs
@@ -1,4 +1,4 @@
-//! Error responses that the gateway sends itself.
+//! Error responses that an entry sends itself.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use gradedyke_http::body;
 use http::{HeaderValue, Response, StatusCode, header};
 
-/// Why the gateway answered a request with an error.
+/// Why an entry responded to a request with an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
     /// No configuration is known yet.
@@ -31,7 +31,8 @@
     NoCapacity,
     /// The keepers cannot be reached, are starting or are overloaded. The request has not run.
     NoKeepers,
-    /// The keepers are overloaded, and the request may begin a program.
+    /// The throttle refuses the request, which may begin a program, because the keepers are
+    /// overloaded.
     Throttled,
     /// The turn that the request continues does not exist.
     TurnNotFound,
@@ -47,8 +48,8 @@
 
 /// Shortest retry delay that callers are given, apart from the jitter.
 pub(crate) const MIN_RETRY_AFTER: Duration = Duration::from_millis(250);
-/// Longest retry delay that callers are given, apart from the jitter. Estimates of when a
-/// slot is free are unreliable beyond it.
+/// Longest retry delay that callers are given, apart from the jitter. Estimates of a longer
+/// wait are unreliable.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(2);
 /// Retry delay for a client account that has used its allowance.
 const ALLOWANCE_RETRY_AFTER: Duration = Duration::from_secs(1);
--- a/crates/gradedyke-gateway/src/entry/relay.rs
+++ b/crates/gradedyke-gateway/src/entry/relay.rs
@@ -163,7 +163,8 @@
         let _ = self.sender.send(Err(failure)).await;
     }
 
-    /// Reports to the fleet that the stream ended by the server's fault. Returns whether it did.
+    /// Reports a failure to the fleet if the server caused the end of the stream. Returns
+    /// whether it did.
     fn report_server_failure(&self, end: &End) -> bool {
         let (failure, cause) = match end {
             End::Interrupted(cause) => (health::Failure::ConnectionLost, cause.as_str()),
@@ -211,8 +212,8 @@
         Some((incoming, received.connection, received.head))
     }
 
-    /// Returns the deadline for the next event, and whether to resume at another server when
-    /// it passes. If that is not possible, the deadline is that of the call.
+    /// Returns the deadline for the next event, and whether the stream is resumed at another
+    /// server after it. If it cannot be resumed, this is the call's deadline.
     fn next_event_deadline(&self) -> (Instant, bool) {
         let now = Instant::now();
         let candidate = &self.choice.candidate;
--- a/crates/gradedyke-gateway/src/entry/turn.rs
+++ b/crates/gradedyke-gateway/src/entry/turn.rs
@@ -1,10 +1,10 @@
 //! Requests whose response is a stream of events, and turns of conversations.
 //!
-//! Before a turn is sent to a backend server, one exchange with the keepers reserves its
-//! budget and reads the conversation so far. After the last event, a second exchange stores
-//! the turn on a majority of disks, and only then the stream to the caller ends. A caller
-//! that has received a complete response can therefore rely on the turn being stored. Events
-//! are forwarded as they arrive.
+//! Before a turn is sent to a backend server, one exchange with the keepers reserves tokens in
+//! the program's budget and reads the conversation so far. After the last event, a second
+//! exchange stores the turn on a majority of disks, and only then does the stream to the caller
+//! end. A caller that has received a complete response can therefore rely on the turn being
+//! stored. Events are forwarded as they arrive.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -28,15 +28,16 @@
 
 /// Timeout of one exchange with the keepers that begins a turn.
 const BEGIN_TIMEOUT: Duration = Duration::from_millis(300);
-/// Longest wait for keepers that are restarting. A refusal would use up one of the caller's
-/// retries.
-const QUORUM_RECOVERY_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Timeout of all attempts together to begin a turn. Waiting for restarting keepers saves the
+/// caller a retry.
+const TOTAL_BEGIN_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Begins the turn, sends it to a backend server and starts forwarding the response.
 ///
 /// # Errors
 ///
-/// The [`Refusal`] to answer with. Nothing has been sent to the caller then.
+/// The [`Refusal`] that is sent to the caller as an error response. Nothing has been sent to
+/// the caller before.
 pub async fn serve(entry: &Arc<Entry>, call: Arc<Call>) -> Result<Response<Body>, Refusal> {
     let (transcript, reservation) = begin_turn(entry, &call).await?;
     let body = match &transcript {
@@ -62,7 +63,8 @@
     body.freeze()
 }
 
-/// Reserves the budget and reads the conversation so far, in one exchange with the keepers.
+/// Reserves tokens in the program's budget and reads the conversation so far, in one exchange
+/// with the keepers.
 async fn begin_turn(
     entry: &Arc<Entry>,
     call: &Call,
@@ -84,7 +86,7 @@
         load: entry.fleet.load_report(started),
         usage,
         try_timeout: BEGIN_TIMEOUT,
-        deadline: call.deadline.min(started + QUORUM_RECOVERY_TIMEOUT),
+        deadline: call.deadline.min(started + TOTAL_BEGIN_TIMEOUT),
     };
     let result = entry.quorum.begin(&params).await;
     if let Some((pressure, at)) = entry.quorum.pressure() {
@@ -139,7 +141,7 @@
 
 /// Whether the throttle admits the turn. A turn that continues a stored conversation is always
 /// admitted. On routes that store no turns, the first turn of a program cannot be recognized,
-/// so the program identifier decides for all its turns alike.
+/// so a hash of the program's ID decides, the same for all its turns.
 fn is_admitted(entry: &Entry, call: &Call, now: Instant) -> bool {
     let stores_turns = call.route.retention.is_some();
     if !entry.mechanisms.is_enabled(Mechanism::Throttle)
--- a/crates/gradedyke-gateway/src/estimate.rs
+++ b/crates/gradedyke-gateway/src/estimate.rs
@@ -2,8 +2,7 @@
 //! one of its servers relative to the service.
 //!
 //! Each estimate starts at a prior, which counts as a few observations. The weight of
-//! observations decays exponentially, so the estimate adapts within some tens of
-//! responses and needs no configuration.
+//! observations decays exponentially, so the estimate follows changes.
 
 use std::ops::Add;
 
@@ -137,12 +136,13 @@
     }
 }
 
-/// Sum of the response times of a server, each divided by the expected time.
+/// Sum of observed times of a server (responses, or gaps between events), each divided by the
+/// expected time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LatencyRatioSum {
-    /// Number of responses.
+    /// Number of observed times.
     pub responses: u32,
-    /// Sum of the ratios of observed to expected time, in hundredths.
+    /// Sum of the ratios of observed to expected time, each in hundredths.
     pub ratio_hundredths: u32,
 }
 
@@ -190,12 +190,13 @@
 /// Expected times at a service, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Times {
-    /// Total time of a response, without queueing and without reading the prompt.
+    /// Total time of a response, or for a plain service the time to its head, without queueing
+    /// and without reading the prompt.
     pub response_ms: f64,
     /// Time to the first event, without queueing and without reading the prompt; 0 for a
     /// plain service.
     pub first_event_ms: f64,
-    /// Time between events if no other requests run there; 0 for a plain service.
+    /// Time between events if the server runs no other requests; 0 for a plain service.
     pub event_gap_ms: f64,
     /// Increase of the time between events with each concurrent request.
     pub gap_per_concurrent_ms: f64,
@@ -220,7 +221,7 @@
 /// Observed times of a streamed response of a model engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Timing {
-    /// Number of other requests in flight there when it was sent.
+    /// Number of other requests in flight at the server when the request was sent.
     pub concurrent: u32,
     /// Number of requests that the engine runs concurrently.
     pub slots: u32,
@@ -236,26 +237,23 @@
 
 /// Prior for the time to read one prompt token.
 const PRIOR_READ_MS_PER_TOKEN: f64 = 1.0 / 38.0;
-/// Prior for the time to the first event of a fully cached prompt: the network round trip
-/// and one generation step.
+/// Prior for the time to the first event of a fully cached prompt.
 const PRIOR_FIRST_EVENT_MS: f64 = 15.0;
-/// Prior for the time between events without concurrent requests: eight generation steps
-/// of 4 ms.
+/// Prior for the time between events without concurrent requests.
 const PRIOR_GAP_MS: f64 = 32.0;
-/// Prior for the increase of the time between events with each concurrent request. Low,
-/// as for a lightly loaded engine.
+/// Prior for the increase of the time between events with each concurrent request.
 const PRIOR_GAP_PER_CONCURRENT_MS: f64 = 0.3;
 /// Prior for the number of events after the first.
 const PRIOR_EVENTS_PER_RESPONSE: f64 = 8.0;
-/// Prior for the time of a call to a plain service.
+/// Prior for the time to the response head of a plain service.
 const PRIOR_RESPONSE_MS: f64 = 200.0;
 /// Lower limit on expected times, so that ratios stay finite.
 const MIN_EXPECTED_MS: f64 = 0.1;
 /// Number of observations that a prior counts as.
 const PRIOR_WEIGHT: f64 = 10.0;
-/// Range of prompt tokens that sets the weight of the prior reading time.
+/// The `span` of the prior for the time to the first event, in uncached prompt tokens.
 const PRIOR_UNCACHED_TOKENS_SPAN: f64 = 2_000.0;
-/// Range of concurrent requests that sets the weight of the prior for gaps.
+/// The `span` of the prior for the time between events, in concurrent requests.
 const PRIOR_CONCURRENT_SPAN: f64 = 16.0;
 
 /// Learned times of a service.
@@ -323,7 +321,7 @@
         elapsed_ms / expected_ms.max(MIN_EXPECTED_MS)
     }
 
-    /// Expected times at the service. `engine` says whether it runs models.
+    /// Expected times at the service. `is_engine` says whether it runs models.
     pub fn times(&self, is_engine: bool) -> Times {
         if !is_engine {
             return Times {
--- a/crates/gradedyke-gateway/src/fleet/mod.rs
+++ b/crates/gradedyke-gateway/src/fleet/mod.rs
@@ -1,6 +1,6 @@
 //! Tracks the backend servers and chooses one for each request.
 //!
-//! The directory in the platform's key-value service lists the servers. While it is
+//! The directory in the platform's key-value store lists the servers. While it is
 //! unavailable, the last known servers stay in use. A server whose record was deleted
 //! remains a fallback for a short time, or, after an outage of the directory, until
 //! running servers have had time to renew their records.
@@ -110,7 +110,7 @@
     pub cached_on: Option<&'a Id>,
     /// Number of tokens of the prompt; 0 for a plain service.
     pub prompt_tokens: u64,
-    /// Number of tokens of the prompt that the holder has cached.
+    /// Number of tokens of the prompt that the server `cached_on` has cached.
     pub cached_tokens: u64,
     /// The identified parts of the prompt; empty if there are none.
     pub parts: &'a [Part],
@@ -129,7 +129,7 @@
     pub now: Instant,
 }
 
-/// A chosen server. The request counts as in flight there until this is dropped.
+/// A chosen server. The request counts as in flight at the server until this is dropped.
 pub struct Choice {
     fleet: Arc<Fleet>,
     /// The key for reports to the [`Fleet`].
@@ -163,7 +163,7 @@
     mechanisms: Mechanisms,
     /// Random ID of this process in load reports.
     report_id: u64,
-    /// Address at which this entry forwards requests for others.
+    /// Address at which this entry forwards requests for other entries.
     forwarding_address: Option<SocketAddr>,
     registry: Mutex<Registry>,
 }
@@ -242,7 +242,7 @@
         }
     }
 
-    /// Chooses a server and counts the request as in flight there.
+    /// Chooses a server and counts the request as in flight at it.
     pub fn choose(self: &Arc<Self>, query: &Query<'_>) -> Option<Choice> {
         let mut registry = self.lock();
         if registry
@@ -379,7 +379,7 @@
     }
 
     /// Records the time between two events of an engine's response, with `concurrent` other
-    /// requests in flight there.
+    /// requests in flight at the engine.
     pub fn record_event_gap(&self, key: Key, concurrent: u32, gap: Duration, now: Instant) {
         let mut registry = self.lock();
         let Some(state) = registry.servers.get(key) else {
@@ -411,7 +411,7 @@
         registry.mark_reportable(key);
     }
 
-    /// Records that another server answered at a server's address, so the expected one no
+    /// Records that another server responded at a server's address, so the expected one no
     /// longer exists.
     pub fn mark_replaced(&self, key: Key) {
         let mut registry = self.lock();
--- a/crates/gradedyke-gateway/src/fleet/registry.rs
+++ b/crates/gradedyke-gateway/src/fleet/registry.rs
@@ -22,7 +22,7 @@
 /// Largest number of directory changes in a batch that are logged one by one. Larger
 /// batches get a single log line, so that listing thousands of servers stays cheap.
 const MAX_LOGGED_CHANGES: usize = 64;
-/// Number of unreadable records of unknown servers that are remembered, so that each is
+/// Maximum number of unreadable records of unknown servers that are remembered, so that each is
 /// logged once.
 const MAX_UNREADABLE_RECORDS: usize = 1_024;
 
@@ -30,7 +30,8 @@
 fn missing_start_time(id: &Id) -> Error {
     Error {
         item: id.to_string(),
-        cause: "the record has no start time, but earlier records of the server had".to_owned(),
+        cause: "the record has no start time, but an earlier record of the server had one"
+            .to_owned(),
     }
 }
 
@@ -41,7 +42,7 @@
     pub(super) by_id: HashMap<Id, Key>,
     pub(super) by_service: HashMap<String, Vec<Key>>,
     by_incarnation: HashMap<Id, Key>,
-    /// By the hashed ID that load reports use.
+    /// The servers by the hash that identifies them in load reports.
     by_load_id: HashMap<load::ServerHash, Key>,
     /// Recently used servers of each service.
     recent: HashMap<String, RecentServers>,
@@ -280,7 +281,7 @@
         }
     }
 
-    /// Marks a server whose record was seen to be deleted at `read_at`.
+    /// Marks a server whose record was found deleted at `read_at`.
     pub(super) fn mark_unlisted(&mut self, id: &Id, read_at: Instant) {
         self.unreadable.remove(id);
         let Some(key) = self.by_id.get(id).copied() else {
@@ -339,7 +340,7 @@
     }
 
     /// The servers to compare: all that can run the request or, if the service has very
-    /// many, a sample of them with the recently used ones and the holder of the
+    /// many, a sample of them with the recently used ones and the server that caches the
     /// conversation.
     fn preselect(&self, query: &Query<'_>, topology: &Topology) -> Vec<Key> {
         let Some(keys) = self.by_service.get(query.service) else {
--- a/crates/gradedyke-gateway/src/fleet/sample.rs
+++ b/crates/gradedyke-gateway/src/fleet/sample.rs
@@ -1,8 +1,8 @@
 //! Selects a sample of servers for services with very many of them.
 //!
-//! Comparing thousands of servers for each request would take longer than the request's
-//! network round trip. The sample is drawn anew for each request; recently used servers
-//! and the one that caches the conversation are added by the caller.
+//! Comparing thousands of servers for each request would delay it too much. The sample is drawn
+//! anew for each request; recently used servers and the one that caches the conversation are
+//! added by the caller.
 
 use std::collections::VecDeque;
 use std::hash::{DefaultHasher, Hash, Hasher};
--- a/crates/gradedyke-gateway/src/fleet/server_state.rs
+++ b/crates/gradedyke-gateway/src/fleet/server_state.rs
@@ -18,14 +18,14 @@
 /// Number of other entries that must report a server as unreachable before it is
 /// avoided. More than one, because a single entry may be cut off itself.
 const MIN_UNREACHABLE_REPORTS: u32 = 2;
-/// Time that servers have to renew their records after the directory becomes available
-/// again: two heartbeats and the network delay.
+/// Time that servers have to renew their records after the directory becomes available again.
 const DIRECTORY_RECOVERY_GRACE: Duration = Duration::from_millis(2_500);
 /// How long a server is kept as a fallback after its record was deleted while the
-/// directory was available. It must get no requests more than 2 s after the deletion.
+/// directory was available. The server must get no requests later than
+/// [`Settings::drain_ms`](crate::settings::Settings::drain_ms) after the deletion.
 const UNLISTED_GRACE: Duration = Duration::from_millis(1_000);
 
-/// Number of previous processes of a server whose start times are remembered, to
+/// Maximum number of previous incarnations of a server whose start times are remembered, to
 /// recognize records that arrive late.
 const MAX_PREVIOUS_START_TIMES: usize = 8;
 
@@ -33,8 +33,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum DirectoryState {
     Listed,
-    /// The record was seen to be deleted at this time. The server remains a fallback
-    /// for a while.
+    /// The record was found deleted at this time. The server remains a fallback for a while.
     Unlisted(Instant),
 }
 
@@ -43,7 +42,7 @@
     pub(super) server: Server,
     /// ID of the current run of the server's process.
     pub(super) incarnation: Id,
-    /// Start times of previous processes in Unix milliseconds, oldest first.
+    /// Start times of previous incarnations in Unix milliseconds, oldest first.
     pub(super) previous_starts_ms: Vec<u64>,
     /// Cancelled when the process has ended.
     pub(super) process_ended: CancellationToken,
@@ -62,7 +61,7 @@
     pub(super) latency: Window<LatencyRatioSum>,
     /// Estimated contents of its prompt cache, if it is an engine.
     pub(super) cache: Cache,
-    /// Whether another server answers at its address, although its record still exists.
+    /// Whether another server responds at its address, although its record still exists.
     pub(super) is_replaced: bool,
 }
 
@@ -87,8 +86,8 @@
         }
     }
 
-    /// When the warm-up of a server ends whose record was read at `read_at`. The record
-    /// was written earlier, so the actual end is never later.
+    /// When a server's warm-up ends, if its record was read at `read_at`. The record was
+    /// written earlier, so the warm-up ends no later than this.
     pub(super) fn warm_up_end(server: &Server, read_at: Instant) -> Instant {
         read_at
             .checked_add(server.remaining_warm_up)
@@ -99,25 +98,25 @@
         now >= self.warm_up_end
     }
 
-    /// Number of requests that ended there recently, over all entries.
+    /// Number of requests that ended at the server recently, over all entries.
     pub(super) fn recently_ended(&self, now: Instant) -> u32 {
         self.health.report(now).counts.requests + self.peer_load.ended
     }
 
-    /// Whether a record was written by a previous process of this server and arrived
-    /// late. Neither the order of writes in the store nor the order of start times shows
-    /// that, because clocks may be set back.
+    /// Whether a record was written by a previous incarnation of this server and arrived late.
+    /// Neither the order of writes in the store nor the order of start times shows that,
+    /// because clocks may be set back.
     pub(super) fn is_from_previous_incarnation(&self, server: &Server) -> bool {
         let started_ms = server.started_ms;
         started_ms.is_some_and(|ms| self.previous_starts_ms.contains(&ms))
     }
 
-    /// Whether a record was written by another process than the current one.
+    /// Whether a record was written by another incarnation than the current one.
     pub(super) fn is_other_incarnation(&self, server: &Server) -> bool {
         self.server.started_ms != server.started_ms
     }
 
-    /// Creates the state of the process that replaces this one.
+    /// Creates the state of the incarnation that replaces this one.
     pub(super) fn successor(&self, server: Server, read_at: Instant) -> Self {
         let mut previous_starts_ms = self.previous_starts_ms.clone();
         previous_starts_ms.extend(self.server.started_ms);
@@ -131,9 +130,9 @@
         }
     }
 
-    /// Whether an unlisted server is to be forgotten. `available_since` is when the
-    /// directory became available, or `None` if it is not: then no server expires. After
-    /// an outage, running servers get time to renew their records.
+    /// Whether an unlisted server is to be removed. `available_since` is when the directory
+    /// became available, or `None` if it is not: then no server expires. After an outage,
+    /// running servers get time to renew their records.
     pub(super) fn is_expired(&self, available_since: Option<Instant>, now: Instant) -> bool {
         let DirectoryState::Unlisted(unlisted) = self.directory_state else {
             return false;
@@ -163,7 +162,7 @@
         }
     }
 
-    /// Known number of requests in flight there, over all entries.
+    /// Known number of requests in flight at the server, over all entries.
     pub(super) fn total_in_flight(&self) -> u32 {
         self.in_flight + self.peer_load.requests
     }
@@ -195,7 +194,7 @@
         }
     }
 
-    /// Estimated share of requests that fail there, 0 to 1.
+    /// Estimated share of requests that fail at the server, 0 to 1.
     pub(super) fn failure_rate(&self, now: Instant) -> f64 {
         self.health.failure_rate(self.peer_health(), now)
     }
--- a/crates/gradedyke-gateway/src/fleet/slow_start.rs
+++ b/crates/gradedyke-gateway/src/fleet/slow_start.rs
@@ -19,8 +19,8 @@
     pub has_peer_load: bool,
     /// Requests in flight.
     pub in_flight: u32,
-    /// Requests that ended within the [window](window::BUCKET_DURATION), which is up to
-    /// two buckets long.
+    /// Requests that ended within the window, which covers one to three times
+    /// [`window::BUCKET_DURATION`].
     pub recently_ended: u32,
     /// Expected duration of a request, in milliseconds.
     pub response_ms: f64,
@@ -53,7 +53,7 @@
 /// A server that is warming up.
 #[derive(Clone, Copy, Debug)]
 pub struct WarmingServer {
-    /// Requests in flight there.
+    /// Requests in flight at the server.
     pub in_flight: u32,
     /// Hash of the request and server IDs, used as a random number.
     pub hash: u64,
@@ -64,7 +64,7 @@
     (hash as f64) < fraction * u64::MAX as f64
 }
 
-/// Indices of the candidates that may run the request, where each can handle `rate`
+/// Indices of the candidates that may run the request, where each can handle `max_rate_per_s`
 /// requests per second. `has_warm_server` says whether a server that has warmed up is
 /// available.
 ///
--- a/crates/gradedyke-gateway/src/fleet/topology.rs
+++ b/crates/gradedyke-gateway/src/fleet/topology.rs
@@ -22,7 +22,7 @@
 
 impl Topology {
     /// Whether a data centre is in one of the `allowed` regions; `None` allows all. A data
-    /// centre whose region is unknown is in none.
+    /// centre of unknown region is in none of them.
     ///
     /// ```
     /// use gradedyke_gateway::fleet::Topology;
--- a/crates/gradedyke-gateway/src/follow.rs
+++ b/crates/gradedyke-gateway/src/follow.rs
@@ -1,7 +1,7 @@
 //! Keeps a process's copy of the platform's key-value data up to date.
 //!
-//! A few keepers read the key-value service; all other processes receive the data from
-//! them, and read the service themselves only while no other process has recent data.
+//! A few keepers, the watchers, read the key-value store; all other processes receive the data
+//! from them, and read the store themselves only while no other process has recent data.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,11 +16,11 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// Time after which a keeper sends a second call while the first is still unanswered; longer
-/// than a slow but working service takes.
+/// Time after which a keeper sends a second call to the store while the first is still
+/// unanswered.
 const HEDGE_DELAY: Duration = Duration::from_millis(400);
 
-/// Poll and retry intervals of a keeper that reads the service.
+/// Poll and retry intervals of a keeper that reads the store.
 pub const KEEPER_TIMING: mirror::Timing = mirror::Timing {
     poll_interval: Duration::from_millis(100),
     hedge_delay: Some(HEDGE_DELAY),
@@ -30,7 +30,7 @@
 };
 
 /// Poll and retry intervals of an entry. They are longer than those of a keeper, because
-/// many entries retry at the same time in an outage of the service.
+/// many entries retry at the same time in an outage of the store.
 const ENTRY_TIMING: mirror::Timing = mirror::Timing {
     hedge_delay: None,
     initial_max_delay: Duration::from_millis(400),
@@ -38,7 +38,7 @@
     ..KEEPER_TIMING
 };
 
-/// Spawns one task per prefix, which reads the service as urgently as `need` says.
+/// Spawns one task per prefix, which polls the store at the intervals for the current `need`.
 fn follow(
     tasks: &mut JoinSet<()>,
     mirror: &Arc<Mirror>,
@@ -60,13 +60,13 @@
 }
 
 /// Updates the mirror of an entry: from keepers, from other entries while it cannot reach
-/// any keeper, and from the platform's service while no keeper has recent data.
+/// any keeper, and from the platform's store while no keeper has recent data.
 pub struct EntryFollower {
     /// The entry's copy of the platform's data.
     pub mirror: Arc<Mirror>,
     /// Client for the other processes.
     pub peers: Arc<dyn feed::Peers>,
-    /// Time within which a change must be in force.
+    /// Time within which a change must take effect.
     pub propagation_limit: Duration,
 }
 
@@ -102,27 +102,28 @@
     }
 }
 
-/// Updates the mirror of a keeper, from the platform's service or from another keeper.
+/// Updates the mirror of a keeper, from the platform's store or from another keeper.
 pub(crate) struct KeeperFollower {
     /// The address at which other processes reach this keeper.
     pub(crate) own_address: SocketAddr,
     /// Identity of the keeper's disk.
     pub(crate) disk: DiskId,
-    /// Keepers that read the service while the view has no members yet.
+    /// Keepers that read the store while the view has no members yet.
     pub(crate) seeds: Vec<SocketAddr>,
     /// The keeper's copy of the platform's data.
     pub(crate) mirror: Arc<Mirror>,
     /// Client for the other keepers.
     pub(crate) quorum: Arc<Quorum>,
-    /// Decides when a keeper that is not a watcher reads the service.
+    /// Decides when a keeper that is not a watcher reads the store.
     pub(crate) policy: Arc<feed::Policy>,
-    /// Decides when another watcher reads the service in place of the first one.
+    /// Decides when another watcher reads the store in place of the first one.
     pub(crate) standby: feed::Standby,
 }
 
 impl KeeperFollower {
-    /// How urgently this keeper must read the platform's service itself: as the first of the
-    /// watchers, in place of that one, or because no other process sends it recent data.
+    /// How urgently this keeper must read the store itself. The first watcher always must; the
+    /// other watchers if the first fails, and all other keepers if no process sends them recent
+    /// data. Without a view, the seeds must; without seeds, every keeper.
     fn need(&self, now: Instant) -> Need {
         let view = self.quorum.view();
         let mut watchers = view.watchers();
@@ -139,8 +140,8 @@
         }
     }
 
-    /// Keepers to ask for updates: a member asks the watchers, a spare asks the members,
-    /// the nearest first.
+    /// Keepers to ask for updates: for a member of the view its watchers, for any other keeper
+    /// the members, the nearest first.
     fn sources(&self) -> Vec<SocketAddr> {
         let view = self.quorum.view();
         let mut sources = match view.find(self.disk) {
--- a/crates/gradedyke-gateway/src/health.rs
+++ b/crates/gradedyke-gateway/src/health.rs
@@ -3,8 +3,8 @@
 //! Two signals are kept. After a connection failure, a malformed response or a timeout,
 //! the server is in *backoff*: it gets no requests while others are available.
 //! Independently, the *failure rate* is the share of its requests over the last seconds
-//! and over all entries that failed, were rejected or took far too long. Placement
-//! policies weigh it against the cost of a failure.
+//! and over all entries that failed after they were sent, were rejected or took far too long.
+//! Placement policies weigh it against the cost of a failure.
 
 use std::ops::Add;
 use std::time::Duration;
@@ -17,14 +17,13 @@
 const INITIAL_BACKOFF: Duration = Duration::from_millis(500);
 /// Upper limit on the backoff.
 const MAX_BACKOFF: Duration = Duration::from_secs(4);
-/// How long other entries are told that a server is unreachable. Short, because a server
-/// that recovers is noticed only when a request succeeds.
+/// How long other entries are told that a server is unreachable.
 const UNREACHABLE_REPORT_TTL: Duration = Duration::from_secs(2);
 /// Number of successes added to the observed requests, so that a single failure does not
 /// result in a failure rate of 1.
 const PRIOR_SUCCESSES: f64 = 3.0;
 
-/// A failure of a request that the server caused.
+/// A request failure that the server caused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
     /// The connection could not be opened, so the request has not run.
@@ -33,7 +32,7 @@
     ConnectionLost,
     /// No response before the request's deadline.
     TimedOut,
-    /// No response after several times the expected time.
+    /// No response, or no further event, within the time after which a server counts as slow.
     Slow,
     /// The server responded with an error status.
     ServerError,
@@ -167,7 +166,7 @@
         self.backoff_until.is_some_and(|until| until > now)
     }
 
-    /// Estimated share of requests that fail there, 0 to 1, including the requests that
+    /// Estimated share of requests that fail at the server, 0 to 1, including the requests that
     /// other entries reported.
     pub fn failure_rate(&self, peers: HealthReport, now: Instant) -> f64 {
         (self.recent.sum(now) + peers.counts).failure_rate()
--- a/crates/gradedyke-gateway/src/lib.rs
+++ b/crates/gradedyke-gateway/src/lib.rs
@@ -3,11 +3,18 @@
 //! A process of a deployment has one of two roles. An *entry* accepts requests from callers:
 //! it routes by host and path, chooses a backend server, enforces limits and relays the
 //! response unchanged. It stores nothing durable. A *keeper* has a disk: it stores turns and
-//! token budgets ([`gradedyke_turns`]) and passes the data of the platform's key-value
-//! service on to entries.
+//! token budgets ([`gradedyke_turns`]) and passes the data of the platform's key-value store on
+//! to entries.
 //!
 //! A *program* is a sequence of requests of one agent; a *turn* is one request of its
-//! conversation with a model.
+//! conversation with a model. An *engine* is a backend server that runs a model; a service of
+//! such servers is a *model service*, any other a *plain service*. A *tool call* is a call of a
+//! plain service by a program. A *slot* is one of the requests that a server can run at the
+//! same time.
+//!
+//! The *view* lists the keepers that store data, its *members*. The *watchers* are the members
+//! that read the platform's key-value store on behalf of all other processes. A keeper outside
+//! the view is a *spare*.
 //!
 //! The names of headers and keys are known only to the implementation of
 //! [`dialect::Dialect`], outside this crate.
--- a/crates/gradedyke-gateway/src/link.rs
+++ b/crates/gradedyke-gateway/src/link.rs
@@ -1,8 +1,8 @@
 //! Connection pool for one backend server.
 //!
-//! For a failed request it matters whether the server may have run it. It certainly has
-//! not only if the connect failed, or if the connection closed before the request was
-//! handed to it.
+//! For a failed request it matters whether the server may have run it. It is certain that the
+//! server has not run it only if connecting failed, or if the connection closed before it
+//! accepted the request.
 
 use std::io;
 use std::net::SocketAddr;
@@ -19,13 +19,11 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// Connect timeout. TCP retransmits a lost SYN only after a second; by then it is better to
-/// have tried another server.
+/// Connect timeout; shorter than TCP's wait before it retransmits a lost SYN (1 s).
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// How long sent data may stay unacknowledged (`TCP_USER_TIMEOUT`). It detects a server that
-/// lost power or its network, and leaves time for three retransmissions. The server's kernel
-/// acknowledges, so a slow server keeps its connection unless its receive buffer stays full
-/// for this long.
+/// How long sent data may stay unacknowledged (`TCP_USER_TIMEOUT`). Detects a server that is
+/// powered off or disconnected. A slow server keeps its connection, because its kernel
+/// acknowledges the data, unless its receive buffer stays full for this long.
 const TCP_USER_TIMEOUT: Duration = Duration::from_millis(700);
 /// Idle time before the first TCP keepalive probe, and interval between probes: the minimum
 /// that the socket options allow.
@@ -37,8 +35,8 @@
 /// Maximum idle time of a connection that is used for a repeatable request. It may exceed
 /// the server's idle timeout: if the server closes the connection, the request is repeated.
 const MAX_IDLE_REPEATABLE: Duration = Duration::from_millis(4_000);
-/// A connection is not used within this time before the server's idle timeout, to allow for
-/// network latency and short stalls of either side.
+/// A connection is no longer used when less than this is left until the server's idle timeout,
+/// to allow for network latency and short stalls of either side.
 const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(300);
 /// Maximum number of idle connections kept for one server.
 const MAX_IDLE_CONNECTIONS: usize = 16;
@@ -88,7 +86,7 @@
     socket.set_tcp_keepalive(&keepalive)
 }
 
-/// Idle connections to one backend server, and the means to open new ones.
+/// Idle connections to one backend server; opens new ones as needed.
 pub struct Pool {
     address: SocketAddr,
     idle: Mutex<Vec<IdleConnection>>,
@@ -165,7 +163,7 @@
     }
 
     /// Sends a request on an idle connection or a new one, and waits for the head of the
-    /// response. `repeatable` decides how long a connection may have been idle.
+    /// response. `is_repeatable` decides how long a connection may have been idle.
     ///
     /// # Errors
     ///
--- a/crates/gradedyke-gateway/src/mechanism.rs
+++ b/crates/gradedyke-gateway/src/mechanism.rs
@@ -31,7 +31,7 @@
     SharedLoad,
     /// Expected times are learned from observed ones.
     LearnedTimes,
-    /// A server that lost a request is avoided for a backoff time.
+    /// A server is avoided for a time after a connection failure or a timeout (backoff).
     Rests,
     /// A repeatable request whose response is late is also sent to another server (hedging).
     SentBeside,
--- a/crates/gradedyke-gateway/src/placement/cost.rs
+++ b/crates/gradedyke-gateway/src/placement/cost.rs
@@ -13,8 +13,7 @@
 use super::{Candidate, Policy, PolicyRegistration};
 use crate::mechanism::{Mechanism, Mechanisms};
 
-/// Chooses the server with the lowest estimated cost: waiting, work, expected failures
-/// and distance.
+/// Chooses the server with the lowest estimated cost: delay, expected failures and distance.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Cost {
     /// The terms that are included.
@@ -23,27 +22,26 @@
 
 /// Cost of using another data centre: the round trip and the price of the traffic.
 const REMOTE_DATA_CENTRE_COST_MS: f64 = 6.0;
-/// Cost saved by reusing an idle connection. Less than the duration of a call to a
-/// plain service, so that it never outweighs a queue.
+/// Cost saved by reusing an idle connection.
 const IDLE_CONNECTION_SAVING_MS: f64 = 15.0;
 
 /// Slowness up to which a server is treated as normal: response lengths differ, so the
 /// average of a few responses varies by chance.
 const SLOWNESS_TOLERANCE_RATIO: f64 = 1.5;
 
-/// Cost of losing a call to a plain service that cannot be repeated: its program fails.
+/// Cost of a failed tool call that cannot be repeated: its program fails.
 const NON_REPEATABLE_FAILURE_MS: f64 = 5_000.0;
-/// Cost of losing a turn: the caller has waited in vain and has to send it again.
+/// Cost of a failed turn: the caller has waited in vain and has to send it again.
 const TURN_FAILURE_MS: f64 = 1_500.0;
-/// Cost of losing a request that can be retried on another server.
+/// Cost of a failed request that can be retried on another server.
 const REPEATABLE_FAILURE_MS: f64 = 200.0;
 
-/// Number of engines without any of the prompt that are considered. Load reports are
-/// slightly out of date, so if all entries considered all engines, they would send
-/// new prompts to the same few idle engines at once.
+/// Maximum number of considered engines that have cached none of the prompt. Load reports are
+/// slightly out of date, so if all entries considered all engines, they would send new prompts
+/// to the same few idle engines at once.
 const MAX_SAMPLED_ENGINES: usize = 8;
-/// How many of the sampled engines are taken from the local data centre first, because
-/// remote ones cost more.
+/// Maximum number of engines that are sampled from the local data centre alone, before the rest
+/// is sampled from all.
 const MAX_SAMPLED_LOCAL_ENGINES: usize = 4;
 
 impl Cost {
@@ -68,7 +66,7 @@
         considered
     }
 
-    /// Expected cost of a failure, in milliseconds.
+    /// Expected cost of failures, in milliseconds.
     fn expected_failure_ms(candidate: &Candidate) -> f64 {
         let failure_ms = match (candidate.is_engine, candidate.is_repeatable) {
             (true, _) => TURN_FAILURE_MS,
@@ -78,7 +76,7 @@
         candidate.failure_rate * failure_ms
     }
 
-    /// Delay in milliseconds for this request and the requests that run beside it.
+    /// Delay in milliseconds for this request and the requests that run concurrently with it.
     fn delay_ms(self, candidate: &Candidate) -> f64 {
         let term = |mechanism, value| self.mechanisms.value_if_enabled(mechanism, value);
         let times = &candidate.times;
--- a/crates/gradedyke-gateway/src/placement/mod.rs
+++ b/crates/gradedyke-gateway/src/placement/mod.rs
@@ -19,7 +19,7 @@
 /// A server that could run the request, as a policy sees it.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
-    /// Requests in flight there, from this entry and as reported by others.
+    /// Requests in flight at the server, from this entry and as reported by others.
     pub in_flight: u32,
     /// Number of requests it runs concurrently.
     pub slots: u32,
@@ -38,7 +38,7 @@
     pub slowness: f64,
     /// Whether the request may be run more than once.
     pub is_repeatable: bool,
-    /// Expected share of requests that fail there, 0 to 1.
+    /// Expected share of requests that fail at the server, 0 to 1.
     pub failure_rate: f64,
     /// Hash of the request and server IDs, to break ties and draw samples.
     pub hash: u64,
@@ -50,7 +50,7 @@
         wait_ms(self.in_flight, self.slots, &self.times)
     }
 
-    /// Number of other requests that run beside this one once it has started.
+    /// Number of other requests that run concurrently with this one once it has started.
     pub fn concurrent(&self) -> u32 {
         concurrent(self.in_flight, self.slots)
     }
--- a/crates/gradedyke-gateway/src/process.rs
+++ b/crates/gradedyke-gateway/src/process.rs
@@ -1,4 +1,4 @@
-//! Starts, drains and stops a gateway process, either an entry or a keeper.
+//! Starts, drains and stops a process, either an entry or a keeper.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -38,14 +38,14 @@
 pub struct Environment {
     /// Decodes and encodes the formats of callers, backend servers and the platform.
     pub dialect: Arc<dyn Dialect>,
-    /// The platform's key-value service.
+    /// The platform's key-value store.
     pub kv: Arc<dyn KeyValue>,
 }
 
-/// Interval at which an entry expires vanished servers and reconnects to keepers.
+/// Interval at which an entry removes expired servers and reconnects to keepers.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(250);
 /// Time until the load balancer notices that an entry is draining: it polls every second and
-/// needs two negative answers in a row.
+/// needs two negative responses in a row.
 const BALANCER_NOTICE_DELAY: Duration = Duration::from_millis(2_300);
 /// Part of the grace period that is reserved for the shutdown itself.
 const SHUTDOWN_RESERVE: Duration = Duration::from_millis(400);
--- a/crates/gradedyke-gateway/src/settings.rs
+++ b/crates/gradedyke-gateway/src/settings.rs
@@ -41,7 +41,8 @@
     pub name: String,
     /// The data centre that the instance runs in.
     pub data_centre: String,
-    /// All data centres of the deployment. The members are spread evenly over them.
+    /// All data centres of the deployment. The keepers that store data are spread evenly over
+    /// them.
     #[serde(default)]
     pub data_centres: Vec<String>,
     /// The region of each data centre. Routes and client accounts may be restricted to
@@ -50,7 +51,7 @@
     pub regions: HashMap<String, String>,
     /// Addresses to listen on.
     pub listen: Listen,
-    /// Address of the platform's key-value service.
+    /// Address of the platform's key-value store.
     pub platform: SocketAddr,
     /// Keepers to contact at the start; some may no longer exist.
     #[serde(default)]
@@ -71,7 +72,7 @@
     /// milliseconds.
     #[serde(default = "default_drain_ms")]
     pub drain_ms: u64,
-    /// Maximum time from the confirmation of a configuration change until it is in force at
+    /// Maximum time from the confirmation of a configuration change until it is in effect at
     /// every entry, in milliseconds.
     #[serde(default = "default_in_force_ms")]
     pub in_force_ms: u64,
@@ -137,8 +138,8 @@
 /// Minimum of `grace_s`, in seconds.
 const MIN_GRACE_S: f64 = 1.0;
 
-/// Minimum of `allowance_window_s`, in seconds: much longer than it takes until other entries
-/// know what an entry has admitted.
+/// Minimum of `allowance_window_s`, in seconds. The window must be much longer than the
+/// exchange of usage between entries takes.
 const MIN_ALLOWANCE_WINDOW_S: f64 = 1.0;
 
 /// Minimum of `revocation_ms`, in milliseconds. An entry's data may be 2 s old in normal
@@ -181,13 +182,13 @@
         {
             return Err(source.error(
                 "revocation_ms",
-                "shorter than changes take to reach an entry; set 3000 or more",
+                "shorter than the time that a change takes to reach an entry; set 3000 or more",
             ));
         }
         if settings.allowance_window_s < MIN_ALLOWANCE_WINDOW_S {
             return Err(source.error(
                 "allowance_window_s",
-                "shorter than entries need to exchange their usage; set 1 or more",
+                "too short for entries to exchange their usage; set 1 or more",
             ));
         }
         let policies = placement::policies(Mechanisms::default());
@@ -212,9 +213,10 @@
         Duration::from_secs_f64(self.allowance_window_s)
     }
 
-    /// Time within which any change in the platform's service must be in force: the shortest
-    /// of the configured times, but at least 2 s. Half of `revocation_ms` is used, because an
-    /// entry must also confirm that its data is current, which takes as long again.
+    /// Time within which any change in the platform's store must take effect: the shortest of
+    /// the configured times, but at least `MIN_PROPAGATION_LIMIT_MS`. Only half of
+    /// `revocation_ms` counts, because the entry needs the same time again to confirm that its
+    /// data is current.
     ///
     /// ```
     /// use gradedyke_gateway::settings::Settings;
--- a/crates/gradedyke-gateway/src/throttle.rs
+++ b/crates/gradedyke-gateway/src/throttle.rs
@@ -1,11 +1,11 @@
 //! Admission of new programs while the keepers are overloaded.
 //!
-//! A program succeeds only if each of its turns is admitted. Keepers that refuse turns at
-//! random therefore fail the longest programs most often, and the work done for them is
-//! wasted. When keepers refuse turns because of overload, an entry admits fewer new
-//! programs, and running programs continue. The share of refused turns is the feedback
-//! signal: it falls as fewer programs start, so no capacity has to be configured.
-//! `tests/overload.rs` simulates this under several loads.
+//! A program succeeds only if each of its turns is admitted. If keepers refuse turns at random,
+//! the longest programs therefore fail most often, and the work done for them is wasted. When
+//! keepers refuse turns because of overload, an entry admits fewer new programs, and running
+//! programs continue. The share of refused turns is the feedback signal: it falls as fewer
+//! programs start, so no capacity has to be configured. `tests/overload.rs` simulates this
+//! under several loads.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -17,21 +17,18 @@
 
 use crate::entry::refusal::MIN_RETRY_AFTER;
 
-/// Half-life of the counts of admitted and refused turns: two retry intervals of a refused
-/// caller, so that the throttle reacts to a burst within its first second.
+/// Half-life of the counts of admitted and refused turns.
 const COUNT_HALF_LIFE: Duration = Duration::from_millis(500);
 /// Admitted turns added to the actual count, so that a single refusal does not throttle.
 const PRIOR_ADMITTED_TURNS: f64 = 2.0;
-/// Share of refused turns above which fewer programs are admitted. Callers retry a refused
-/// turn up to twice, so at this share one turn in a thousand fails.
+/// Share of refused turns above which fewer programs are admitted.
 const TOLERATED_REFUSAL_RATIO: f64 = 0.1;
-/// Share of refused turns from which on only [`MIN_ADMISSION_RATIO`] of programs are
+/// Share of refused turns at and above which only [`MIN_ADMISSION_RATIO`] of programs are
 /// admitted.
 const MAX_REFUSAL_RATIO: f64 = 0.5;
-/// Duration of an exchange above which keepers count as overloaded: half the timeout of
-/// the exchange that begins a turn.
+/// Duration of an exchange with the keepers above which they count as overloaded.
 const SLOW_EXCHANGE_THRESHOLD: Duration = Duration::from_millis(150);
-/// How long a pressure reported by keepers is used: two retry intervals of a refused caller.
+/// How long a pressure (share of refused turns) reported by keepers is used.
 const PRESSURE_TTL: Duration = Duration::from_millis(1_000);
 /// Share of programs that are always admitted, to detect when the keepers have recovered.
 const MIN_ADMISSION_RATIO: f64 = 0.05;
@@ -58,7 +55,7 @@
     }
 }
 
-/// Hashes a program's name to a number in `0.0..1.0`, the same at every entry.
+/// Hashes a program's ID to a number in `0.0..1.0`, the same at every entry.
 ///
 /// ```
 /// use gradedyke_gateway::throttle;
@@ -83,9 +80,9 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Records that keepers admitted a turn, and how long the exchange took. A slow
-    /// exchange counts as a refusal: it is an earlier sign of overload, while refusals
-    /// already fail running programs.
+    /// Records that keepers admitted a turn, and how long the exchange took. A slow exchange
+    /// counts as a refusal, because it shows overload before keepers refuse turns and running
+    /// programs fail.
     pub fn record_admitted(&self, elapsed: Duration, now: Instant) {
         if elapsed > SLOW_EXCHANGE_THRESHOLD {
             return self.record_refused(now);
@@ -98,8 +95,8 @@
         self.lock().refused.increment(COUNT_HALF_LIFE, now);
     }
 
-    /// Records the pressure that keepers reported at `at`. Keepers see the turns of all
-    /// entries; one entry alone may see too few for a useful ratio.
+    /// Records the pressure (share of refused turns) that keepers reported at `at`. Keepers see
+    /// the turns of all entries; one entry alone may see too few for a useful ratio.
     pub fn record_pressure(&self, pressure: Pressure, at: Instant) {
         self.lock().reported = Some((pressure, at));
     }
@@ -122,8 +119,8 @@
         ratio.clamp(MIN_ADMISSION_RATIO, 1.0)
     }
 
-    /// Whether a program is admitted. `fraction` is the program's number in `0.0..1.0`, either
-    /// random or from [`hash_fraction`].
+    /// Whether a program is admitted. `fraction`, in `0.0..1.0`, is random or from
+    /// [`hash_fraction`].
     pub fn admits(&self, fraction: f64, now: Instant) -> bool {
         fraction < self.admission_ratio(now)
     }
--- a/crates/gradedyke-gateway/src/window.rs
+++ b/crates/gradedyke-gateway/src/window.rs
@@ -5,11 +5,12 @@
 
 use tokio::time::Instant;
 
-/// Duration of one bucket. A window has two buckets, so a sum covers at least this and
-/// less than twice this.
+/// Duration of one bucket. A window has two buckets, so a sum covers at least this and less
+/// than three times this. A bucket starts with the first value that is added after the previous
+/// one has ended.
 pub const BUCKET_DURATION: Duration = Duration::from_secs(3);
 
-/// A sum over the last [`BUCKET_DURATION`] to twice that, kept in two buckets.
+/// A sum over the last one to three [`BUCKET_DURATION`]s, kept in two buckets.
 #[derive(Clone, Debug, Default)]
 pub struct Window<T> {
     /// When the current bucket started.
--- a/crates/gradedyke-gateway/tests/allowance.rs
+++ b/crates/gradedyke-gateway/tests/allowance.rs
@@ -34,7 +34,7 @@
     other_demand: f64,
 }
 
-/// A request that waits for the keepers' answer.
+/// A request that waits for the keepers' response.
 struct PendingReport {
     arrival_ms: u64,
     entry: usize,
@@ -165,6 +165,7 @@
 
     fn send_request(&mut self, index: usize, ms: u64) {
         let program = &self.programs[index];
+        // Turns and tool calls alternate.
         let (is_program_start, is_turn) = (
             program.remaining == REQUESTS_PER_PROGRAM,
             program.remaining.is_multiple_of(2),
@@ -192,13 +193,13 @@
                     report,
                     snapshot,
                 });
-                // The program sends nothing else until the answer arrives.
+                // The program sends nothing else until the response arrives.
                 self.programs[index].next_ms = u64::MAX;
             }
         }
     }
 
-    /// Delivers the reports that are due to the keepers, and decides by their answers.
+    /// Delivers the reports that are due to the keepers, and decides by their responses.
     fn deliver_reports(&mut self, ms: u64) {
         for _ in 0..self.pending.len() {
             let Some(pending) = self.pending.pop_front() else {
@@ -389,7 +390,7 @@
 async fn restarted_keepers_restore_usage_from_disk() {
     let limit = limit(LOADS[1].requests_per_s);
     for seed in 0..4 {
-        // Requests admitted after the last save are lost.
+        // Usage since the last save is lost.
         let restored = max_requests_around_restart(seed, true);
         assert!(restored <= limit * 11 / 10, "{restored} of {limit}");
         let unrestored = max_requests_around_restart(seed, false);
@@ -429,6 +430,7 @@
     counter.add(3, one);
     counter.add(4, one);
     assert_eq!(counter.window_buckets(4), [one, one]);
+    // The current bucket is incomplete, so `BUCKETS_PER_WINDOW + 1` buckets are kept.
     assert_eq!(counter.window_buckets(23).len(), 21);
     assert_eq!(counter.window_buckets(24).len(), 21);
     assert_eq!(counter.window_buckets(25), []);
--- a/crates/gradedyke-gateway/tests/follow/main.rs
+++ b/crates/gradedyke-gateway/tests/follow/main.rs
@@ -1,4 +1,4 @@
-//! Simulates entries, a keeper and the key-value service in virtual time, and checks that a
+//! Simulates entries, a keeper and the key-value store in virtual time, and checks that a
 //! configuration change reaches every entry in time while keepers or the service fail.
 //!
 //! Guards against entries that pass the same data around among themselves, take it for a
@@ -25,8 +25,7 @@
 const PROPAGATION_LIMIT: Duration = Duration::from_secs(2);
 /// How long after the end of an outage of the service all entries must be up to date.
 const RECOVERY_TIME: Duration = Duration::from_secs(3);
-/// Time within which entries must detect that the service answers again; callers retry for
-/// about as long.
+/// Time within which entries must detect that the service responds again.
 const DETECTION_TIME: Duration = Duration::from_secs(1);
 /// Interval at which the state of the entries is checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
--- a/crates/gradedyke-gateway/tests/follow/network.rs
+++ b/crates/gradedyke-gateway/tests/follow/network.rs
@@ -17,7 +17,7 @@
 /// Number of neighbours that a keeper reports to an entry.
 const NEIGHBOUR_COUNT: usize = 8;
 
-/// How calls to a lost process fail.
+/// How calls to a failed process fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
     /// Calls time out, as if the machine had lost power.
@@ -157,7 +157,7 @@
         timeout: Duration,
     ) -> Result<Reply, Error> {
         let reply = self.exchange(peer, request, timeout).await;
-        // A process that was lost during the call does not answer it.
+        // A process that failed during the call does not respond to it.
         let reply = match (reply, self.network.failure(peer)) {
             (Ok(_), Some(_)) => Err(gradedyke_peer::Error::Broken(peer).into()),
             (reply, _) => reply,
--- a/crates/gradedyke-gateway/tests/follow/service.rs
+++ b/crates/gradedyke-gateway/tests/follow/service.rs
@@ -1,4 +1,4 @@
-//! Simulated key-value service of the platform that holds one key, in virtual time.
+//! Simulated key-value store of the platform that holds one key, in virtual time.
 
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
--- a/crates/gradedyke-gateway/tests/overload.rs
+++ b/crates/gradedyke-gateway/tests/overload.rs
@@ -200,8 +200,8 @@
         self.busy_until_ms - ms
     }
 
-    /// Sends the keepers a request to begin a turn. Returns the time until it has begun, or as
-    /// an error until it is refused or abandoned, in milliseconds.
+    /// Sends the keepers a request to begin a turn. Returns the time until it has begun or, as
+    /// the error, until it is refused or abandoned, in milliseconds.
     fn begin_turn(&mut self, first: bool, ms: f64) -> Result<f64, f64> {
         let queue_ms = (self.busy_until_ms - ms).max(0.0);
         let now = self.instant(ms);
--- a/crates/gradedyke-gateway/tests/placement.rs
+++ b/crates/gradedyke-gateway/tests/placement.rs
@@ -46,7 +46,7 @@
         // Both engines have a queue, so moving only adds work.
         (20, 12, 2_000, "first"),
         (24, 16, 2_000, "first"),
-        // The holder has a long queue and the other engine has free slots.
+        // The caching engine has a long queue and the other engine has free slots.
         (28, 0, 2_000, "second"),
         (40, 14, 600, "second"),
     ];
