--- a/crates/gradedyke-gateway/src/allowance.rs
+++ b/crates/gradedyke-gateway/src/allowance.rs
@@ -49,16 +49,16 @@
     limit.clamp(0.0, f64::from(u32::MAX)) as u32
 }
 
-/// A request that was counted against the allowance of its account.
+/// A request that was charged to the allowance of its account.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Charge {
     /// The request's account.
     pub account: usage::AccountHash,
     /// Maximum number of requests of the account in a window.
     pub limit: u32,
-    /// What the request adds to the usage of the account.
+    /// How much the request adds to the usage of the account.
     pub amount: Total,
-    /// Number of the window's bucket in which it was counted.
+    /// Number of the window's bucket to which it was charged.
     bucket: u64,
 }
 
@@ -202,9 +202,9 @@
             .unwrap_or_default()
     }
 
-    /// Counts a request of an account; returns `None` if the account has no limit.
-    /// `planned` is the number of requests that the program is expected to need if the
-    /// request starts one, and 0 otherwise.
+    /// Charges a request to its account; returns `None` if the account has no limit. `planned`
+    /// is the number of requests that the program is expected to need if the request starts
+    /// one, and 0 otherwise.
     pub fn charge(&self, account: &Account, planned: u32, now: Instant) -> Option<Charge> {
         let limit = limit(account.allowance.as_ref()?, self.window);
         let charge = Charge {
@@ -225,7 +225,7 @@
         Some(charge)
     }
 
-    /// Removes a request that was counted but has not run.
+    /// Refunds a request that was charged but has not run.
     pub fn refund(&self, charge: &Charge) {
         let mut accounts = self.lock();
         let Some(account_usage) = accounts.get_mut(&charge.account) else {
--- a/crates/gradedyke-gateway/src/demand.rs
+++ b/crates/gradedyke-gateway/src/demand.rs
@@ -37,8 +37,8 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Records a turn. `starts_program` says whether it is the first of its program.
-    pub fn record_turn(&self, route: &str, starts_program: bool, now: Instant) {
+    /// Records a turn. `is_program_start` says whether it is the first of its program.
+    pub fn record_turn(&self, route: &str, is_program_start: bool, now: Instant) {
         let mut counts = self.lock();
         counts.turns.increment(HALF_LIFE, now);
         if !counts.routes.contains_key(route) {
@@ -50,7 +50,7 @@
             return;
         };
         route.turns.increment(HALF_LIFE, now);
-        if starts_program {
+        if is_program_start {
             route.started.increment(HALF_LIFE, now);
         }
     }
--- a/crates/gradedyke-gateway/src/entry/admission.rs
+++ b/crates/gradedyke-gateway/src/entry/admission.rs
@@ -25,13 +25,13 @@
 const MAX_BACKOFF: Duration = Duration::from_millis(400);
 
 impl Entry {
-    /// Counts a request, if its account is limited. The first turn of a program also counts
-    /// the requests that the program is expected to need.
+    /// Charges a request to its account, if that is limited. The first turn of a program is
+    /// also charged with the requests that the program is expected to need.
     ///
     /// # Errors
     ///
     /// [`Refusal::AllowanceExceeded`] if the request is known to exceed the allowance.
-    pub(super) fn count_request(
+    pub(super) fn charge_request(
         &self,
         account: Option<&Account>,
         route: &Route,
--- a/crates/gradedyke-gateway/src/entry/mod.rs
+++ b/crates/gradedyke-gateway/src/entry/mod.rs
@@ -329,7 +329,7 @@
             .choose_service(affinity_id)
             .ok_or(Refusal::NoServer)?
             .to_owned();
-        let charge = self.count_request(account.as_deref(), &route, &meta, arrived)?;
+        let charge = self.charge_request(account.as_deref(), &route, &meta, arrived)?;
         let regions = Call::allowed_regions(&route, account.as_deref());
         Ok(Call {
             id,
--- a/crates/gradedyke-gateway/src/fleet/mod.rs
+++ b/crates/gradedyke-gateway/src/fleet/mod.rs
@@ -51,7 +51,7 @@
     /// Its ID, which it keeps when it restarts.
     pub id: Id,
     /// When its process started, in Unix milliseconds, if recorded. Only distinguishes
-    /// processes of the same server; clocks may be set back, so it defines no order.
+    /// incarnations of the same server; clocks may be set back, so it defines no order.
     pub started_ms: Option<u64>,
     /// The service it belongs to.
     pub service: String,
--- a/crates/gradedyke-gateway/tests/follow/main.rs
+++ b/crates/gradedyke-gateway/tests/follow/main.rs
@@ -1,11 +1,11 @@
 //! Simulates entries, a keeper and the key-value store in virtual time, and checks that a
-//! configuration change reaches every entry in time while keepers or the service fail.
+//! configuration change reaches every entry in time while keepers or the store fail.
 //!
 //! Guards against entries that pass the same data around among themselves, take it for a
-//! recent update, and all stop reading the service.
+//! recent update, and all stop reading the store.
 
 mod network;
-mod service;
+mod store;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,16 +16,16 @@
 use gradedyke_platform::kv::KeyValue;
 use gradedyke_turns::mirror::{self, Mirror, Need};
 use network::{Failure, Network, PeerClient};
-use service::{Client, Outage, Service};
+use store::{Client, Outage, Store};
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
 /// Time within which a confirmed change must be in force everywhere.
 const PROPAGATION_LIMIT: Duration = Duration::from_secs(2);
-/// How long after the end of an outage of the service all entries must be up to date.
+/// How long after the end of an outage of the store all entries must be up to date.
 const RECOVERY_TIME: Duration = Duration::from_secs(3);
-/// Time within which entries must detect that the service responds again.
+/// Time within which entries must detect that the store responds again.
 const DETECTION_TIME: Duration = Duration::from_secs(1);
 /// Interval at which the state of the entries is checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
@@ -40,10 +40,10 @@
     Duration::from_millis(ms)
 }
 
-/// A simulated deployment: the service, a keeper that reads it, and entries.
+/// A simulated deployment: the store, a keeper that reads it, and entries.
 struct Deployment {
-    service: Arc<Service>,
-    /// Whether the keeper is cut off from the service.
+    store: Arc<Store>,
+    /// Whether the keeper is cut off from the store.
     keeper_cut_off: Arc<AtomicBool>,
     network: Arc<Network>,
     entries: Vec<Arc<Mirror>>,
@@ -54,7 +54,7 @@
 impl Deployment {
     fn start(entries: u16) -> Self {
         let mut deployment = Self {
-            service: Service::new(Instant::now()),
+            store: Store::new(Instant::now()),
             keeper_cut_off: Arc::default(),
             network: Arc::new(Network::default()),
             entries: Vec::new(),
@@ -71,7 +71,7 @@
     fn add_keeper(&mut self) {
         let mirror = Mirror::new(&[""]);
         self.network.add(address(1), mirror.clone(), true);
-        let client = Client::new(self.service.clone());
+        let client = Client::new(self.store.clone());
         self.keeper_cut_off = client.cut_off.clone();
         let (kv, stop) = (Arc::new(client), self.stop.clone());
         let need = || Need::High;
@@ -88,7 +88,7 @@
             own_address,
             cut_off: AtomicBool::new(false),
         };
-        let kv: Arc<dyn KeyValue> = Arc::new(Client::new(self.service.clone()));
+        let kv: Arc<dyn KeyValue> = Arc::new(Client::new(self.store.clone()));
         let (network, stop) = (self.network.clone(), self.stop.clone());
         let follower = follow::EntryFollower {
             mirror,
@@ -102,11 +102,11 @@
     /// Longest time since the confirmation of a change that some entry has not received.
     fn lag(&self) -> Duration {
         let now = Instant::now();
-        let lags = self.entries.iter().map(|m| self.service.lag(m, now));
+        let lags = self.entries.iter().map(|m| self.store.lag(m, now));
         lags.max().unwrap_or_default()
     }
 
-    /// Waits until every entry's data was confirmed by a call to the service made after now,
+    /// Waits until every entry's data was confirmed by a call to the store made after now,
     /// and returns how long that took.
     async fn time_until_confirmed(&self) -> Duration {
         let since = Instant::now();
@@ -126,7 +126,7 @@
             tokio::time::sleep(POLL_INTERVAL).await;
             worst = worst.max(self.lag());
             if Instant::now() >= next_change {
-                self.service.change(Instant::now());
+                self.store.change(Instant::now());
                 next_change += interval;
             }
         }
@@ -194,9 +194,9 @@
         deployment.network.set_keeper_failure(Some(Failure::Silent));
         for outage_ms in [1_000, 3_000, 6_000, 12_000, 20_000].repeat(5) {
             deployment.run_for(ms(2_000), ms(500)).await;
-            deployment.service.set_outage(Some(Outage::Silent));
+            deployment.store.set_outage(Some(Outage::Silent));
             deployment.run_for(ms(outage_ms), ms(500)).await;
-            deployment.service.set_outage(None);
+            deployment.store.set_outage(None);
             deployment.run_for(RECOVERY_TIME, ms(500)).await;
             let lag = deployment.lag();
             assert!(
@@ -208,20 +208,20 @@
 }
 
 /// Guards against a retry storm: during an outage entries retry rarely, since the keeper
-/// retries too and tells them when the service is back.
+/// retries too and tells them when the store is back.
 #[tokio::test(start_paused = true)]
 async fn entries_retry_rarely_in_an_outage_while_a_keeper_is_up() {
     let entries = ENTRY_COUNTS[1];
     let deployment = Deployment::start(entries);
     deployment.run_for(ms(5_000), ms(500)).await;
-    let calls = || deployment.service.calls.load(Ordering::Relaxed);
+    let calls = || deployment.store.calls.load(Ordering::Relaxed);
     let before = calls();
-    deployment.service.set_outage(Some(Outage::Refusing));
+    deployment.store.set_outage(Some(Outage::Refusing));
     deployment.run_for(ms(6_000), ms(500)).await;
     // Each entry calls at most every 1.25 s once its data is 1.8 s old; the keeper every 0.4 s.
     let max_calls = usize::from(entries) * 5 + 20;
     assert!(calls() - before <= max_calls, "{} calls", calls() - before);
-    deployment.service.set_outage(None);
+    deployment.store.set_outage(None);
     deployment.run_for(RECOVERY_TIME, ms(500)).await;
     assert!(
         deployment.lag() <= PROPAGATION_LIMIT,
@@ -231,17 +231,17 @@
 }
 
 /// Guards against entries that keep waiting for unanswered calls, and refuse requests, after
-/// the service has recovered.
+/// the store has recovered.
 #[tokio::test(start_paused = true)]
-async fn entries_soon_detect_that_a_silent_service_answers_again() {
+async fn entries_soon_detect_that_a_silent_store_responds_again() {
     let deployment = Deployment::start(ENTRY_COUNTS[1]);
     deployment.run_for(ms(5_000), ms(500)).await;
     for phase in 0..20 {
-        deployment.service.set_outage(Some(Outage::Silent));
+        deployment.store.set_outage(Some(Outage::Silent));
         deployment
             .run_for(ms(6_000 + 170 * phase), ms(60_000))
             .await;
-        deployment.service.set_outage(None);
+        deployment.store.set_outage(None);
         let detection_time = deployment.time_until_confirmed().await;
         assert!(
             detection_time <= DETECTION_TIME,
@@ -251,18 +251,18 @@
     }
 }
 
-/// After the service has compacted its history, watches fail and a full listing is needed.
+/// After the store has compacted its history, watches fail and a full listing is needed.
 /// The keeper lists for all entries; without a keeper each entry does.
 #[tokio::test(start_paused = true)]
 async fn the_keeper_lists_for_entries_after_a_compaction() {
     for entries in ENTRY_COUNTS {
         let deployment = Deployment::start(entries);
         deployment.run_for(ms(5_000), ms(500)).await;
-        let listings = || deployment.service.listings.load(Ordering::Relaxed);
+        let listings = || deployment.store.listings.load(Ordering::Relaxed);
         let before = listings();
-        // The keeper is cut off for so long that entries read the service themselves.
+        // The keeper is cut off for so long that entries read the store themselves.
         deployment.keeper_cut_off.store(true, Ordering::Relaxed);
-        deployment.service.compact();
+        deployment.store.compact();
         deployment.run_for(ms(4_000), ms(250)).await;
         deployment.keeper_cut_off.store(false, Ordering::Relaxed);
         deployment.run_for(RECOVERY_TIME, ms(250)).await;
@@ -271,7 +271,7 @@
         deployment
             .network
             .set_keeper_failure(Some(Failure::Refused));
-        deployment.service.compact();
+        deployment.store.compact();
         deployment.run_for(RECOVERY_TIME, ms(250)).await;
         assert!(
             deployment.lag() <= PROPAGATION_LIMIT,
@@ -280,13 +280,13 @@
     }
 }
 
-/// Guards against all entries listing the whole service at once when they lose their keepers.
+/// Guards against all entries listing the whole store at once when they lose their keepers.
 #[tokio::test(start_paused = true)]
 async fn entries_that_lose_their_keepers_continue_without_listing() {
     for entries in ENTRY_COUNTS {
         let deployment = Deployment::start(entries);
         deployment.run_for(ms(5_000), ms(500)).await;
-        let listings = || deployment.service.listings.load(Ordering::Relaxed);
+        let listings = || deployment.store.listings.load(Ordering::Relaxed);
         let before = listings();
         for failure in [Failure::Silent, Failure::Refused] {
             deployment.network.set_keeper_failure(Some(failure));
--- a/crates/gradedyke-gateway/tests/follow/service.rs
+++ b/crates/gradedyke-gateway/tests/follow/store.rs
@@ -21,7 +21,7 @@
 /// Time after which a client gives up an unanswered call.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// How calls to the service fail.
+/// How calls to the store fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outage {
     /// Calls are not answered.
@@ -30,8 +30,8 @@
     Refusing,
 }
 
-/// The service. The value of the configuration is the revision that wrote it.
-pub struct Service {
+/// The store. The value of the configuration is the revision that wrote it.
+pub struct Store {
     /// Times at which changes were confirmed; their number is the revision.
     changes: watch::Sender<Vec<Instant>>,
     outage: Mutex<Option<Outage>>,
@@ -43,8 +43,8 @@
     pub listings: AtomicUsize,
 }
 
-impl Service {
-    /// Creates a service whose first configuration was confirmed at `now`.
+impl Store {
+    /// Creates a store whose first configuration was confirmed at `now`.
     pub fn new(now: Instant) -> Arc<Self> {
         Arc::new(Self {
             changes: watch::Sender::new(vec![now]),
@@ -92,26 +92,26 @@
     }
 }
 
-/// The client of one process for the service.
+/// The client of one process for the store.
 #[derive(Clone)]
 pub struct Client {
-    service: Arc<Service>,
-    /// Whether the process is cut off from the service.
+    store: Arc<Store>,
+    /// Whether the process is cut off from the store.
     pub cut_off: Arc<AtomicBool>,
 }
 
 impl Client {
-    /// Creates a client that can reach `service`.
-    pub fn new(service: Arc<Service>) -> Self {
+    /// Creates a client that can reach `store`.
+    pub fn new(store: Arc<Store>) -> Self {
         let cut_off = Arc::default();
-        Self { service, cut_off }
+        Self { store, cut_off }
     }
 
     /// Simulates a call, which fails in an outage or while the process is cut off.
     async fn call(&self) -> Result<(), Error> {
-        self.service.calls.fetch_add(1, Ordering::Relaxed);
+        self.store.calls.fetch_add(1, Ordering::Relaxed);
         let cut_off = self.cut_off.load(Ordering::Relaxed);
-        let outage = *self.service.outage.lock().unwrap();
+        let outage = *self.store.outage.lock().unwrap();
         match outage.or(cut_off.then_some(Outage::Silent)) {
             None => {
                 tokio::time::sleep(CALL_LATENCY).await;
@@ -121,7 +121,7 @@
                 tokio::time::sleep(CALL_TIMEOUT).await;
                 Err(Error::Unknown("call timed out".to_owned()))
             }
-            Some(Outage::Refusing) => Err(Error::Unavailable("service unavailable".to_owned())),
+            Some(Outage::Refusing) => Err(Error::Unavailable("store unavailable".to_owned())),
         }
     }
 }
@@ -139,11 +139,11 @@
     }
 
     async fn list(&self, _prefix: &str) -> Result<Listing, Error> {
-        self.service.listings.fetch_add(1, Ordering::Relaxed);
+        self.store.listings.fetch_add(1, Ordering::Relaxed);
         self.call().await?;
-        let revision = self.service.revision();
+        let revision = self.store.revision();
         Ok(Listing {
-            entries: vec![Service::entry(revision)],
+            entries: vec![Store::entry(revision)],
             revision: Revision::try_from(revision).unwrap(),
         })
     }
@@ -183,8 +183,8 @@
 #[async_trait]
 impl Watch for ChangeWatch {
     async fn next(&mut self) -> Result<Vec<Event>, Error> {
-        let service = self.client.service.clone();
-        let mut changes = service.changes.subscribe();
+        let store = self.client.store.clone();
+        let mut changes = store.changes.subscribe();
         let known = self.known;
         let changed = changes.wait_for(|changes| changes.len() > known);
         // Without a change the call returns an empty result after this time.
@@ -195,14 +195,14 @@
         };
         let _ = tokio::time::timeout(wait, changed).await;
         self.client.call().await?;
-        if self.known < service.compacted.load(Ordering::Relaxed) {
+        if self.known < store.compacted.load(Ordering::Relaxed) {
             return Err(Error::Compacted);
         }
-        let revision = service.revision();
+        let revision = store.revision();
         if revision == self.known {
             return Ok(Vec::new());
         }
         self.known = revision;
-        Ok(vec![Event::Put(Service::entry(revision))])
+        Ok(vec![Event::Put(Store::entry(revision))])
     }
 }
