--- a/crates/gradedyke-gateway/src/allowance.rs
+++ b/crates/gradedyke-gateway/src/allowance.rs
@@ -1,16 +1,15 @@
 //! Rate limits of client accounts, enforced over all entries together.
 //!
 //! Each entry counts the requests that it admits and reports them to the keepers, which
-//! answer with the sum over all entries ([`gradedyke_turns::usage`]). A turn exchanges
-//! messages with the keepers before it starts anyway, so it is admitted by a sum that
-//! already includes it. A tool call has no such exchange: it is admitted by the last
-//! known sum if that is recent and well below the limit, and otherwise the entry asks
-//! the keepers first. This bounds how far requests that the sum does not include yet can
-//! exceed the limit.
+//! answer with the sum over all entries ([`gradedyke_turns::usage`]). A turn contacts the
+//! keepers before it starts in any case, so the sum by which it is admitted already includes
+//! it. A tool call does not contact them: it is admitted by the last known sum if that is
+//! recent and well below the limit, and otherwise the entry asks the keepers first. This bounds
+//! the excess over the limit that is caused by requests that the sum does not include yet.
 //!
-//! A program that has one request refused fails as a whole. A new program is therefore
-//! refused at its first turn if the programs started in the window are already expected
-//! to use up the allowance.
+//! If one request of a program is refused, the whole program fails. A new program is therefore
+//! refused at its first turn if the programs started in the window are already expected to use
+//! up the allowance.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -21,16 +20,15 @@
 
 use crate::account::{Account, Allowance};
 
-/// Maximum age of a sum by which a call is admitted without asking the keepers. Each turn
-/// brings a new sum, and tool calls usually follow soon after.
+/// Maximum age of a sum by which a tool call is admitted without asking the keepers.
 const MAX_SUM_AGE: Duration = Duration::from_millis(250);
-/// Share of the limit up to which a call is admitted without asking the keepers. The rest
+/// Share of the limit up to which a tool call is admitted without asking the keepers. The rest
 /// is headroom for requests that a sum of age [`MAX_SUM_AGE`] does not include.
 const LOCAL_ADMISSION_RATIO: f64 = 0.8;
-/// Number of entries assumed to admit calls of one account at the same time, unaware of
-/// each other. Each may use this fraction of the remaining requests before it has to ask
-/// the keepers.
-const CONCURRENT_ENTRIES: u32 = 16;
+/// Number of entries assumed to admit tool calls of one account at the same time, unaware of
+/// each other. Each may admit the remaining requests divided by this number before it has to
+/// ask the keepers.
+const ASSUMED_CONCURRENT_ENTRIES: u32 = 16;
 /// Interval at which unchanged usage is reported again, so that a restarted keeper learns
 /// it.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
@@ -42,25 +40,25 @@
 /// use gradedyke_gateway::account::Allowance;
 /// use gradedyke_gateway::allowance::limit;
 ///
-/// let allowance = Allowance { per_second: 10.0, burst: 5.0 };
+/// let allowance = Allowance { requests_per_s: 10.0, burst: 5.0 };
 /// assert_eq!(limit(&allowance, Duration::from_secs(5)), 55);
 /// ```
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
 pub fn limit(allowance: &Allowance, window: Duration) -> u32 {
-    let limit = allowance.per_second * window.as_secs_f64() + allowance.burst;
+    let limit = allowance.requests_per_s * window.as_secs_f64() + allowance.burst;
     limit.clamp(0.0, f64::from(u32::MAX)) as u32
 }
 
-/// A request that was counted against the allowance of its account.
+/// A request that was charged to the allowance of its account.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Charge {
     /// The request's account.
     pub account: usage::AccountHash,
     /// Maximum number of requests of the account in a window.
     pub limit: u32,
-    /// What the request adds to the usage of the account.
+    /// How much the request adds to the usage of the account.
     pub amount: Total,
-    /// Number of the window's bucket in which it was counted.
+    /// Number of the window's bucket to which it was charged.
     bucket: u64,
 }
 
@@ -70,9 +68,9 @@
         self.amount.planned > 0
     }
 
-    /// Whether the request is within the allowance, given a sum that includes it. A
-    /// program that needs more than the limit on its own may start if no other program
-    /// has: its requests are spread over more than one window.
+    /// Whether the request is within the allowance, given a sum that includes it. A program
+    /// that alone needs more than the limit may start if no other program has started in the
+    /// window: its requests are spread over more than one window.
     pub fn is_within(&self, sum: Total) -> bool {
         let max_planned = self.limit.max(self.amount.planned);
         let planned_fits = !self.starts_program() || sum.planned <= max_planned;
@@ -83,7 +81,8 @@
     fn has_headroom(&self, estimate: &Estimate) -> bool {
         let requests = estimate.sum.requests;
         let remaining = self.limit.saturating_sub(requests);
-        let within_share = estimate.admitted_since <= (remaining / CONCURRENT_ENTRIES).max(1);
+        let within_share =
+            estimate.admitted_since <= (remaining / ASSUMED_CONCURRENT_ENTRIES).max(1);
         within_share && f64::from(requests) <= f64::from(self.limit) * LOCAL_ADMISSION_RATIO
     }
 }
@@ -104,7 +103,7 @@
 struct KnownSum {
     received_at: Instant,
     sum: Total,
-    /// [`AccountUsage::admitted`] at the time of the report.
+    /// [`AccountUsage::admitted`] when the report that the sum answers was built.
     admitted: Total,
 }
 
@@ -113,7 +112,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Estimate {
     sum: Total,
-    /// Requests that this entry admitted since it reported its usage for the known sum.
+    /// Requests that this entry admitted since the report that the known sum answers.
     admitted_since: u32,
     /// Time since the sum was received.
     age: Duration,
@@ -125,7 +124,7 @@
     counter: Counter,
     /// Everything that this entry has admitted since it started; the counts wrap around.
     admitted: Total,
-    known: Option<KnownSum>,
+    known_sum: Option<KnownSum>,
     reported_at: Option<Instant>,
     /// Whether the usage has changed since the last report.
     changed: bool,
@@ -134,7 +133,7 @@
 impl AccountUsage {
     /// The estimated sum at `now`; `None` before the first sum was received.
     fn estimate(&self, now: Instant) -> Option<Estimate> {
-        let known = self.known?;
+        let known = self.known_sum?;
         let admitted_since = increase(known.admitted.requests, self.admitted.requests);
         let sum = Total {
             requests: known.sum.requests + admitted_since,
@@ -148,39 +147,38 @@
     }
 }
 
-/// The increase of a count that wraps around; 0 if it decreased because requests were
-/// taken back.
+/// The increase of a count that wraps around; 0 if it decreased because requests were refunded.
 fn increase(before: u32, after: u32) -> u32 {
     i32::try_from(after.wrapping_sub(before)).map_or(0, i32::unsigned_abs)
 }
 
-/// The state at the time of a report, needed to interpret the answer in
-/// [`Limiter::record_sum`].
+/// The state when a report was built, which [`Limiter::record_sum`] needs to interpret the sum
+/// that answers it.
 #[derive(Clone, Copy, Debug)]
 pub struct Snapshot {
     /// The request for which the report was made.
     pub charge: Charge,
-    /// [`AccountUsage::admitted`] of the request's account at the time of the report.
+    /// [`AccountUsage::admitted`] of the request's account when the report was built.
     admitted: Total,
 }
 
 /// Counts the requests that one entry admits, by account.
 #[derive(Debug)]
 pub struct Limiter {
-    entry: u64,
+    entry_id: u64,
     window: Duration,
-    start: Instant,
+    first_bucket_start: Instant,
     accounts: Mutex<HashMap<usage::AccountHash, AccountUsage>>,
 }
 
 impl Limiter {
-    /// Creates a limiter without usage. `entry` identifies this process in reports, and limits
+    /// Creates an empty limiter. `entry_id` identifies this process in reports, and limits
     /// apply to every time span of length `window`.
-    pub fn new(entry: u64, window: Duration, now: Instant) -> Self {
+    pub fn new(entry_id: u64, window: Duration, now: Instant) -> Self {
         Self {
-            entry,
+            entry_id,
             window,
-            start: now,
+            first_bucket_start: now,
             accounts: Mutex::default(),
         }
     }
@@ -189,22 +187,24 @@
         self.accounts.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn bucket_len(&self) -> Duration {
+    fn bucket_duration(&self) -> Duration {
         self.window / BUCKETS_PER_WINDOW
     }
 
     /// The number of the bucket that contains `now`.
     fn bucket_number(&self, now: Instant) -> u64 {
-        let elapsed_ms = now.saturating_duration_since(self.start).as_millis();
-        let bucket = elapsed_ms.checked_div(self.bucket_len().as_millis());
+        let elapsed_ms = now
+            .saturating_duration_since(self.first_bucket_start)
+            .as_millis();
+        let bucket = elapsed_ms.checked_div(self.bucket_duration().as_millis());
         bucket
             .and_then(|b| u64::try_from(b).ok())
             .unwrap_or_default()
     }
 
-    /// Counts a request of an account; returns `None` if the account has no limit.
-    /// `planned` is the number of requests that the program is expected to need if the
-    /// request starts one, and 0 otherwise.
+    /// Charges a request to its account; returns `None` if the account has no limit. `planned`
+    /// is the number of requests that the program is expected to need if the request starts
+    /// one, and 0 otherwise.
     pub fn charge(&self, account: &Account, planned: u32, now: Instant) -> Option<Charge> {
         let limit = limit(account.allowance.as_ref()?, self.window);
         let charge = Charge {
@@ -225,7 +225,7 @@
         Some(charge)
     }
 
-    /// Removes a request that was counted but has not run.
+    /// Refunds a request that was charged but has not run.
     pub fn refund(&self, charge: &Charge) {
         let mut accounts = self.lock();
         let Some(account_usage) = accounts.get_mut(&charge.account) else {
@@ -247,9 +247,9 @@
         let accounts = self.lock();
         let estimate = accounts.get(&charge.account).and_then(|u| u.estimate(now));
         match estimate {
-            Some(known) if known.age <= MAX_SUM_AGE => match charge.is_within(known.sum) {
+            Some(estimate) if estimate.age <= MAX_SUM_AGE => match charge.is_within(estimate.sum) {
                 false => Decision::Exceeded,
-                true if charge.has_headroom(&known) => Decision::Within,
+                true if charge.has_headroom(&estimate) => Decision::Within,
                 true => Decision::Unknown,
             },
             _ => Decision::Unknown,
@@ -257,13 +257,14 @@
     }
 
     /// Whether a request is admitted while no keeper can be reached: only if a sum was
-    /// received within the last window and leaves enough headroom. No program can start
-    /// without the keepers, so other entries admit only calls of running programs
-    /// meanwhile.
+    /// received within the last window and leaves enough headroom. Meanwhile the other entries
+    /// admit only tool calls of running programs, because no program can start without the
+    /// keepers.
     pub fn admits_offline(&self, charge: &Charge, now: Instant) -> bool {
         let accounts = self.lock();
         let estimate = accounts.get(&charge.account).and_then(|u| u.estimate(now));
-        estimate.is_some_and(|known| known.age <= self.window && charge.has_headroom(&known))
+        estimate
+            .is_some_and(|estimate| estimate.age <= self.window && charge.has_headroom(&estimate))
     }
 
     /// Builds the usage report that is sent to the keepers with a request: the usage of
@@ -296,19 +297,19 @@
             admitted: admitted.unwrap_or_default(),
         };
         let report = Report {
-            entry: self.entry,
-            part_ms: u32::try_from(self.bucket_len().as_millis()).unwrap_or(u32::MAX),
+            entry: self.entry_id,
+            part_ms: u32::try_from(self.bucket_duration().as_millis()).unwrap_or(u32::MAX),
             asked: charge.account,
             rows,
         };
         (report, snapshot)
     }
 
-    /// Records the sum that the keepers answered to a report.
+    /// Records the sum with which the keepers answered a report.
     pub fn record_sum(&self, snapshot: Snapshot, sum: Total, now: Instant) {
         let mut accounts = self.lock();
         let account_usage = accounts.entry(snapshot.charge.account).or_default();
-        account_usage.known = Some(KnownSum {
+        account_usage.known_sum = Some(KnownSum {
             received_at: now,
             sum,
             admitted: snapshot.admitted,
--- a/crates/gradedyke-gateway/src/config.rs
+++ b/crates/gradedyke-gateway/src/config.rs
@@ -9,14 +9,15 @@
 
 use crate::account::Directory;
 
-/// Whether requests of a route may run more than once, and how they are answered.
+/// Whether requests of a route may run more than once, and whether their responses are streams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     /// A request may run any number of times.
     Idempotent,
     /// A request may run at most once.
     AtMostOnce,
-    /// A request may run at most once, and its response is a stream of events.
+    /// The response is a stream of events. A request may run more than once only if the route
+    /// is [resumable](Route::resumable).
     Stream,
 }
 
@@ -48,12 +49,12 @@
     /// Host name of the requests.
     pub host: String,
     /// Path prefix of the requests.
-    pub prefix: String,
-    /// Whether requests may run more than once, and how they are answered.
+    pub path_prefix: String,
+    /// Whether requests may run more than once, and whether their responses are streams.
     pub kind: Kind,
     /// Maximum duration of a request.
     pub timeout: Duration,
-    /// Target latency of an answer.
+    /// Target latency of a response.
     pub latency_objective: Duration,
     /// Priority; 0 is the highest.
     pub priority: u8,
@@ -72,13 +73,13 @@
     pub allowed_regions: Option<Vec<String>>,
 }
 
-/// Capacity of a model engine.
+/// Parameters of a service's engines, the backend servers that run a model.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Engine {
-    /// Number of requests that run at the same time.
+    /// Number of requests that an engine runs at the same time.
     pub slots: u32,
-    /// Number of tokens that fit in its cache.
-    pub cache_tokens: u64,
+    /// Number of tokens that fit in the cache of an engine.
+    pub cache_capacity_tokens: u64,
     /// Maximum number of tokens in one event of a stream.
     pub max_event_tokens: u32,
 }
@@ -88,12 +89,12 @@
 pub struct Service {
     /// The service's name, unique in the configuration.
     pub name: String,
-    /// Maximum number of connections of one server, over all entries.
+    /// Maximum number of connections to one server, over all entries.
     pub max_connections: u32,
     /// Maximum requests per second to a server that is warming up, over all entries; `None`
     /// for no limit.
     pub max_warm_up_rate_per_s: Option<f64>,
-    /// Capacity of the service's engines, if it runs models.
+    /// Parameters of the service's engines, if it runs models.
     pub engine: Option<Engine>,
 }
 
@@ -115,7 +116,7 @@
 pub struct Config {
     /// Version number, which increases with each change.
     pub version: u64,
-    /// Number of route priorities: each is lower than this.
+    /// Number of route priorities, which are `0..priority_count`.
     priority_count: u8,
     /// The routes by host, those with the longest prefix first.
     routes: HashMap<String, Vec<Arc<Route>>>,
@@ -143,7 +144,7 @@
             by_host.entry(host).or_default().push(Arc::new(route));
         }
         for routes in by_host.values_mut() {
-            routes.sort_by_key(|r| std::cmp::Reverse(r.prefix.len()));
+            routes.sort_by_key(|r| std::cmp::Reverse(r.path_prefix.len()));
         }
         let by_name = |s: Service| (s.name.clone(), s);
         Self {
@@ -161,7 +162,7 @@
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let routes = self.routes.get(&name.to_ascii_lowercase())?;
-        routes.iter().find(|r| path.starts_with(&r.prefix))
+        routes.iter().find(|r| path.starts_with(&r.path_prefix))
     }
 
     /// The priority of a request at an engine; 0 is the highest. The priority of the account
@@ -182,8 +183,8 @@
     }
 }
 
-/// Combines the priorities of an account and a route, where route priorities are lower than
-/// `route_priorities`. The account's priority takes precedence.
+/// Combines the priorities of an account and a route, where the latter is in
+/// `0..route_priority_count`. The account's priority takes precedence.
 ///
 /// ```
 /// use gradedyke_gateway::config::priority;
@@ -193,11 +194,11 @@
 /// assert_eq!(priority(Some(0), 2, 3), 2);
 /// assert_eq!(priority(Some(1), 0, 3), 3);
 /// ```
-pub fn priority(account: Option<u8>, route: u8, route_priorities: u8) -> u8 {
-    let account = account.unwrap_or(0);
-    account
-        .saturating_mul(route_priorities)
-        .saturating_add(route)
+pub fn priority(account_priority: Option<u8>, route_priority: u8, route_priority_count: u8) -> u8 {
+    let account_priority = account_priority.unwrap_or(0);
+    account_priority
+        .saturating_mul(route_priority_count)
+        .saturating_add(route_priority)
 }
 
 impl Route {
@@ -207,10 +208,10 @@
     }
 
     /// Chooses the service for a request by the targets' weights. Requests with the same
-    /// `name` get the same service.
-    pub fn target(&self, name: Option<&Id>) -> Option<&str> {
+    /// `affinity_id`, a session or program ID, get the same service.
+    pub fn choose_service(&self, affinity_id: Option<&Id>) -> Option<&str> {
         let total: f64 = self.targets.iter().map(|t| t.weight).sum();
-        let mut remaining = total * hash_fraction(name);
+        let mut remaining = total * hash_fraction(affinity_id);
         for target in &self.targets {
             if remaining < target.weight {
                 return Some(&target.service);
@@ -221,14 +222,14 @@
     }
 }
 
-/// Hashes a name to a number in `0.0..1.0`; without a name the number is random.
-fn hash_fraction(name: Option<&Id>) -> f64 {
+/// Hashes an ID to a number in `0.0..1.0`; without an ID the number is random.
+fn hash_fraction(id: Option<&Id>) -> f64 {
     use std::hash::{DefaultHasher, Hash, Hasher};
-    let Some(name) = name else {
+    let Some(id) = id else {
         return rand::random();
     };
     let mut hasher = DefaultHasher::new();
-    name.as_str().hash(&mut hasher);
+    id.as_str().hash(&mut hasher);
     // The upper 32 bits of the hash, divided by 2^32.
     let upper = u32::try_from(hasher.finish() >> 32).unwrap_or_default();
     f64::from(upper) / (f64::from(u32::MAX) + 1.0)
--- a/crates/gradedyke-gateway/src/demand.rs
+++ b/crates/gradedyke-gateway/src/demand.rs
@@ -7,11 +7,10 @@
 use gradedyke_turns::decay::Counter;
 use tokio::time::Instant;
 
-/// Half-life of the counts: several times the duration of a program, and short enough to
-/// follow changes of the workload.
+/// Half-life of the counts.
 const HALF_LIFE: Duration = Duration::from_secs(20);
 /// Lowest count of programs and of turns from which an estimate is made.
-const MIN_COUNT: f64 = 4.0;
+const MIN_OBSERVATIONS: f64 = 4.0;
 
 #[derive(Debug, Default)]
 struct RouteCounts {
@@ -26,7 +25,7 @@
     /// Turns of all routes.
     turns: Counter,
     /// Tool calls of all programs.
-    calls: Counter,
+    tool_calls: Counter,
 }
 
 /// Recent turns and tool calls, from which the requests of a program are estimated.
@@ -38,8 +37,8 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Records a turn. `starts_program` says whether it is the first of its program.
-    pub fn record_turn(&self, route: &str, starts_program: bool, now: Instant) {
+    /// Records a turn. `is_program_start` says whether it is the first of its program.
+    pub fn record_turn(&self, route: &str, is_program_start: bool, now: Instant) {
         let mut counts = self.lock();
         counts.turns.increment(HALF_LIFE, now);
         if !counts.routes.contains_key(route) {
@@ -51,14 +50,14 @@
             return;
         };
         route.turns.increment(HALF_LIFE, now);
-        if starts_program {
+        if is_program_start {
             route.started.increment(HALF_LIFE, now);
         }
     }
 
     /// Records a tool call of a program.
-    pub fn record_call(&self, now: Instant) {
-        self.lock().calls.increment(HALF_LIFE, now);
+    pub fn record_tool_call(&self, now: Instant) {
+        self.lock().tool_calls.increment(HALF_LIFE, now);
     }
 
     /// Expected number of requests of a program on a route, including its tool calls; 1 if
@@ -71,7 +70,7 @@
     /// let demand = Demand::default();
     /// for turn in 0..40 {
     ///     demand.record_turn("draft", turn % 4 == 0, now);
-    ///     demand.record_call(now);
+    ///     demand.record_tool_call(now);
     /// }
     /// assert_eq!(demand.expected_requests("draft", now), 8);
     /// assert_eq!(demand.expected_requests("other", now), 1);
@@ -84,11 +83,11 @@
         };
         let started = route.started.value_at(HALF_LIFE, now);
         let turns = counts.turns.value_at(HALF_LIFE, now);
-        if started < MIN_COUNT || turns < MIN_COUNT {
+        if started < MIN_OBSERVATIONS || turns < MIN_OBSERVATIONS {
             return 1;
         }
-        let calls_per_turn = counts.calls.value_at(HALF_LIFE, now) / turns;
-        let requests = route.turns.value_at(HALF_LIFE, now) / started * (1.0 + calls_per_turn);
+        let tool_calls_per_turn = counts.tool_calls.value_at(HALF_LIFE, now) / turns;
+        let requests = route.turns.value_at(HALF_LIFE, now) / started * (1.0 + tool_calls_per_turn);
         requests.round().clamp(1.0, f64::from(u32::MAX)) as u32
     }
 }
--- a/crates/gradedyke-gateway/src/dialect.rs
+++ b/crates/gradedyke-gateway/src/dialect.rs
@@ -18,10 +18,10 @@
 /// Metadata of a caller's request, taken from its headers.
 #[derive(Clone, Debug, Default)]
 pub struct Meta {
-    /// The request's id, different for each attempt of the caller.
+    /// The request's ID. A retry by the caller has a new one.
     pub request_id: Option<Id>,
-    /// How long the caller waits, counted from the request's arrival.
-    pub deadline: Option<Duration>,
+    /// How long the caller waits, from the request's arrival.
+    pub timeout: Option<Duration>,
     /// The program that the request belongs to.
     pub program: Option<Id>,
     /// The conversation within the program.
@@ -30,8 +30,8 @@
     pub program_deadline: Option<Duration>,
     /// Maximum number of tokens that all turns of the program may generate together.
     pub token_budget: Option<u64>,
-    /// Size of the prompt and maximum size of the answer.
-    pub usage: Option<Usage>,
+    /// Size of the prompt and maximum size of the response.
+    pub size: Option<Size>,
     /// The turn that this request continues.
     pub parent: Option<Id>,
     /// The parts of the prompt, in order; parts shared by many requests come first.
@@ -40,16 +40,16 @@
     pub key: Option<Key>,
 }
 
-/// Sizes of a model call, in tokens.
+/// Sizes of the prompt and the response of a turn, in tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Usage {
+pub struct Size {
     /// Size of the whole prompt.
-    pub prompt: u64,
-    /// Maximum size of the answer.
-    pub answer: u32,
+    pub prompt_tokens: u64,
+    /// Maximum size of the response.
+    pub max_response_tokens: u32,
 }
 
-/// What the gateway adds to the headers of a request to a backend server.
+/// What an entry adds to the headers of a request to a backend server.
 #[derive(Clone, Debug)]
 pub struct Outbound<'a> {
     /// The intended server; any other must refuse the request.
@@ -60,18 +60,18 @@
     pub priority: Option<u8>,
     /// The client account of the request.
     pub account: Option<&'a Account>,
-    /// Id of the event after which a stream is resumed.
+    /// ID of the event after which a stream is resumed.
     pub last_event_id: Option<&'a [u8]>,
 }
 
 /// Metadata of a backend server's response, taken from its headers.
 #[derive(Clone, Debug, Default)]
 pub struct Head {
-    /// Id of the request that is answered.
+    /// ID of the request that the response belongs to.
     pub request_id: Option<Id>,
     /// Whether the server states that it did not run the request.
     pub not_run: bool,
-    /// Whether another server than the intended one answered.
+    /// Whether another server than the intended one responded.
     pub misdirected: bool,
     /// Whether the response carries the header that marks responses of backend servers.
     pub from_backend: bool,
@@ -81,18 +81,16 @@
     pub idle_timeout: Option<Duration>,
 }
 
-/// Result of decoding a backend server's item in the directory.
+/// Result of decoding a backend server's directory record.
 pub type ServerResult = Result<Server, Error>;
 
-/// A value in the platform's key-value service that cannot be decoded.
+/// A value in the platform's key-value store that cannot be decoded.
 #[derive(Clone, Debug, thiserror::Error)]
-#[error(
-    "cannot decode {what}: {cause}; the previous value stays in force, check who wrote this one"
-)]
+#[error("cannot decode {item}: {cause}; correct the value")]
 pub struct Error {
     /// The item that cannot be decoded.
-    pub what: String,
-    /// The reason.
+    pub item: String,
+    /// Why it cannot be decoded.
     pub cause: String,
 }
 
@@ -103,19 +101,19 @@
 
     /// The headers of a request to a backend server: the caller's headers without hop-by-hop
     /// headers and those reserved for the gateway, plus the headers for `outbound`.
-    fn outbound(&self, headers: &HeaderMap, outbound: &Outbound<'_>) -> HeaderMap;
+    fn request_headers(&self, headers: &HeaderMap, outbound: &Outbound<'_>) -> HeaderMap;
 
     /// Decodes the status and headers of a backend server's response.
-    fn head(&self, status: StatusCode, headers: &HeaderMap) -> Head;
+    fn response_head(&self, status: StatusCode, headers: &HeaderMap) -> Head;
 
     /// The headers of the response to the caller: the server's headers without hop-by-hop
     /// headers.
-    fn inbound(&self, headers: &HeaderMap) -> HeaderMap;
+    fn response_headers(&self, headers: &HeaderMap) -> HeaderMap;
 
     /// The text that the data line of an event adds to the conversation.
     fn event_data<'a>(&self, event: &'a [u8]) -> Option<&'a [u8]>;
 
-    /// The id of an event, from which a stream can be resumed.
+    /// The ID of an event, from which a stream can be resumed.
     fn event_id<'a>(&self, event: &'a [u8]) -> Option<&'a [u8]>;
 
     /// The path of the platform's readiness checks.
@@ -134,15 +132,15 @@
     /// The prefix of the keys of backend servers.
     fn server_prefix(&self) -> &str;
 
-    /// Decodes a backend server's item.
+    /// Decodes a backend server's directory record.
     ///
     /// # Errors
     ///
-    /// [`Error`] if the item does not describe a backend server.
+    /// [`Error`] if the record does not describe a backend server.
     fn server(&self, key: &str, value: &[u8]) -> ServerResult;
 
-    /// The prefix of the keys that each request the evacuation of a data centre; the rest of
-    /// the key is the data centre's name.
+    /// The prefix of the keys by which the evacuation of data centres is requested; the rest of
+    /// a key is the data centre's name.
     fn evacuation_prefix(&self) -> &str;
 
     /// The prefixes of all keys that processes mirror.
--- a/crates/gradedyke-gateway/src/entry/admission.rs
+++ b/crates/gradedyke-gateway/src/entry/admission.rs
@@ -17,21 +17,21 @@
 
 /// Timeout of one usage query to the keepers.
 const USAGE_QUERY_TIMEOUT: Duration = Duration::from_millis(100);
-/// Longest wait for keepers that are restarting.
-const QUORUM_RECOVERY_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Timeout of all usage queries of one request together.
+const USAGE_CHECK_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Backoff before the first retry of a usage query.
 const MIN_BACKOFF: Duration = Duration::from_millis(40);
 /// Longest backoff between retries of a usage query.
 const MAX_BACKOFF: Duration = Duration::from_millis(400);
 
 impl Entry {
-    /// Counts a request, if its account is limited. The first turn of a program also counts
-    /// the requests that the program is expected to need.
+    /// Charges a request to its account, if that is limited. The first turn of a program is
+    /// also charged with the requests that the program is expected to need.
     ///
     /// # Errors
     ///
-    /// [`Refusal::Exceeded`] if the request is known to exceed the allowance.
-    pub(super) fn count_request(
+    /// [`Refusal::AllowanceExceeded`] if the request is known to exceed the allowance.
+    pub(super) fn charge_request(
         &self,
         account: Option<&Account>,
         route: &Route,
@@ -50,13 +50,13 @@
         };
         if self.limiter.check(&charge, now) == Decision::Exceeded {
             self.limiter.refund(&charge);
-            return Err(Refusal::Exceeded);
+            return Err(Refusal::AllowanceExceeded);
         }
         Ok(Some(charge))
     }
 
-    /// Records the account's `total` usage, as the keepers returned it for the report with
-    /// this `snapshot`. Returns whether the request is within its allowance.
+    /// Records the account's `total` usage, as the keepers returned it for the report that
+    /// `snapshot` belongs to. Returns whether the request is within its allowance.
     pub(super) fn record_usage(&self, call: &Call, snapshot: Snapshot, total: Total) -> bool {
         self.limiter.record_sum(snapshot, total, Instant::now());
         let charge = snapshot.charge;
@@ -71,26 +71,26 @@
     }
 
     /// Checks whether a request is within its allowance, asking the keepers if the local
-    /// estimate does not decide. Not used for turns, whose usage is reported when they begin.
+    /// estimate is not sufficient. Not used for turns, whose usage is reported when they begin.
     ///
     /// # Errors
     ///
-    /// [`Refusal::Exceeded`], or [`Refusal::NoKeepers`] if the keepers cannot be reached and the
+    /// [`Refusal::AllowanceExceeded`], or [`Refusal::NoKeepers`] if the keepers cannot be reached and the
     /// local estimate leaves no room.
     pub(super) async fn check_allowance(&self, call: &Call) -> Result<(), Refusal> {
         let now = Instant::now();
         if call.meta.program.is_some() {
-            self.demand.record_call(now);
+            self.demand.record_tool_call(now);
         }
         let Some(charge) = &call.charge else {
             return Ok(());
         };
         match self.limiter.check(charge, now) {
             Decision::Within => return Ok(()),
-            Decision::Exceeded => return Err(Refusal::Exceeded),
+            Decision::Exceeded => return Err(Refusal::AllowanceExceeded),
             Decision::Unknown => {}
         }
-        let deadline = call.deadline.min(now + QUORUM_RECOVERY_TIMEOUT);
+        let deadline = call.deadline.min(now + USAGE_CHECK_TIMEOUT);
         let mut backoff = Backoff::endless(MIN_BACKOFF, MAX_BACKOFF);
         loop {
             metrics::counter!("gradedyke_usage_asked_total").increment(1);
@@ -98,7 +98,7 @@
             let query_deadline = deadline.min(Instant::now() + USAGE_QUERY_TIMEOUT);
             if let Ok(Some(total)) = self.quorum.report_usage(&report, query_deadline).await {
                 let within = self.record_usage(call, snapshot, total);
-                return within.then_some(()).ok_or(Refusal::Exceeded);
+                return within.then_some(()).ok_or(Refusal::AllowanceExceeded);
             }
             let now = Instant::now();
             if self.limiter.admits_offline(charge, now) {
--- a/crates/gradedyke-gateway/src/entry/attempt.rs
+++ b/crates/gradedyke-gateway/src/entry/attempt.rs
@@ -1,7 +1,7 @@
 //! Sends a request to backend servers, one after the other, until one runs it.
 //!
 //! [`dispatch`] tries another server only while it is certain that none has run the
-//! request. If the request may have run, its caller decides whether to send it again.
+//! request. If the request may have run, the calling function decides whether to send it again.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -55,7 +55,7 @@
 enum Outcome {
     Answered(Box<ServerResponse>),
     NotRun(NotRunReason),
-    /// No response arrived; the request may have run.
+    /// No valid response arrived; the request may have run.
     Unknown,
     /// The deadline passed; the request may have run.
     TimedOut,
@@ -72,14 +72,15 @@
 #[derive(Debug, Default)]
 struct State {
     tried: Vec<Key>,
-    /// Servers that received the request or are being sent it.
-    sent: u32,
-    unreachable: u32,
+    /// Number of servers that the request was or is being sent to.
+    sent_count: u32,
+    unreachable_count: u32,
 }
 
 impl State {
     fn has_attempt_left(&self, call: &Call) -> bool {
-        self.sent < call.route.max_attempts && self.unreachable < MAX_UNREACHABLE_SERVERS
+        self.sent_count < call.route.max_attempts
+            && self.unreachable_count < MAX_UNREACHABLE_SERVERS
     }
 }
 
@@ -93,19 +94,19 @@
         self.lock().has_attempt_left(call)
     }
 
-    /// Counts one more attempt, if one is left. Returns whether it is.
+    /// Reserves an attempt if one is left. Returns whether it did.
     fn reserve(&self, call: &Call) -> bool {
         let mut state = self.lock();
         let has_attempt_left = state.has_attempt_left(call);
-        state.sent += u32::from(has_attempt_left);
+        state.sent_count += u32::from(has_attempt_left);
         has_attempt_left
     }
 
     /// Counts a reserved attempt as one at an unreachable server.
     fn mark_unreachable(&self) {
         let mut state = self.lock();
-        state.sent -= 1;
-        state.unreachable += 1;
+        state.sent_count -= 1;
+        state.unreachable_count += 1;
     }
 }
 
@@ -115,7 +116,7 @@
 ///
 /// # Errors
 ///
-/// [`Refusal::Broken`] or [`Refusal::TimedOut`] if the request may have run. After any other
+/// [`Refusal::Interrupted`] or [`Refusal::TimedOut`] if the request may have run. After any other
 /// refusal it has not run.
 pub async fn dispatch(
     entry: &Entry,
@@ -128,26 +129,26 @@
     while attempts.reserve(call) {
         let choice = choose_server(entry, call, attempts, query).ok_or(Refusal::NoServer)?;
         if will_miss_deadline(call, &choice) {
-            return Err(Refusal::Full);
+            return Err(Refusal::NoCapacity);
         }
         match send(entry, call, attempts, choice, body.clone(), last_event_id).await {
             Outcome::Answered(response) => return Ok(*response),
             Outcome::NotRun(NotRunReason::NoTime) => return Err(Refusal::TooLate),
             Outcome::NotRun(NotRunReason::Unreachable) => attempts.mark_unreachable(),
             Outcome::NotRun(NotRunReason::Refused | NotRunReason::Misdirected) => {}
-            Outcome::Unknown => return Err(Refusal::Broken),
+            Outcome::Unknown => return Err(Refusal::Interrupted),
             Outcome::TimedOut => return Err(Refusal::TimedOut),
         }
     }
-    Err(Refusal::Full)
+    Err(Refusal::NoCapacity)
 }
 
 /// A request is refused at once if its expected wait for a slot is longer than its time left
 /// times this factor, which allows for errors of the estimate.
 const MAX_WAIT_RATIO: f64 = 2.0;
 
-/// Whether the request would still wait for a slot at the chosen server when its deadline
-/// passes.
+/// Whether the expected wait for a slot at the chosen server exceeds the time left by more than
+/// the factor [`MAX_WAIT_RATIO`].
 fn will_miss_deadline(call: &Call, choice: &Choice) -> bool {
     let left_ms = call.time_left(Instant::now()).as_secs_f64() * 1e3;
     choice.candidate.wait_ms() > MAX_WAIT_RATIO * left_ms
@@ -177,9 +178,9 @@
     let mut request = Request::new(Full::new(body));
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.uri.clone();
-    *request.headers_mut() = entry.dialect.outbound(&call.headers, &outbound);
-    let repeatable = call.route.is_repeatable();
-    let exchange = choice.pool.send(request, repeatable, now);
+    *request.headers_mut() = entry.dialect.request_headers(&call.headers, &outbound);
+    let is_repeatable = call.route.is_repeatable();
+    let exchange = choice.pool.send(request, is_repeatable, now);
     let exchange = choice.process_ended.run_until_cancelled(exchange);
     let result = wait_for_head(entry, call, attempts, &choice, exchange).await;
     let (response, connection) = match result {
@@ -256,9 +257,9 @@
 /// An engine is considered stalled after the expected time times this factor.
 const EVENT_TIMEOUT_RATIO: f64 = 4.0;
 
-/// Returns how long to wait for the next event of an engine that was expected in
-/// `expected_ms` milliseconds. It is never less than [`Call::slow_threshold`]: another server
-/// would have to process the whole prompt again.
+/// Returns how long to wait for an engine's next event, which is expected within `expected_ms`
+/// milliseconds. It is at least [`Call::slow_threshold`], because another server would have to
+/// process the whole prompt again.
 pub fn event_timeout(call: &Call, expected_ms: f64) -> Duration {
     let timeout = Duration::from_secs_f64(expected_ms * EVENT_TIMEOUT_RATIO / 1e3);
     timeout.max(call.slow_threshold())
@@ -292,9 +293,11 @@
     choice: Choice,
     connection: Connection,
     response: Response<Incoming>,
-    sent: Instant,
+    sent_at: Instant,
 ) -> Outcome {
-    let head = entry.dialect.head(response.status(), response.headers());
+    let head = entry
+        .dialect
+        .response_head(response.status(), response.headers());
     if head.misdirected {
         entry.fleet.mark_replaced(choice.key);
         return Outcome::NotRun(NotRunReason::Misdirected);
@@ -320,7 +323,7 @@
             .fleet
             .record_failure(choice.key, Failure::ServerError, now);
     } else {
-        let response_time = call.engine().is_none().then(|| now - sent);
+        let response_time = call.engine().is_none().then(|| now - sent_at);
         entry.fleet.record_success(choice.key, response_time, now);
     }
     Outcome::Answered(Box::new(ServerResponse {
--- a/crates/gradedyke-gateway/src/entry/mod.rs
+++ b/crates/gradedyke-gateway/src/entry/mod.rs
@@ -8,7 +8,7 @@
 //!   opens the stream at a backend server, `relay` forwards its events, `budget` reports
 //!   the tokens used.
 //! - `door`: HTTP handlers, with logs and metrics for each request.
-//! - [`refusal`]: error responses that the gateway sends itself.
+//! - [`refusal`]: error responses that an entry sends itself.
 
 mod admission;
 pub mod attempt;
@@ -40,7 +40,7 @@
 use crate::demand::Demand;
 use crate::dialect::{Dialect, Meta};
 use crate::fleet::Fleet;
-use crate::mechanism::Enabled;
+use crate::mechanism::Mechanisms;
 use crate::throttle::Throttle;
 use call::Call;
 use door::RefusedRequest;
@@ -51,17 +51,15 @@
 /// Timeout of a request whose caller sets none; the timeout of its route may be shorter.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Longest wait of a request for the first configuration. It covers the start of the
-/// keepers when all processes were restarted; a refusal would use up one of the caller's
-/// retries.
+/// Longest wait of a request for the first configuration. Waiting saves the caller a retry.
 const INITIAL_CONFIG_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Greatest age of the key data, as a share of the time after which a revoked key must no
-/// longer work. The rest is a margin for clock drift.
+/// Share of the revocation time up to which local data may age before API keys are no longer
+/// accepted. The rest is a margin for clock drift.
 const MAX_KEY_AGE_RATIO: f64 = 0.9;
 
-/// Returns the greatest age at which key data may still be used, if a revoked key must stop
-/// working within `revocation`.
+/// Returns the greatest age of the local data at which API keys are still accepted, if a
+/// revoked key must stop working within `revocation`.
 pub fn max_key_age(revocation: Duration) -> Duration {
     revocation.mul_f64(MAX_KEY_AGE_RATIO)
 }
@@ -71,7 +69,7 @@
 pub struct Entry {
     /// Encodes and decodes headers, keys and values of callers, backend servers and platform.
     pub dialect: Arc<dyn Dialect>,
-    /// Local copy of the data in the platform's key-value service.
+    /// Local copy of the data in the platform's key-value store.
     pub mirror: Arc<Mirror>,
     /// The active configuration; empty until the first one was read.
     pub config: ArcSwapOption<Config>,
@@ -86,7 +84,7 @@
     /// Limits how many programs begin while the keepers are overloaded.
     pub throttle: Throttle,
     /// The optional mechanisms that are switched on in the settings.
-    pub mechanisms: Enabled,
+    pub mechanisms: Mechanisms,
     /// Cancelled when the process begins its graceful shutdown.
     pub drain: CancellationToken,
     /// Revision of the configuration that was last read from the mirror.
@@ -110,12 +108,12 @@
     pub fn is_ready(&self) -> bool {
         let started = self.config.load().is_some() && self.fleet.listed_count() > 0;
         let draining = self.drain.is_cancelled();
-        let can_use_keys = self.can_use_keys(self.config_age(Instant::now()));
+        let can_use_keys = self.can_use_keys(self.max_data_age(Instant::now()));
         started && !draining && self.quorum.is_majority_reachable() && can_use_keys
     }
 
     /// Whether keys may be accepted when the local data has this `age`. A key may be revoked
-    /// while this entry is disconnected from the platform's key-value service.
+    /// while this entry is disconnected from the platform's key-value store.
     fn can_use_keys(&self, age: Option<Duration>) -> bool {
         let Some(max_age) = self.max_key_age else {
             return true;
@@ -125,10 +123,10 @@
         !requires_keys || age.is_some_and(|age| age <= max_age)
     }
 
-    /// Returns the greatest possible age of the local data at `now`; `None` before the
-    /// platform first confirmed it. The age counts from when the platform was asked, not from
-    /// when it answered, so that network delay cannot make the data look newer than it is.
-    fn config_age(&self, now: Instant) -> Option<Duration> {
+    /// Returns the greatest possible age of the local data at `now`; `None` before the platform
+    /// first confirmed it. The age counts from when the platform was asked, not from when it
+    /// responded, so that network delay cannot make the data look newer than it is.
+    fn max_data_age(&self, now: Instant) -> Option<Duration> {
         let confirmed = self.mirror.complete_as_of()?;
         Some(now.saturating_duration_since(confirmed))
     }
@@ -138,7 +136,7 @@
         if let Some(config) = &*self.config.load() {
             metrics::gauge!("gradedyke_config_version").set(config.version as f64);
         }
-        if let Some(age) = self.config_age(now) {
+        if let Some(age) = self.max_data_age(now) {
             metrics::gauge!("gradedyke_config_age_seconds").set(age.as_secs_f64());
         }
     }
@@ -161,8 +159,8 @@
         *cursor = next;
     }
 
-    /// Activates the configuration in the mirror, if it is newer than the active one. Holds
-    /// the lock throughout, so that it is active on return even if another task read it.
+    /// Activates the configuration in the mirror, if it is newer than the active one. Holds the
+    /// lock throughout: if another task is activating it, this returns only once it is active.
     fn apply_config(&self) {
         let mut read_revision = self
             .config_revision
@@ -230,7 +228,9 @@
             refusal,
             meta,
             expected_wait: match refusal {
-                Refusal::Overload | Refusal::NoKeepers => self.throttle.retry_after(Instant::now()),
+                Refusal::Throttled | Refusal::NoKeepers => {
+                    self.throttle.retry_after(Instant::now())
+                }
                 _ => self.estimate_slot_wait(&refused_call),
             },
         })
@@ -245,14 +245,14 @@
 
     /// Estimates the time until a server of the call's service has a free slot.
     fn estimate_slot_wait(&self, call: &Call) -> Duration {
-        let engine = call.engine().is_some();
+        let is_engine = call.engine().is_some();
         self.fleet
-            .expected_wait(&call.service, engine, Instant::now())
+            .expected_wait(&call.service, is_engine, Instant::now())
     }
 
     /// Returns the active configuration. After a start, waits until the first configuration
-    /// and the first backend servers are known, for at most a second; then returns the
-    /// configuration without servers, or `None` if there is none.
+    /// and the first backend servers are known, for at most `INITIAL_CONFIG_TIMEOUT`; then
+    /// returns the configuration without servers, or `None` if there is none.
     pub async fn wait_for_config(&self, now: Instant) -> Option<Arc<Config>> {
         let mut changed = self.mirror.subscribe();
         let deadline = now + INITIAL_CONFIG_TIMEOUT;
@@ -284,13 +284,13 @@
         };
         match meta.key.and_then(|key| accounts.find(key)) {
             Some(account) if self.can_use_keys(age) => Ok(Some(account.clone())),
-            Some(_) => Err(Refusal::Unconfirmed),
+            Some(_) => Err(Refusal::StaleData),
             None if route.public => Ok(None),
             None => Err(self.deny(Refusal::Unauthorized, age)),
         }
     }
 
-    /// Routes and authenticates a request, reads its body and counts it for its account.
+    /// Routes and authenticates a request, reads its body and charges it to its account.
     async fn read_call(
         &self,
         request: Request<Incoming>,
@@ -300,9 +300,9 @@
         let config = self
             .wait_for_config(arrived)
             .await
-            .ok_or(Refusal::NotStarted)?;
+            .ok_or(Refusal::NoConfig)?;
         // Read before the configuration, so that the age is never understated.
-        let age = self.config_age(arrived);
+        let age = self.max_data_age(arrived);
         let config = self.load_latest_config().unwrap_or(config);
         let (head, incoming) = request.into_parts();
         let host = head.headers.get(header::HOST);
@@ -313,7 +313,7 @@
             .clone();
         let account = self.authenticate(&config, &route, &meta, age)?;
         let id = meta.request_id.clone().ok_or(Refusal::Malformed)?;
-        let timeout = meta.deadline.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
+        let timeout = meta.timeout.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
         let deadline = arrived + timeout;
         let body_timeout = timeout.min(config.limits.idle_timeout);
         let body = body::collect(incoming, config.limits.max_body_bytes, body_timeout).await;
@@ -326,11 +326,11 @@
         })?;
         let affinity_id = meta.session.as_ref().or(meta.program.as_ref());
         let service = route
-            .target(affinity_id)
+            .choose_service(affinity_id)
             .ok_or(Refusal::NoServer)?
             .to_owned();
-        let charge = self.count_request(account.as_deref(), &route, &meta, arrived)?;
-        let allowed_regions = Call::allowed_regions(&route, account.as_deref());
+        let charge = self.charge_request(account.as_deref(), &route, &meta, arrived)?;
+        let regions = Call::allowed_regions(&route, account.as_deref());
         Ok(Call {
             id,
             config,
@@ -350,11 +350,11 @@
     }
 
     /// Returns `refusal` for a request that the configuration forbids, or the retryable
-    /// [`Refusal::Unconfirmed`] if the local data with this `age` may be outdated.
+    /// [`Refusal::StaleData`] if the local data with this `age` may be outdated.
     fn deny(&self, refusal: Refusal, age: Option<Duration>) -> Refusal {
         if age.is_some_and(|age| age <= self.propagation_limit) {
             return refusal;
         }
-        Refusal::Unconfirmed
+        Refusal::StaleData
     }
 }
--- a/crates/gradedyke-gateway/src/entry/plain.rs
+++ b/crates/gradedyke-gateway/src/entry/plain.rs
@@ -30,7 +30,7 @@
 ///
 /// # Errors
 ///
-/// The [`Refusal`] to answer with.
+/// The [`Refusal`] that is sent to the caller as an error response.
 pub async fn serve(entry: &Arc<Entry>, call: Arc<Call>) -> ServeResult {
     let attempts = Arc::new(Attempts::default());
     let slow_at = call.slow_at(Instant::now());
@@ -89,9 +89,9 @@
         parts: &[],
         is_engine: false,
         cache_capacity_tokens: 0,
-        repeatable: call.route.kind == Kind::Idempotent,
+        is_repeatable: call.route.kind == Kind::Idempotent,
         max_warm_up_rate_per_s: call.max_warm_up_rate_per_s(),
-        allowed_regions: call.allowed_regions.as_deref(),
+        allowed_regions: call.regions.as_deref(),
         now: call.arrived,
     };
     let mut may_have_run = false;
@@ -102,10 +102,10 @@
                     return Ok(response);
                 }
             }
-            Err(Refusal::Broken) => {}
+            Err(Refusal::Interrupted) => {}
             Err(refusal) if may_have_run => {
                 tracing::info!(event = "not_repeated", request = %call.id, why = refusal.name());
-                return Err(Refusal::Broken);
+                return Err(Refusal::Interrupted);
             }
             Err(refusal) => return Err(refusal),
         }
@@ -114,7 +114,7 @@
             break;
         }
     }
-    Err(Refusal::Broken)
+    Err(Refusal::Interrupted)
 }
 
 /// Reads the response body and builds the response to the caller; `None` if the body is
@@ -130,7 +130,7 @@
         response,
         head,
     } = received;
-    let (response_parts, incoming) = response.into_parts();
+    let (parts, incoming) = response.into_parts();
     let read_body = Limited::new(incoming, MAX_RESPONSE_BYTES).collect();
     let bytes: Bytes = match tokio::time::timeout_at(call.deadline, read_body).await {
         Ok(Ok(collected)) => collected.to_bytes(),
@@ -150,10 +150,10 @@
             .put_back(connection, head.idle_timeout, Instant::now());
     }
     tracing::info!(event = "answered", request = %call.id, server = %choice.id,
-        status = response_parts.status.as_u16(), bytes = bytes.len(),
+        status = parts.status.as_u16(), bytes = bytes.len(),
         ms = call.arrived.elapsed().as_millis());
     let mut reply = Response::new(body::full(bytes));
-    *reply.status_mut() = response_parts.status;
-    *reply.headers_mut() = entry.dialect.inbound(&response_parts.headers);
+    *reply.status_mut() = parts.status;
+    *reply.headers_mut() = entry.dialect.response_headers(&parts.headers);
     Some(reply)
 }
--- a/crates/gradedyke-gateway/src/entry/relay.rs
+++ b/crates/gradedyke-gateway/src/entry/relay.rs
@@ -27,7 +27,7 @@
 
 /// Number of events after which the average time between events is reported to the fleet, so
 /// that a slow server is detected before its response ends.
-const PACE_SAMPLE_EVENTS: u32 = 3;
+const GAP_SAMPLE_EVENTS: u32 = 3;
 /// Number of events buffered for a caller that reads slowly.
 const EVENT_BUFFER_LEN: usize = 64;
 /// Timeout for storing a turn after its last event.
@@ -41,10 +41,10 @@
     upstream: Upstream,
     received: ServerResponse,
 ) -> Response<Body> {
-    let headers = entry.dialect.inbound(received.response.headers());
+    let headers = entry.dialect.response_headers(received.response.headers());
     let status = received.response.status();
     let (sender, body) = body::channel(EVENT_BUFFER_LEN);
-    let event_tokens = call.engine().map_or(1, |e| e.max_event_tokens);
+    let max_event_tokens = call.engine().map_or(1, |e| e.max_event_tokens);
     let relay = Relay {
         entry: entry.clone(),
         call,
@@ -55,7 +55,7 @@
         choice: received.choice,
         output: BytesMut::new(),
         tokens: 0,
-        event_tokens,
+        max_event_tokens,
         event_times: None,
         event_count: 0,
     };
@@ -82,7 +82,7 @@
     /// Upper bound on the number of tokens forwarded.
     tokens: u32,
     /// Largest number of tokens in one event.
-    event_tokens: u32,
+    max_event_tokens: u32,
     /// Arrival of the first and the latest event from the current server.
     event_times: Option<(Instant, Instant)>,
     /// Number of events from the current server.
@@ -93,10 +93,10 @@
 enum End {
     Complete,
     /// The connection to the server broke, or the server sent an invalid stream.
-    Broken(String),
+    Interrupted(String),
     /// The server has sent nothing for far longer than expected.
     Stalled,
-    CallerGone,
+    CallerDisconnected,
     TimedOut,
     /// The turn could not be stored.
     NotStored,
@@ -112,7 +112,7 @@
     ) {
         let end = loop {
             let end = self.forward_events(status, &mut incoming).await;
-            if !self.report_server_fault(&end) {
+            if !self.report_server_failure(&end) {
                 break end;
             }
             let Some(next) = self.resume(status).await else {
@@ -123,9 +123,9 @@
         };
         let (name, cause) = match &end {
             End::Complete => ("whole", ""),
-            End::Broken(cause) => ("broken", cause.as_str()),
+            End::Interrupted(cause) => ("broken", cause.as_str()),
             End::Stalled => ("silent", ""),
-            End::CallerGone => ("caller_left", ""),
+            End::CallerDisconnected => ("caller_left", ""),
             End::TimedOut => ("timed_out", ""),
             End::NotStored => ("not_kept", ""),
         };
@@ -150,7 +150,11 @@
                 }
                 return;
             }
-            End::Broken(_) | End::Stalled | End::CallerGone | End::TimedOut | End::NotStored => {}
+            End::Interrupted(_)
+            | End::Stalled
+            | End::CallerDisconnected
+            | End::TimedOut
+            | End::NotStored => {}
         }
         self.reservation.settle(&self.entry, self.tokens);
         // The error aborts the connection, so that the caller can tell that the response is
@@ -159,12 +163,15 @@
         let _ = self.sender.send(Err(failure)).await;
     }
 
-    /// Reports to the fleet that the stream ended by the server's fault. Returns whether it did.
-    fn report_server_fault(&self, end: &End) -> bool {
+    /// Reports a failure to the fleet if the server caused the end of the stream. Returns
+    /// whether it did.
+    fn report_server_failure(&self, end: &End) -> bool {
         let (failure, cause) = match end {
-            End::Broken(cause) => (health::Failure::ConnectionLost, cause.as_str()),
+            End::Interrupted(cause) => (health::Failure::ConnectionLost, cause.as_str()),
             End::Stalled => (health::Failure::Slow, ""),
-            End::Complete | End::CallerGone | End::TimedOut | End::NotStored => return false,
+            End::Complete | End::CallerDisconnected | End::TimedOut | End::NotStored => {
+                return false;
+            }
         };
         let now = Instant::now();
         self.entry
@@ -205,8 +212,8 @@
         Some((incoming, received.connection, received.head))
     }
 
-    /// Returns the deadline for the next event, and whether to resume at another server when
-    /// it passes. If that is not possible, the deadline is that of the call.
+    /// Returns the deadline for the next event, and whether the stream is resumed at another
+    /// server after it. If it cannot be resumed, this is the call's deadline.
     fn next_event_deadline(&self) -> (Instant, bool) {
         let now = Instant::now();
         let candidate = &self.choice.candidate;
@@ -231,20 +238,20 @@
                 // Events that have arrived are forwarded even if the server is gone by now.
                 biased;
                 frame = tokio::time::timeout_at(deadline, incoming.frame()) => frame,
-                () = self.sender.closed() => return End::CallerGone,
+                () = self.sender.closed() => return End::CallerDisconnected,
                 () = self.choice.process_ended.cancelled() => {
-                    return End::Broken("the server process was restarted or has ended".to_owned());
+                    return End::Interrupted("the server process was restarted or has ended".to_owned());
                 }
             };
             let data = match frame {
                 Err(_) if switch_server => return End::Stalled,
                 Err(_) => return End::TimedOut,
-                Ok(Some(Err(error))) => return End::Broken(error.to_string()),
+                Ok(Some(Err(error))) => return End::Interrupted(error.to_string()),
                 Ok(Some(Ok(frame))) => frame.into_data().unwrap_or_default(),
                 Ok(None) => break,
             };
             if let Err(error) = events.push(&data) {
-                return End::Broken(error.to_string());
+                return End::Interrupted(error.to_string());
             }
             while let Some(event) = events.next_event() {
                 self.record_event(&event, Instant::now());
@@ -253,17 +260,17 @@
                     .map(Bytes::copy_from_slice)
                     .or(self.last_event_id.take());
                 if !self.send_event(event).await {
-                    return End::CallerGone;
+                    return End::CallerDisconnected;
                 }
             }
         }
-        let rest = Bytes::copy_from_slice(events.remainder());
+        let remainder = Bytes::copy_from_slice(events.remainder());
         if !status.is_success() {
             // The body of an error response need not consist of events.
-            return self.send_rest(rest).await;
+            return self.send_remainder(remainder).await;
         }
-        if !rest.is_empty() {
-            return End::Broken("the stream ended within an event".to_owned());
+        if !remainder.is_empty() {
+            return End::Interrupted("the stream ended within an event".to_owned());
         }
         // The end of the stream tells the caller that the turn is stored.
         if !self.store_turn().await {
@@ -273,11 +280,11 @@
     }
 
     /// Sends the remaining bytes of an error response.
-    async fn send_rest(&self, rest: Bytes) -> End {
-        if rest.is_empty() || self.send_event(rest).await {
+    async fn send_remainder(&self, remainder: Bytes) -> End {
+        if remainder.is_empty() || self.send_event(remainder).await {
             return End::Complete;
         }
-        End::CallerGone
+        End::CallerDisconnected
     }
 
     /// Returns the time from the choice of the server to its first event.
@@ -315,16 +322,16 @@
         let first = self.event_times.map_or(now, |(first, _)| first);
         self.event_times = Some((first, now));
         self.event_count += 1;
-        if self.event_count == PACE_SAMPLE_EVENTS {
+        if self.event_count == GAP_SAMPLE_EVENTS {
             let (key, concurrent) = (self.choice.key, self.choice.candidate.in_flight);
-            let gap = (now - first) / (PACE_SAMPLE_EVENTS - 1);
+            let gap = (now - first) / (GAP_SAMPLE_EVENTS - 1);
             self.entry.fleet.record_event_gap(key, concurrent, gap, now);
         }
         if let Some(data) = self.entry.dialect.event_data(event) {
             self.output.extend_from_slice(data);
             self.output.extend_from_slice(b"\n");
         }
-        self.tokens += self.event_tokens;
+        self.tokens += self.max_event_tokens;
         tracing::debug!(event = "event", request = %self.call.id, text = ?event);
     }
 
@@ -340,13 +347,13 @@
             return true;
         };
         let record = Record::Turn(Turn {
-            request: self.call.scope_id(&self.call.id),
+            request: self.call.scoped_id(&self.call.id),
             parent: self
                 .call
                 .meta
                 .parent
                 .as_ref()
-                .map(|p| self.call.scope_id(p)),
+                .map(|p| self.call.scoped_id(p)),
             input: self.call.body.clone(),
             output: self.output.split().freeze(),
             server: self.choice.incarnation.clone(),
--- a/crates/gradedyke-gateway/src/entry/turn.rs
+++ b/crates/gradedyke-gateway/src/entry/turn.rs
@@ -1,10 +1,10 @@
 //! Requests whose response is a stream of events, and turns of conversations.
 //!
-//! Before a turn is sent to a backend server, one exchange with the keepers reserves its
-//! budget and reads the conversation so far. After the last event, a second exchange stores
-//! the turn on a majority of disks, and only then the stream to the caller ends. A caller
-//! that has received a complete response can therefore rely on the turn being stored. Events
-//! are forwarded as they arrive.
+//! Before a turn is sent to a backend server, one exchange with the keepers reserves tokens in
+//! the program's budget and reads the conversation so far. After the last event, a second
+//! exchange stores the turn on a majority of disks, and only then does the stream to the caller
+//! end. A caller that has received a complete response can therefore rely on the turn being
+//! stored. Events are forwarded as they arrive.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -28,15 +28,16 @@
 
 /// Timeout of one exchange with the keepers that begins a turn.
 const BEGIN_TIMEOUT: Duration = Duration::from_millis(300);
-/// Longest wait for keepers that are restarting. A refusal would use up one of the caller's
-/// retries.
-const QUORUM_RECOVERY_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Timeout of all attempts together to begin a turn. Waiting for restarting keepers saves the
+/// caller a retry.
+const TOTAL_BEGIN_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Begins the turn, sends it to a backend server and starts forwarding the response.
 ///
 /// # Errors
 ///
-/// The [`Refusal`] to answer with. Nothing has been sent to the caller then.
+/// The [`Refusal`] that is sent to the caller as an error response. Nothing has been sent to
+/// the caller before.
 pub async fn serve(entry: &Arc<Entry>, call: Arc<Call>) -> Result<Response<Body>, Refusal> {
     let (transcript, reservation) = begin_turn(entry, &call).await?;
     let body = match &transcript {
@@ -62,19 +63,20 @@
     body.freeze()
 }
 
-/// Reserves the budget and reads the conversation so far, in one exchange with the keepers.
+/// Reserves tokens in the program's budget and reads the conversation so far, in one exchange
+/// with the keepers.
 async fn begin_turn(
     entry: &Arc<Entry>,
     call: &Call,
 ) -> Result<(Option<Transcript>, Reservation), Refusal> {
     let started = Instant::now();
     if !is_admitted(entry, call, started) {
-        return Err(Refusal::Overload);
+        return Err(Refusal::Throttled);
     }
     let budget_request = budget_request(call);
     let reservation = Reservation::new(budget_request.as_ref().map(|(r, _)| r.clone()));
     let parent = call.route.retention.and(call.meta.parent.as_ref());
-    let parent = parent.map(|p| call.scope_id(p));
+    let parent = parent.map(|p| call.scoped_id(p));
     let usage_report = call.charge.map(|c| entry.limiter.report(&c, started));
     let (usage, snapshot) = usage_report.unzip();
     let params = BeginParams {
@@ -84,7 +86,7 @@
         load: entry.fleet.load_report(started),
         usage,
         try_timeout: BEGIN_TIMEOUT,
-        deadline: call.deadline.min(started + QUORUM_RECOVERY_TIMEOUT),
+        deadline: call.deadline.min(started + TOTAL_BEGIN_TIMEOUT),
     };
     let result = entry.quorum.begin(&params).await;
     if let Some((pressure, at)) = entry.quorum.pressure() {
@@ -103,7 +105,7 @@
                 && !entry.record_usage(call, snapshot, total)
             {
                 reservation.settle(entry, 0);
-                return Err(Refusal::Exceeded);
+                return Err(Refusal::AllowanceExceeded);
             }
             let is_program_start = Call::is_program_start(&call.route, &call.meta);
             entry
@@ -126,8 +128,8 @@
                 entry.throttle.record_refused(Instant::now());
             }
             Err(match error {
-                quorum::Error::TurnNotFound => Refusal::NoTurn,
-                quorum::Error::BudgetExceeded { .. } => Refusal::Spent,
+                quorum::Error::TurnNotFound => Refusal::TurnNotFound,
+                quorum::Error::BudgetExceeded { .. } => Refusal::BudgetExceeded,
                 quorum::Error::Indeterminate
                 | quorum::Error::Starting
                 | quorum::Error::Busy
@@ -139,7 +141,7 @@
 
 /// Whether the throttle admits the turn. A turn that continues a stored conversation is always
 /// admitted. On routes that store no turns, the first turn of a program cannot be recognized,
-/// so the program identifier decides for all its turns alike.
+/// so a hash of the program's ID decides, the same for all its turns.
 fn is_admitted(entry: &Entry, call: &Call, now: Instant) -> bool {
     let stores_turns = call.route.retention.is_some();
     if !entry.mechanisms.is_enabled(Mechanism::Throttle)
@@ -158,11 +160,11 @@
 /// without a budget.
 fn budget_request(call: &Call) -> Option<(Reserved, u64)> {
     let budget = call.meta.token_budget?;
-    let program = call.scope_id(call.meta.program.as_ref()?);
+    let program = call.scoped_id(call.meta.program.as_ref()?);
     let reserved = Reserved {
         program,
-        request: call.scope_id(&call.id),
-        tokens: call.meta.usage.map_or(0, |u| u.answer),
+        request: call.scoped_id(&call.id),
+        tokens: call.meta.size.map_or(0, |s| s.max_response_tokens),
         keep_ms: retention_ms(call),
     };
     Some((reserved, budget))
--- a/crates/gradedyke-gateway/src/estimate.rs
+++ b/crates/gradedyke-gateway/src/estimate.rs
@@ -2,8 +2,7 @@
 //! one of its servers relative to the service.
 //!
 //! Each estimate starts at a prior, which counts as a few observations. The weight of
-//! observations decays exponentially, so the estimate adapts within some tens of
-//! responses and needs no configuration.
+//! observations decays exponentially, so the estimate follows changes.
 
 use std::ops::Add;
 
@@ -137,13 +136,14 @@
     }
 }
 
-/// Sum of the response times of a server, each divided by the expected time.
+/// Sum of observed times of a server (responses, or gaps between events), each divided by the
+/// expected time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LatencyRatioSum {
-    /// Number of responses.
+    /// Number of observed times.
     pub responses: u32,
-    /// Sum of the ratios of observed to expected time, in hundredths.
-    pub hundredths: u32,
+    /// Sum of the ratios of observed to expected time, each in hundredths.
+    pub ratio_hundredths: u32,
 }
 
 impl Add for LatencyRatioSum {
@@ -152,7 +152,7 @@
     fn add(self, other: Self) -> Self {
         Self {
             responses: self.responses + other.responses,
-            hundredths: self.hundredths + other.hundredths,
+            ratio_hundredths: self.ratio_hundredths + other.ratio_hundredths,
         }
     }
 }
@@ -168,7 +168,7 @@
     pub fn from_ratio(ratio: f64) -> Self {
         Self {
             responses: 1,
-            hundredths: (ratio.clamp(0.0, MAX_LATENCY_RATIO) * 100.0) as u32,
+            ratio_hundredths: (ratio.clamp(0.0, MAX_LATENCY_RATIO) * 100.0) as u32,
         }
     }
 
@@ -182,7 +182,7 @@
     /// assert_eq!(LatencyRatioSum::default().slowness(), 1.0);
     /// ```
     pub fn slowness(self) -> f64 {
-        let sum = f64::from(self.hundredths) / 100.0;
+        let sum = f64::from(self.ratio_hundredths) / 100.0;
         (sum + PRIOR_RESPONSES) / (f64::from(self.responses) + PRIOR_RESPONSES)
     }
 }
@@ -190,12 +190,13 @@
 /// Expected times at a service, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Times {
-    /// Total time of a response, without queueing and without reading the prompt.
+    /// Total time of a response, or for a plain service the time to its head, without queueing
+    /// and without reading the prompt.
     pub response_ms: f64,
     /// Time to the first event, without queueing and without reading the prompt; 0 for a
     /// plain service.
     pub first_event_ms: f64,
-    /// Time between events if no other requests run there; 0 for a plain service.
+    /// Time between events if the server runs no other requests; 0 for a plain service.
     pub event_gap_ms: f64,
     /// Increase of the time between events with each concurrent request.
     pub gap_per_concurrent_ms: f64,
@@ -220,7 +221,7 @@
 /// Observed times of a streamed response of a model engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Timing {
-    /// Number of other requests in flight there when it was sent.
+    /// Number of other requests in flight at the server when the request was sent.
     pub concurrent: u32,
     /// Number of requests that the engine runs concurrently.
     pub slots: u32,
@@ -236,27 +237,24 @@
 
 /// Prior for the time to read one prompt token.
 const PRIOR_READ_MS_PER_TOKEN: f64 = 1.0 / 38.0;
-/// Prior for the time to the first event of a fully cached prompt: the network round trip
-/// and one generation step.
+/// Prior for the time to the first event of a fully cached prompt.
 const PRIOR_FIRST_EVENT_MS: f64 = 15.0;
-/// Prior for the time between events without concurrent requests: eight generation steps
-/// of 4 ms.
+/// Prior for the time between events without concurrent requests.
 const PRIOR_GAP_MS: f64 = 32.0;
-/// Prior for the increase of the time between events with each concurrent request. Low,
-/// as for a lightly loaded engine.
+/// Prior for the increase of the time between events with each concurrent request.
 const PRIOR_GAP_PER_CONCURRENT_MS: f64 = 0.3;
 /// Prior for the number of events after the first.
 const PRIOR_EVENTS_PER_RESPONSE: f64 = 8.0;
-/// Prior for the time of a call to a plain service.
-const PRIOR_CALL_MS: f64 = 200.0;
+/// Prior for the time to the response head of a plain service.
+const PRIOR_RESPONSE_MS: f64 = 200.0;
 /// Lower limit on expected times, so that ratios stay finite.
 const MIN_EXPECTED_MS: f64 = 0.1;
 /// Number of observations that a prior counts as.
 const PRIOR_WEIGHT: f64 = 10.0;
-/// Range of prompt tokens that sets the weight of the prior reading time.
-const READ_SPAN_TOKENS: f64 = 2_000.0;
-/// Range of concurrent requests that sets the weight of the prior for gaps.
-const GAP_SPAN_REQUESTS: f64 = 16.0;
+/// The `span` of the prior for the time to the first event, in uncached prompt tokens.
+const PRIOR_UNCACHED_TOKENS_SPAN: f64 = 2_000.0;
+/// The `span` of the prior for the time between events, in concurrent requests.
+const PRIOR_CONCURRENT_SPAN: f64 = 16.0;
 
 /// Learned times of a service.
 #[derive(Clone, Copy, Debug)]
@@ -268,7 +266,7 @@
     /// Number of events after the first.
     events: DecayingMean,
     /// Time to the response head of a plain service, in milliseconds.
-    call: DecayingMean,
+    response: DecayingMean,
 }
 
 impl Default for ServiceEstimate {
@@ -277,17 +275,17 @@
             first_event: LinearFit::new(
                 PRIOR_FIRST_EVENT_MS,
                 PRIOR_READ_MS_PER_TOKEN,
-                READ_SPAN_TOKENS,
+                PRIOR_UNCACHED_TOKENS_SPAN,
                 PRIOR_WEIGHT,
             ),
             gap: LinearFit::new(
                 PRIOR_GAP_MS,
                 PRIOR_GAP_PER_CONCURRENT_MS,
-                GAP_SPAN_REQUESTS,
+                PRIOR_CONCURRENT_SPAN,
                 PRIOR_WEIGHT,
             ),
             events: DecayingMean::new(PRIOR_EVENTS_PER_RESPONSE, PRIOR_WEIGHT),
-            call: DecayingMean::new(PRIOR_CALL_MS, PRIOR_WEIGHT),
+            response: DecayingMean::new(PRIOR_RESPONSE_MS, PRIOR_WEIGHT),
         }
     }
 }
@@ -317,17 +315,17 @@
 
     /// Records a response of a plain service, and returns the ratio of its time to the
     /// previously expected time.
-    pub fn record_call(&mut self, elapsed_ms: f64) -> f64 {
-        let expected_ms = self.call.value();
-        self.call.add(elapsed_ms);
+    pub fn record_response(&mut self, elapsed_ms: f64) -> f64 {
+        let expected_ms = self.response.value();
+        self.response.add(elapsed_ms);
         elapsed_ms / expected_ms.max(MIN_EXPECTED_MS)
     }
 
-    /// Expected times at the service. `engine` says whether it runs models.
-    pub fn times(&self, engine: bool) -> Times {
-        if !engine {
+    /// Expected times at the service. `is_engine` says whether it runs models.
+    pub fn times(&self, is_engine: bool) -> Times {
+        if !is_engine {
             return Times {
-                response_ms: self.call.value(),
+                response_ms: self.response.value(),
                 first_event_ms: 0.0,
                 event_gap_ms: 0.0,
                 gap_per_concurrent_ms: 0.0,
--- a/crates/gradedyke-gateway/src/fleet/slow_start.rs
+++ b/crates/gradedyke-gateway/src/fleet/slow_start.rs
@@ -19,8 +19,8 @@
     pub has_peer_load: bool,
     /// Requests in flight.
     pub in_flight: u32,
-    /// Requests that ended within the [window](window::BUCKET_DURATION), which is up to
-    /// two buckets long.
+    /// Requests that ended within the window, which covers one to three times
+    /// [`window::BUCKET_DURATION`].
     pub recently_ended: u32,
     /// Expected duration of a request, in milliseconds.
     pub response_ms: f64,
@@ -52,8 +52,8 @@
 
 /// A server that is warming up.
 #[derive(Clone, Copy, Debug)]
-pub struct Candidate {
-    /// Requests in flight there.
+pub struct WarmingServer {
+    /// Requests in flight at the server.
     pub in_flight: u32,
     /// Hash of the request and server IDs, used as a random number.
     pub hash: u64,
@@ -64,12 +64,12 @@
     (hash as f64) < fraction * u64::MAX as f64
 }
 
-/// Indices of the candidates that may run the request, where each can handle `rate`
+/// Indices of the candidates that may run the request, where each can handle `max_rate_per_s`
 /// requests per second. `has_warm_server` says whether a server that has warmed up is
 /// available.
 ///
 /// ```
-/// use gradedyke_gateway::fleet::slow_start::{Candidate, ServiceLoad, choose};
+/// use gradedyke_gateway::fleet::slow_start::{WarmingServer, ServiceLoad, choose};
 /// use gradedyke_gateway::health::Counts;
 ///
 /// let recent_requests = Counts::default();
@@ -77,22 +77,22 @@
 ///     has_peer_load: true, in_flight: 60, recently_ended: 900, response_ms: 200.0,
 ///     warming_servers: 1, recent_requests,
 /// };
-/// let candidate = |hash| Candidate { in_flight: 0, hash };
+/// let candidate = |hash| WarmingServer { in_flight: 0, hash };
 /// // The server gets 12 of 300 requests per second.
 /// assert_eq!(choose(&[candidate(u64::MAX / 30)], 20.0, &load, true), [0]);
 /// assert!(choose(&[candidate(u64::MAX / 20)], 20.0, &load, true).is_empty());
 /// ```
 pub fn choose(
-    candidates: &[Candidate],
-    rate: f64,
+    candidates: &[WarmingServer],
+    max_rate_per_s: f64,
     load: &ServiceLoad,
     has_warm_server: bool,
 ) -> Vec<usize> {
     if has_warm_server && !load.has_peer_load {
         return Vec::new();
     }
-    let fraction = (rate * TARGET_UTILIZATION / load.requests_per_s()).min(1.0);
-    let max_in_flight = (rate * TARGET_UTILIZATION * load.response_ms / 1e3).max(1.0);
+    let fraction = (max_rate_per_s * TARGET_UTILIZATION / load.requests_per_s()).min(1.0);
+    let max_in_flight = (max_rate_per_s * TARGET_UTILIZATION * load.response_ms / 1e3).max(1.0);
     let has_room = |index: &usize| f64::from(candidates[*index].in_flight) < max_in_flight;
     let with_room: Vec<usize> = (0..candidates.len()).filter(has_room).collect();
     let selected = with_room.iter().copied();
--- a/crates/gradedyke-gateway/src/link.rs
+++ b/crates/gradedyke-gateway/src/link.rs
@@ -1,8 +1,8 @@
 //! Connection pool for one backend server.
 //!
-//! For a failed request it matters whether the server may have run it. It certainly has
-//! not only if the connect failed, or if the connection closed before the request was
-//! handed to it.
+//! For a failed request it matters whether the server may have run it. It is certain that the
+//! server has not run it only if connecting failed, or if the connection closed before it
+//! accepted the request.
 
 use std::io;
 use std::net::SocketAddr;
@@ -19,13 +19,11 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// Connect timeout. TCP retransmits a lost SYN only after a second; by then it is better to
-/// have tried another server.
+/// Connect timeout; shorter than TCP's wait before it retransmits a lost SYN (1 s).
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// How long sent data may stay unacknowledged (`TCP_USER_TIMEOUT`). It detects a server that
-/// lost power or its network, and leaves time for three retransmissions. The server's kernel
-/// acknowledges, so a slow server keeps its connection unless its receive buffer stays full
-/// for this long.
+/// How long sent data may stay unacknowledged (`TCP_USER_TIMEOUT`). Detects a server that is
+/// powered off or disconnected. A slow server keeps its connection, because its kernel
+/// acknowledges the data, unless its receive buffer stays full for this long.
 const TCP_USER_TIMEOUT: Duration = Duration::from_millis(700);
 /// Idle time before the first TCP keepalive probe, and interval between probes: the minimum
 /// that the socket options allow.
@@ -33,12 +31,12 @@
 /// Maximum idle time of a connection that is used for a request which must not run twice.
 /// Shorter than the idle timeouts of servers: if the server closes the connection while the
 /// request is sent, the request may have run.
-const MAX_IDLE_ONCE: Duration = Duration::from_millis(900);
+const MAX_IDLE_NON_REPEATABLE: Duration = Duration::from_millis(900);
 /// Maximum idle time of a connection that is used for a repeatable request. It may exceed
 /// the server's idle timeout: if the server closes the connection, the request is repeated.
 const MAX_IDLE_REPEATABLE: Duration = Duration::from_millis(4_000);
-/// A connection is not used within this time before the server's idle timeout, to allow for
-/// network latency and short stalls of either side.
+/// A connection is no longer used when less than this is left until the server's idle timeout,
+/// to allow for network latency and short stalls of either side.
 const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(300);
 /// Maximum number of idle connections kept for one server.
 const MAX_IDLE_CONNECTIONS: usize = 16;
@@ -67,11 +65,11 @@
 }
 
 impl IdleConnection {
-    fn is_usable(&self, repeatable: bool, now: Instant) -> bool {
-        let max_idle = if repeatable {
+    fn is_usable(&self, is_repeatable: bool, now: Instant) -> bool {
+        let max_idle = if is_repeatable {
             MAX_IDLE_REPEATABLE
         } else {
-            MAX_IDLE_ONCE
+            MAX_IDLE_NON_REPEATABLE
         };
         now.saturating_duration_since(self.idle_since) < max_idle.min(self.max_idle)
     }
@@ -88,7 +86,7 @@
     socket.set_tcp_keepalive(&keepalive)
 }
 
-/// Idle connections to one backend server, and the means to open new ones.
+/// Idle connections to one backend server; opens new ones as needed.
 pub struct Pool {
     address: SocketAddr,
     idle: Mutex<Vec<IdleConnection>>,
@@ -99,7 +97,7 @@
 pub struct Connection {
     sender: SendRequest<Body>,
     /// Whether the connection has carried an earlier request.
-    pub used: bool,
+    pub is_reused: bool,
 }
 
 impl Pool {
@@ -124,18 +122,21 @@
     }
 
     /// Whether there is an idle connection that a request could use.
-    pub fn has_idle_connection(&self, repeatable: bool, now: Instant) -> bool {
+    pub fn has_idle_connection(&self, is_repeatable: bool, now: Instant) -> bool {
         let idle = self.lock_idle(now);
         idle.iter()
-            .any(|c| c.is_usable(repeatable, now) && c.sender.is_ready())
+            .any(|c| c.is_usable(is_repeatable, now) && c.sender.is_ready())
     }
 
-    fn take_idle(&self, repeatable: bool, now: Instant) -> Option<Connection> {
+    fn take_idle(&self, is_repeatable: bool, now: Instant) -> Option<Connection> {
         let mut idle = self.lock_idle(now);
-        let is_usable = |c: &IdleConnection| c.is_usable(repeatable, now) && c.sender.is_ready();
+        let is_usable = |c: &IdleConnection| c.is_usable(is_repeatable, now) && c.sender.is_ready();
         let index = idle.iter().rposition(is_usable)?;
         let sender = idle.swap_remove(index).sender;
-        Some(Connection { sender, used: true })
+        Some(Connection {
+            sender,
+            is_reused: true,
+        })
     }
 
     async fn connect(&self) -> Result<Connection, Error> {
@@ -157,12 +158,12 @@
         });
         Ok(Connection {
             sender,
-            used: false,
+            is_reused: false,
         })
     }
 
     /// Sends a request on an idle connection or a new one, and waits for the head of the
-    /// response. `repeatable` decides how long a connection may have been idle.
+    /// response. `is_repeatable` decides how long a connection may have been idle.
     ///
     /// # Errors
     ///
@@ -171,10 +172,10 @@
     pub async fn send(
         &self,
         mut request: Request<Body>,
-        repeatable: bool,
+        is_repeatable: bool,
         now: Instant,
     ) -> Result<(Response<Incoming>, Connection), Error> {
-        if let Some(mut connection) = self.take_idle(repeatable, now) {
+        if let Some(mut connection) = self.take_idle(is_repeatable, now) {
             match connection.sender.try_send_request(request).await {
                 Ok(response) => return Ok((response, connection)),
                 Err(mut failed) => match failed.take_message() {
--- a/crates/gradedyke-gateway/src/placement/mod.rs
+++ b/crates/gradedyke-gateway/src/placement/mod.rs
@@ -14,12 +14,12 @@
 use std::sync::Arc;
 
 use crate::estimate::Times;
-use crate::mechanism::Enabled;
+use crate::mechanism::Mechanisms;
 
 /// A server that could run the request, as a policy sees it.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
-    /// Requests in flight there, from this entry and as reported by others.
+    /// Requests in flight at the server, from this entry and as reported by others.
     pub in_flight: u32,
     /// Number of requests it runs concurrently.
     pub slots: u32,
@@ -37,8 +37,8 @@
     /// How long its responses take relative to the whole service; 1 is normal.
     pub slowness: f64,
     /// Whether the request may be run more than once.
-    pub repeatable: bool,
-    /// Expected share of requests that fail there, 0 to 1.
+    pub is_repeatable: bool,
+    /// Expected share of requests that fail at the server, 0 to 1.
     pub failure_rate: f64,
     /// Hash of the request and server IDs, to break ties and draw samples.
     pub hash: u64,
@@ -50,7 +50,7 @@
         wait_ms(self.in_flight, self.slots, &self.times)
     }
 
-    /// Number of other requests that run beside this one once it has started.
+    /// Number of other requests that run concurrently with this one once it has started.
     pub fn concurrent(&self) -> u32 {
         concurrent(self.in_flight, self.slots)
     }
@@ -95,7 +95,7 @@
     /// Name of the policy in the settings.
     pub name: &'static str,
     /// Builds the policy with the mechanisms that are enabled.
-    pub build: fn(Enabled) -> Arc<dyn Policy>,
+    pub build: fn(Mechanisms) -> Arc<dyn Policy>,
 }
 
 inventory::collect!(PolicyRegistration);
@@ -103,15 +103,15 @@
 /// Builds every registered policy, keyed by name.
 ///
 /// ```
-/// use gradedyke_gateway::{mechanism::Enabled, placement};
+/// use gradedyke_gateway::{mechanism::Mechanisms, placement};
 ///
-/// let policies = placement::policies(Enabled::default());
+/// let policies = placement::policies(Mechanisms::default());
 /// assert!(policies.contains_key("cost"));
 /// assert!(policies.contains_key("least_loaded"));
 /// ```
-pub fn policies(enabled: Enabled) -> BTreeMap<&'static str, Arc<dyn Policy>> {
+pub fn policies(mechanisms: Mechanisms) -> BTreeMap<&'static str, Arc<dyn Policy>> {
     let registrations = inventory::iter::<PolicyRegistration>.into_iter();
     registrations
-        .map(|p| (p.name, (p.build)(enabled)))
+        .map(|p| (p.name, (p.build)(mechanisms)))
         .collect()
 }
--- a/crates/gradedyke-gateway/src/prefix.rs
+++ b/crates/gradedyke-gateway/src/prefix.rs
@@ -73,7 +73,7 @@
             self.insert(part, extra_tokens);
         }
         while self.tokens > capacity || self.parts.len() > MAX_PARTS {
-            if !self.evict_oldest() {
+            if !self.evict_least_recent() {
                 return;
             }
         }
@@ -99,7 +99,7 @@
     }
 
     /// Evicts the least recently used part. Returns whether there was one.
-    fn evict_oldest(&mut self) -> bool {
+    fn evict_least_recent(&mut self) -> bool {
         let oldest = self.parts.iter().min_by_key(|(_, cached)| cached.last_use);
         let Some(id) = oldest.map(|(id, _)| id.clone()) else {
             return false;
--- a/crates/gradedyke-gateway/src/process.rs
+++ b/crates/gradedyke-gateway/src/process.rs
@@ -1,4 +1,4 @@
-//! Starts, drains and stops a gateway process, either an entry or a keeper.
+//! Starts, drains and stops a process, either an entry or a keeper.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -28,7 +28,7 @@
 use crate::dialect::Dialect;
 use crate::entry::{self, CallerHandler, Entry, Readiness};
 use crate::fleet::Fleet;
-use crate::mechanism::Enabled;
+use crate::mechanism::Mechanisms;
 use crate::settings::Settings;
 use crate::throttle::Throttle;
 use crate::{follow, meter, placement};
@@ -38,14 +38,14 @@
 pub struct Environment {
     /// Decodes and encodes the formats of callers, backend servers and the platform.
     pub dialect: Arc<dyn Dialect>,
-    /// The platform's key-value service.
+    /// The platform's key-value store.
     pub kv: Arc<dyn KeyValue>,
 }
 
-/// Interval at which an entry expires vanished servers and reconnects to keepers.
+/// Interval at which an entry removes expired servers and reconnects to keepers.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(250);
 /// Time until the load balancer notices that an entry is draining: it polls every second and
-/// needs two negative answers in a row.
+/// needs two negative responses in a row.
 const BALANCER_NOTICE_DELAY: Duration = Duration::from_millis(2_300);
 /// Part of the grace period that is reserved for the shutdown itself.
 const SHUTDOWN_RESERVE: Duration = Duration::from_millis(400);
@@ -58,7 +58,7 @@
 const CALLER_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// How long a caller may leave sent data unacknowledged before its connection is closed.
-const CALLER_UNREAD_TIMEOUT: Duration = Duration::from_secs(10);
+const CALLER_ACK_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A running process. Dropping it aborts its tasks.
 pub struct Process {
@@ -119,7 +119,7 @@
     ///
     /// Fails if a required setting is missing, the placement policy does not exist, or a
     /// listener cannot be bound.
-    pub async fn entry(settings: Settings, environment: Environment) -> eyre::Result<Self> {
+    pub async fn start_entry(settings: Settings, environment: Environment) -> eyre::Result<Self> {
         let caller = require(settings.listen.caller, "listen.caller")?;
         let ready = require(settings.listen.ready, "listen.ready")?;
         let mirror = Mirror::new(&prefixes(&*environment.dialect));
@@ -138,7 +138,7 @@
             .transpose()?;
         let quorum = Quorum::new(mirror.clone(), &settings.data_centre, own_address);
         let decisions = settings.decisions.clone();
-        let mechanisms = Enabled::without(&decisions.off);
+        let mechanisms = Mechanisms::all_except(&decisions.off);
         let propagation_limit = settings.propagation_limit();
         let policy = placement::policies(mechanisms).remove(decisions.placement.as_str());
         let policy = policy.ok_or_else(|| {
@@ -153,7 +153,7 @@
             dialect: environment.dialect.clone(),
             mirror: mirror.clone(),
             config: ArcSwapOption::empty(),
-            fleet: Fleet::new(settings.location(), own_address, policy, mechanisms),
+            fleet: Fleet::new(settings.topology(), own_address, policy, mechanisms),
             quorum: quorum.clone(),
             limiter: Limiter::new(rand::random(), settings.allowance_window(), Instant::now()),
             demand: Demand::default(),
@@ -189,7 +189,7 @@
             protocol: Protocol::Http1,
             connections: MAX_CALLER_CONNECTIONS,
             idle: Some(CALLER_IDLE_TIMEOUT),
-            unread: Some(CALLER_UNREAD_TIMEOUT),
+            unread: Some(CALLER_ACK_TIMEOUT),
             ..Config::default()
         };
         let caller_server = bind(caller, config.clone(), "listen.caller").await?;
@@ -208,7 +208,7 @@
     ///
     /// Fails if a required setting is missing, the data folder cannot be used, or a listener
     /// cannot be bound.
-    pub async fn keeper(settings: Settings, environment: Environment) -> eyre::Result<Self> {
+    pub async fn start_keeper(settings: Settings, environment: Environment) -> eyre::Result<Self> {
         let peer = require(settings.listen.peer, "listen.peer")?;
         let folder = require(settings.data_folder.clone(), "data_folder")?;
         let stop = CancellationToken::new();
@@ -301,7 +301,7 @@
     }
 
     /// The entry; `None` if the process is a keeper.
-    pub fn gateway(&self) -> Option<&Arc<Entry>> {
+    pub fn entry(&self) -> Option<&Arc<Entry>> {
         self.entry.as_ref()
     }
 
