--- a/crates/gradedyke-gateway/src/entry/mod.rs
+++ b/crates/gradedyke-gateway/src/entry/mod.rs
@@ -330,7 +330,7 @@
             .ok_or(Refusal::NoServer)?
             .to_owned();
         let charge = self.charge_request(account.as_deref(), &route, &meta, arrived)?;
-        let regions = Call::allowed_regions(&route, account.as_deref());
+        let allowed_regions = Call::allowed_regions(&route, account.as_deref());
         Ok(Call {
             id,
             config,
--- a/crates/gradedyke-gateway/src/entry/plain.rs
+++ b/crates/gradedyke-gateway/src/entry/plain.rs
@@ -91,7 +91,7 @@
         cache_capacity_tokens: 0,
         is_repeatable: call.route.kind == Kind::Idempotent,
         max_warm_up_rate_per_s: call.max_warm_up_rate_per_s(),
-        allowed_regions: call.regions.as_deref(),
+        allowed_regions: call.allowed_regions.as_deref(),
         now: call.arrived,
     };
     let mut may_have_run = false;
--- a/crates/gradedyke-gateway/src/entry/upstream.rs
+++ b/crates/gradedyke-gateway/src/entry/upstream.rs
@@ -81,7 +81,7 @@
         cache_capacity_tokens: call.engine().map_or(0, |e| e.cache_capacity_tokens),
         is_repeatable: call.route.is_repeatable(),
         max_warm_up_rate_per_s: call.max_warm_up_rate_per_s(),
-        allowed_regions: call.regions.as_deref(),
+        allowed_regions: call.allowed_regions.as_deref(),
         now: call.arrived,
     }
 }
