--- a/crates/gradedyke-gateway/src/allowance.rs
+++ b/crates/gradedyke-gateway/src/allowance.rs
@@ -16,7 +16,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use gradedyke_turns::usage::{self, BUCKETS_PER_WINDOW, Counter, Report, Row, Total};
+use gradedyke_turns::usage::{self, BUCKETS_PER_WINDOW, Counter, Report, Total};
 use tokio::time::Instant;
 
 use crate::account::{Account, Allowance};
@@ -285,7 +285,7 @@
                 continue;
             }
             (account_usage.changed, account_usage.reported_at) = (false, Some(now));
-            rows.push(Row {
+            rows.push(usage::AccountUsage {
                 account: *account,
                 buckets,
             });
--- a/crates/gradedyke-gateway/src/entry/mod.rs
+++ b/crates/gradedyke-gateway/src/entry/mod.rs
@@ -28,7 +28,7 @@
 use arc_swap::ArcSwapOption;
 use gradedyke_http::{Body, body};
 use gradedyke_turns::mirror::Mirror;
-use gradedyke_turns::quorum::Quorum;
+use gradedyke_turns::quorum::Coordinator;
 use http::{Request, Response, header};
 use hyper::body::Incoming;
 use tokio::time::Instant;
@@ -78,7 +78,7 @@
     /// The backend servers, with their load and health.
     pub fleet: Arc<Fleet>,
     /// Client of the keepers, which store turns and budgets on a majority of disks.
-    pub quorum: Arc<Quorum>,
+    pub quorum: Arc<Coordinator>,
     /// Requests of each client account that this entry admitted.
     pub limiter: Limiter,
     /// Estimates how many requests a program needs.
--- a/crates/gradedyke-gateway/src/follow.rs
+++ b/crates/gradedyke-gateway/src/follow.rs
@@ -10,7 +10,7 @@
 use gradedyke_platform::kv::KeyValue;
 use gradedyke_turns::feed;
 use gradedyke_turns::mirror::{self, Mirror, Need};
-use gradedyke_turns::quorum::Quorum;
+use gradedyke_turns::quorum::Coordinator;
 use gradedyke_turns::view::DiskId;
 use tokio::task::JoinSet;
 use tokio::time::Instant;
@@ -113,7 +113,7 @@
     /// The keeper's copy of the platform's data.
     pub(crate) mirror: Arc<Mirror>,
     /// Client for the other keepers.
-    pub(crate) quorum: Arc<Quorum>,
+    pub(crate) quorum: Arc<Coordinator>,
     /// Decides when a keeper that is not a watcher reads the service.
     pub(crate) policy: Arc<feed::Policy>,
     /// Decides when another watcher reads the service in place of the first one.
--- a/crates/gradedyke-gateway/src/process.rs
+++ b/crates/gradedyke-gateway/src/process.rs
@@ -14,7 +14,7 @@
 use gradedyke_turns::detour::Forwarder;
 use gradedyke_turns::membership::{self, Membership};
 use gradedyke_turns::mirror::Mirror;
-use gradedyke_turns::quorum::Quorum;
+use gradedyke_turns::quorum::Coordinator;
 use gradedyke_turns::replica::{self, Replica};
 use gradedyke_turns::{feed, log, snapshot};
 use tokio::net::TcpListener;
@@ -136,7 +136,7 @@
             .as_ref()
             .map(TcpListener::local_addr)
             .transpose()?;
-        let quorum = Quorum::new(mirror.clone(), &settings.data_centre, own_address);
+        let quorum = Coordinator::new(mirror.clone(), &settings.data_centre, own_address);
         let decisions = settings.decisions.clone();
         let mechanisms = Enabled::without(&decisions.off);
         let propagation_limit = settings.propagation_limit();
@@ -231,7 +231,7 @@
             data_centre: settings.data_centre.clone(),
             data_centres: settings.data_centres.clone(),
             first_start: settings.first_start,
-            tolerate: settings.tolerate,
+            tolerated_losses: settings.tolerate,
             join_delay: join_delay(&settings),
         };
         let seeds = settings.seeds.clone();
@@ -260,7 +260,7 @@
             disk,
             seeds,
             mirror: mirror.clone(),
-            quorum: Quorum::new(mirror.clone(), &config.data_centre, None),
+            quorum: Coordinator::new(mirror.clone(), &config.data_centre, None),
             policy: Arc::new(policy),
             standby: feed::Standby::default(),
         };
@@ -363,7 +363,7 @@
 /// first, then the configured seeds.
 fn follow_sources(
     settings: Arc<ArcSwap<Settings>>,
-    quorum: Arc<Quorum>,
+    quorum: Arc<Coordinator>,
 ) -> impl Fn() -> Vec<SocketAddr> {
     move || {
         let mut sources = quorum.addresses_by_distance();
--- a/crates/gradedyke-turns/src/backlog.rs
+++ b/crates/gradedyke-turns/src/backlog.rs
@@ -1,5 +1,5 @@
-//! Limits the latency of [`Request::Begin`](crate::message::Request::Begin) requests by the
-//! age of those in flight.
+//! Rejects new [`Request::Begin`](crate::message::Request::Begin) requests while the oldest one
+//! in flight is too old, which limits their latency.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -9,16 +9,17 @@
 
 /// Age of the oldest request in flight above which new ones are rejected. Well below the
 /// caller's timeout, so that admitted requests are answered in time.
-const MAX_OLDEST_AGE: Duration = Duration::from_millis(100);
+const MAX_OLDEST_REQUEST_AGE: Duration = Duration::from_millis(100);
 /// The same for a program's first turn. Lower, because rejecting a first turn wastes no work,
 /// whereas rejecting a later one wastes the program's earlier turns.
-const MAX_OLDEST_AGE_FIRST_TURN: Duration = Duration::from_millis(50);
-/// Requests that may be in flight whatever their age, so that one slow request does not block
+const MAX_OLDEST_REQUEST_AGE_FIRST_TURN: Duration = Duration::from_millis(50);
+/// InFlightRequests that may be in flight whatever their age, so that one slow request does not block
 /// others.
 const MIN_CONCURRENT_REQUESTS: usize = 32;
 
-/// Returns whether a new request must be rejected while `active` requests are in flight, the
-/// oldest for `age`. `first` tells whether the new one is for a program's first turn.
+/// Returns whether a new request must be rejected when `active` requests are in flight and
+/// the oldest of them is `age` old. `is_first_turn` tells whether the new one is for a program's
+/// first turn.
 ///
 /// Under overload a queue would grow until every response is too late for its caller.
 ///
@@ -27,29 +28,29 @@
 /// use std::time::Duration;
 ///
 /// let age = Duration::from_millis(70);
-/// assert!(backlog::full(40, age, true));
-/// assert!(!backlog::full(40, age, false));
-/// assert!(!backlog::full(10, age, true));
+/// assert!(backlog::is_full(40, age, true));
+/// assert!(!backlog::is_full(40, age, false));
+/// assert!(!backlog::is_full(10, age, true));
 /// ```
-pub fn is_full(active: usize, age: Duration, first: bool) -> bool {
-    let max_age = if first {
-        MAX_OLDEST_AGE_FIRST_TURN
+pub fn is_full(active: usize, age: Duration, is_first_turn: bool) -> bool {
+    let max_age = if is_first_turn {
+        MAX_OLDEST_REQUEST_AGE_FIRST_TURN
     } else {
-        MAX_OLDEST_AGE
+        MAX_OLDEST_REQUEST_AGE
     };
     age > max_age && active >= MIN_CONCURRENT_REQUESTS
 }
 
 /// Start times of the requests in flight, by sequence number.
 #[derive(Debug, Default)]
-struct Requests {
+struct InFlightRequests {
     next_number: u64,
-    started: BTreeMap<u64, Instant>,
+    started_at: BTreeMap<u64, Instant>,
 }
 
 /// The requests that a replica has in flight.
 #[derive(Debug, Default)]
-pub struct Backlog(Mutex<Requests>);
+pub struct Backlog(Mutex<InFlightRequests>);
 
 /// Counts a request as in flight until dropped.
 #[derive(Debug)]
@@ -60,17 +61,17 @@
 
 impl Drop for InFlightGuard<'_> {
     fn drop(&mut self) {
-        self.backlog.lock().started.remove(&self.number);
+        self.backlog.lock().started_at.remove(&self.number);
     }
 }
 
 impl Backlog {
-    fn lock(&self) -> MutexGuard<'_, Requests> {
+    fn lock(&self) -> MutexGuard<'_, InFlightRequests> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Adds a request, or returns `None` if it must be rejected (see [`full`]). `first` tells
-    /// whether it is for a program's first turn.
+    /// Adds a request, or returns `None` if it must be rejected (see [`is_full`]).
+    /// `is_first_turn` tells whether it is for a program's first turn.
     ///
     /// ```
     /// use gradedyke_turns::backlog::Backlog;
@@ -86,16 +87,20 @@
     /// drop(begun);
     /// assert!(backlog.try_begin(true, later).is_some());
     /// ```
-    pub fn try_begin(&self, first: bool, now: Instant) -> Option<InFlightGuard<'_>> {
+    pub fn try_begin(&self, is_first_turn: bool, now: Instant) -> Option<InFlightGuard<'_>> {
         let mut requests = self.lock();
-        let oldest = requests.started.values().next();
+        let oldest = requests.started_at.values().next();
         let age = oldest.map(|at| now.saturating_duration_since(*at));
-        if is_full(requests.started.len(), age.unwrap_or_default(), first) {
+        if is_full(
+            requests.started_at.len(),
+            age.unwrap_or_default(),
+            is_first_turn,
+        ) {
             return None;
         }
         let number = requests.next_number;
         requests.next_number += 1;
-        requests.started.insert(number, now);
+        requests.started_at.insert(number, now);
         Some(InFlightGuard {
             backlog: self,
             number,
--- a/crates/gradedyke-turns/src/body.rs
+++ b/crates/gradedyke-turns/src/body.rs
@@ -3,7 +3,7 @@
 //! Every body is written to disk as well; the cache holds the most recently written or
 //! read ones up to a limit. Eviction uses the second-chance algorithm: a body that was
 //! read since it was last considered for eviction is skipped once. Unlike LRU, this
-//! does not reorder an entry on each read.
+//! does not reorder a body on each read.
 
 use std::collections::VecDeque;
 
@@ -21,12 +21,12 @@
 
 impl Body {
     /// Returns the size of input and output in bytes.
-    pub fn bytes(&self) -> usize {
+    pub fn len(&self) -> usize {
         self.input.len() + self.output.len()
     }
 }
 
-struct Entry {
+struct CachedBody {
     body: Body,
     /// Whether the body was read since it was last considered for eviction.
     referenced: bool,
@@ -35,10 +35,10 @@
 /// A size-limited cache of turn bodies by the key of their turn.
 pub struct Cache<K: Key> {
     /// Sparse because most requests have no cached body.
-    entries: SparseSecondaryMap<K, Entry>,
-    /// Keys in the order of eviction. May contain keys without an entry.
+    bodies: SparseSecondaryMap<K, CachedBody>,
+    /// Keys in the order of eviction. May contain keys without a cached body.
     eviction_queue: VecDeque<K>,
-    bytes: usize,
+    cached_bytes: usize,
     max_bytes: usize,
 }
 
@@ -46,16 +46,16 @@
     /// Creates an empty cache for up to `max_bytes` bytes of bodies.
     pub fn new(max_bytes: usize) -> Self {
         Self {
-            entries: SparseSecondaryMap::new(),
+            bodies: SparseSecondaryMap::new(),
             eviction_queue: VecDeque::new(),
-            bytes: 0,
+            cached_bytes: 0,
             max_bytes,
         }
     }
 
     /// Returns the size of all cached bodies in bytes.
-    pub fn bytes(&self) -> usize {
-        self.bytes
+    pub fn cached_bytes(&self) -> usize {
+        self.cached_bytes
     }
 
     /// Inserts a body at the end of the eviction queue, unless the turn has one already.
@@ -75,14 +75,14 @@
     /// assert!(cache.get(second).is_some());
     /// ```
     pub fn insert(&mut self, turn: K, body: Body) {
-        if self.entries.contains_key(turn) {
+        if self.bodies.contains_key(turn) {
             return;
         }
-        self.bytes += body.bytes();
+        self.cached_bytes += body.len();
         self.eviction_queue.push_back(turn);
-        self.entries.insert(
+        self.bodies.insert(
             turn,
-            Entry {
+            CachedBody {
                 body,
                 referenced: false,
             },
@@ -92,23 +92,23 @@
     /// Inserts a body that was read from disk for a request, and marks it as referenced.
     pub fn insert_referenced(&mut self, turn: K, body: Body) {
         self.insert(turn, body);
-        if let Some(entry) = self.entries.get_mut(turn) {
-            entry.referenced = true;
+        if let Some(cached) = self.bodies.get_mut(turn) {
+            cached.referenced = true;
         }
     }
 
     /// Returns the body of a turn and marks it as referenced, or `None` if it is not cached.
     pub fn get(&mut self, turn: K) -> Option<Body> {
-        let entry = self.entries.get_mut(turn)?;
-        entry.referenced = true;
-        Some(entry.body.clone())
+        let cached = self.bodies.get_mut(turn)?;
+        cached.referenced = true;
+        Some(cached.body.clone())
     }
 
     /// Removes the body of a turn.
     pub fn remove(&mut self, turn: K) {
         // The key stays in the eviction queue, and `evict` skips it.
-        if let Some(entry) = self.entries.remove(turn) {
-            self.bytes -= entry.body.bytes();
+        if let Some(cached) = self.bodies.remove(turn) {
+            self.cached_bytes -= cached.body.len();
         }
     }
 
@@ -117,15 +117,15 @@
     pub fn evict(&mut self, is_stored: impl Fn(K) -> bool) {
         // At most two visits for each key: the first may only clear `referenced`.
         let mut visits_left = 2 * self.eviction_queue.len();
-        while self.bytes > self.max_bytes && visits_left > 0 {
+        while self.cached_bytes > self.max_bytes && visits_left > 0 {
             visits_left -= 1;
             let Some(turn) = self.eviction_queue.pop_front() else {
                 return;
             };
-            let Some(entry) = self.entries.get_mut(turn) else {
+            let Some(cached) = self.bodies.get_mut(turn) else {
                 continue;
             };
-            let referenced = std::mem::take(&mut entry.referenced);
+            let referenced = std::mem::take(&mut cached.referenced);
             if referenced || !is_stored(turn) {
                 self.eviction_queue.push_back(turn);
             } else {
--- a/crates/gradedyke-turns/src/conversation.rs
+++ b/crates/gradedyke-turns/src/conversation.rs
@@ -1,6 +1,6 @@
 //! Conversations: the inputs and outputs of a turn and of all turns that it continues.
 //!
-//! Some parts may be on disk only. They are located while the index's lock is held and read
+//! Some turns may be on disk only. They are located while the index's lock is held and read
 //! after it has been released.
 
 use bytes::{Bytes, BytesMut};
@@ -13,27 +13,27 @@
 /// The text of the conversation up to and including a turn.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Transcript {
-    /// Inputs and outputs, oldest first.
+    /// Text of all inputs and outputs, oldest first.
     pub body: Bytes,
     /// The backend server that ran the last turn.
     pub server: Id,
 }
 
-/// A turn of a conversation.
+/// The body of a turn, or its location if it is only on disk.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Part {
-    /// The turn is in memory.
+pub enum TurnBody {
+    /// The body, from memory.
     InMemory(Body),
-    /// The turn is on disk only, at this location.
+    /// The location of the turn, which is only on disk.
     OnDisk(Location),
 }
 
-/// The conversation up to and including a turn, with the locations of the parts that are not
+/// The conversation up to and including a turn, with the locations of the turns that are not
 /// in memory.
 #[derive(Clone, Debug)]
 pub struct Conversation {
     /// Its turns, oldest first.
-    pub parts: Vec<(Id, Part)>,
+    pub turns: Vec<(Id, TurnBody)>,
     /// The backend server that ran the last turn.
     pub server: Id,
 }
@@ -41,9 +41,9 @@
 impl Conversation {
     /// Returns the locations of the turns that have to be read from disk, oldest first.
     pub fn disk_locations(&self) -> Vec<Location> {
-        let locations = self.parts.iter().filter_map(|(_, part)| match part {
-            Part::InMemory(_) => None,
-            Part::OnDisk(location) => Some(*location),
+        let locations = self.turns.iter().filter_map(|(_, turn)| match turn {
+            TurnBody::InMemory(_) => None,
+            TurnBody::OnDisk(location) => Some(*location),
         });
         locations.collect()
     }
@@ -53,13 +53,13 @@
     pub fn transcript(&self, bodies: &[Body]) -> Option<Transcript> {
         let mut bodies = bodies.iter();
         let mut body = BytesMut::new();
-        for (_, part) in &self.parts {
-            let turn = match part {
-                Part::InMemory(in_memory) => in_memory,
-                Part::OnDisk(_) => bodies.next()?,
+        for (_, turn) in &self.turns {
+            let turn_body = match turn {
+                TurnBody::InMemory(in_memory) => in_memory,
+                TurnBody::OnDisk(_) => bodies.next()?,
             };
-            body.extend_from_slice(&turn.input);
-            body.extend_from_slice(&turn.output);
+            body.extend_from_slice(&turn_body.input);
+            body.extend_from_slice(&turn_body.output);
         }
         Some(Transcript {
             body: body.freeze(),
--- a/crates/gradedyke-turns/src/desk.rs
+++ b/crates/gradedyke-turns/src/desk.rs
@@ -1,5 +1,6 @@
-//! Handles requests from other processes: limits concurrency, and answers requests that need
-//! no records without the replica.
+//! Handles requests from other processes. Limits their concurrency, answers
+//! [`Request::Follow`] and [`Request::Age`] from the mirror, and passes all others to the
+//! replica.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -22,13 +23,13 @@
 /// How long a request waits for a replica that is still opening before it is answered with
 /// [`Reply::Starting`]. Well below the timeout of the caller.
 const STARTUP_WAIT: Duration = Duration::from_millis(100);
-/// Most concurrent [`Request::Begin`] requests; limits memory. [`Backlog`] limits latency.
+/// Maximum number of concurrent [`Request::Begin`] requests; limits memory. [`Backlog`] limits latency.
 const MAX_CONCURRENT_BEGINS: usize = 192;
-/// Most concurrent requests of other kinds that need the replica. They have their own, higher
-/// limit, as most of them complete attempts that have already run.
-const MAX_CONCURRENT_OTHERS: usize = 768;
+/// Maximum number of concurrent requests of other kinds that need the replica. They have their
+/// own, higher limit, as most of them complete attempts that have already run.
+const MAX_CONCURRENT_NON_BEGINS: usize = 768;
 
-/// Counts a request as in flight until dropped.
+/// One of a limited number of concurrent requests; frees its slot when dropped.
 struct ConcurrencyPermit<'a>(&'a AtomicUsize);
 
 impl<'a> ConcurrencyPermit<'a> {
@@ -46,27 +47,27 @@
     }
 }
 
-/// Handles requests from other processes. Changes of the mirror are served at once; requests
-/// for records wait until the replica has opened its disk.
+/// Handles requests from other processes. Requests for changes or the age of the
+/// mirror do not need the replica; all others wait until the replica has opened its disk.
 pub struct Dispatcher {
     mirror: Arc<Mirror>,
     replica: watch::Receiver<Option<Arc<Replica>>>,
     begins_in_flight: AtomicUsize,
-    others_in_flight: AtomicUsize,
+    non_begins_in_flight: AtomicUsize,
     backlog: Backlog,
     meter: Mutex<Meter>,
     stats: Mutex<RequestStats>,
 }
 
 impl Dispatcher {
-    /// Creates a handler that serves changes of `mirror`, and passes requests for records to
-    /// `replica` once it is available.
+    /// Creates a handler that answers requests for changes or the age of `mirror`, and passes
+    /// all others to `replica` once it is available.
     pub fn new(mirror: Arc<Mirror>, replica: watch::Receiver<Option<Arc<Replica>>>) -> Self {
         Self {
             mirror,
             replica,
             begins_in_flight: AtomicUsize::new(0),
-            others_in_flight: AtomicUsize::new(0),
+            non_begins_in_flight: AtomicUsize::new(0),
             backlog: Backlog::default(),
             meter: Mutex::default(),
             stats: Mutex::new(RequestStats::new(Instant::now())),
@@ -110,7 +111,10 @@
             Request::Begin(_) => {
                 ConcurrencyPermit::try_acquire(&self.begins_in_flight, MAX_CONCURRENT_BEGINS)
             }
-            _ => ConcurrencyPermit::try_acquire(&self.others_in_flight, MAX_CONCURRENT_OTHERS),
+            _ => ConcurrencyPermit::try_acquire(
+                &self.non_begins_in_flight,
+                MAX_CONCURRENT_NON_BEGINS,
+            ),
         }
     }
 
@@ -185,11 +189,11 @@
         let Some(_guard) = self.backlog.try_begin(begin.first, started) else {
             return self.reject(true);
         };
-        let current = self.record_attempt(false);
+        let current_pressure = self.record_attempt(false);
         let mut reply = replica.handle(Request::Begin(begin)).await;
         self.lock_stats().record_response_time(started.elapsed());
         if let Reply::Began { pressure, .. } = &mut reply {
-            *pressure = current;
+            *pressure = current_pressure;
         }
         reply
     }
@@ -206,7 +210,8 @@
                 self.answer(request, queue_delay).await
             }
             None => Reply::Failed(
-                "the request could not be decoded; run the same version everywhere".to_owned(),
+                "the request could not be decoded; run the same version on all instances"
+                    .to_owned(),
             ),
         };
         message::encode(&reply)
--- a/crates/gradedyke-turns/src/detour.rs
+++ b/crates/gradedyke-turns/src/detour.rs
@@ -16,10 +16,10 @@
 use crate::feed;
 use crate::message::{self, Reply, Request};
 use crate::pressure::Pressure;
-use crate::quorum::Quorum;
+use crate::quorum::Coordinator;
 
-/// How long a direct call may go unanswered before a neighbour is tried. Far longer than a
-/// normal call, so that a slow replica does not get each request twice.
+/// How long to wait for direct replies of a majority before calls go through neighbours. Not
+/// waited for if a majority is already known to be unreachable.
 const RELAY_DELAY: Duration = Duration::from_millis(150);
 /// Timeout of a call to a neighbour. Short, as the neighbour may be partitioned too and the
 /// next one may not be.
@@ -28,41 +28,48 @@
 /// the neighbour can still report that the replica is slow.
 const FORWARD_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Most neighbours tried for one request, one after the other.
+/// Maximum number of neighbours tried for one request, one after the other.
 const MAX_RELAYS: usize = 3;
 
-/// Forwards requests of other entries to replicas, and serves them changes of the platform's
-/// key-value store.
+/// Forwards requests of other entries to replicas, and sends other entries changes of
+/// the platform's key-value store.
 pub struct Forwarder {
-    quorum: Arc<Quorum>,
+    coordinator: Arc<Coordinator>,
 }
 
 impl Forwarder {
-    /// Creates a forwarder to the replicas that `quorum` knows.
-    pub fn new(quorum: Arc<Quorum>) -> Self {
-        Self { quorum }
+    /// Creates a forwarder to the replicas that `coordinator` knows.
+    pub fn new(coordinator: Arc<Coordinator>) -> Self {
+        Self { coordinator }
     }
 
     async fn answer(&self, request: Request) -> Reply {
         let (to, body) = match request {
             Request::Hello => return Reply::Hello,
             Request::Via { to, body } => (to, body),
-            Request::Age => return feed::age_reply(self.quorum.mirror(), Instant::now()),
+            Request::Age => return feed::age_reply(self.coordinator.mirror(), Instant::now()),
             Request::Follow {
                 cursor, wait_ms, ..
             } => {
                 let wait = Duration::from_millis(wait_ms.into());
-                return Reply::News(feed::long_poll(self.quorum.mirror(), &cursor, wait).await);
+                return Reply::News(
+                    feed::long_poll(self.coordinator.mirror(), &cursor, wait).await,
+                );
             }
             _ => return Reply::Failed("an entry stores no records; ask a replica".to_owned()),
         };
         // Forward to replicas only, so that an entry is not an open proxy.
-        let view = self.quorum.view();
+        let view = self.coordinator.view();
         if !view.members.iter().any(|m| m.address == to) {
-            return Reply::Failed("the address is not a replica's; refresh the view".to_owned());
+            return Reply::Failed("the address belongs to no replica; refresh the view".to_owned());
         }
         metrics::counter!("gradedyke_forwarded_total").increment(1);
-        match self.quorum.client(to).call(body, FORWARD_TIMEOUT).await {
+        match self
+            .coordinator
+            .client(to)
+            .call(body, FORWARD_TIMEOUT)
+            .await
+        {
             Ok(reply) => Reply::Via(reply),
             Err(gradedyke_peer::Error::TimedOut(..)) => Reply::Busy(Pressure::default()),
             Err(error) => Reply::Failed(error.to_string()),
@@ -75,7 +82,10 @@
     async fn handle(&self, request: Bytes, _arrived: Instant) -> Bytes {
         let reply = match message::decode(&request) {
             Some(request) => self.answer(request).await,
-            None => Reply::Failed("the request could not be decoded".to_owned()),
+            None => Reply::Failed(
+                "the request could not be decoded; run the same version on all instances"
+                    .to_owned(),
+            ),
         };
         message::encode(&reply)
     }
@@ -106,15 +116,16 @@
     }
 }
 
-/// A client of one replica that goes through neighbours if the replica is unreachable.
+/// A client of one replica that goes through neighbours while no majority can be reached
+/// directly.
 pub struct ReplicaClient {
     replica: SocketAddr,
     direct: Client,
     relays: Vec<Client>,
     /// Direct clients of all active replicas.
-    all: Vec<Client>,
-    /// How many of them form a majority.
-    quorum: usize,
+    active_replicas: Vec<Client>,
+    /// How many of them must answer to make forwarding unnecessary.
+    required_replies: usize,
     /// The neighbour that last forwarded a request successfully; shared with other clients.
     last_relay: Arc<Mutex<Option<SocketAddr>>>,
 }
@@ -122,13 +133,13 @@
 impl ReplicaClient {
     /// Creates a client of the replica at address `replica`, which is called by `direct` or
     /// through `relays`. `last_relay` remembers the neighbour that last succeeded, which is
-    /// tried first. `all` has the direct clients of all active replicas, of which `quorum` are
-    /// a majority.
+    /// tried first. `active_replicas` has the direct clients of all active replicas, of
+    /// which `required_replies` must answer to make forwarding unnecessary.
     pub fn new(
         replica: SocketAddr,
         direct: Client,
         mut relays: Vec<Client>,
-        (all, quorum): (Vec<Client>, usize),
+        (active_replicas, required_replies): (Vec<Client>, usize),
         last_relay: Arc<Mutex<Option<SocketAddr>>>,
     ) -> Self {
         let previous = *last_relay.lock().unwrap_or_else(PoisonError::into_inner);
@@ -138,8 +149,8 @@
             replica,
             direct,
             relays,
-            all,
-            quorum,
+            active_replicas,
+            required_replies,
             last_relay,
         }
     }
@@ -182,23 +193,27 @@
         reply.ok()
     }
 
-    /// Waits until it is known whether to go through neighbours, which is done only if no
-    /// majority answers directly. A single slow or lost replica is not needed for a majority,
+    /// Waits if necessary, then returns whether to call through neighbours: only if no majority
+    /// answers directly. A single slow or lost replica is not needed for a majority,
     /// and forwarded calls would add to its load.
-    async fn is_relay_needed(&self) -> bool {
+    async fn wait_until_relay_decided(&self) -> bool {
         let started = Instant::now();
-        let up_count = self.all.iter().filter(|c| !c.is_down()).count();
-        if up_count < self.quorum {
+        let up_count = self.active_replicas.iter().filter(|c| !c.is_down()).count();
+        if up_count < self.required_replies {
             return self.direct.is_down();
         }
         tokio::time::sleep(RELAY_DELAY).await;
-        let answered_count = self.all.iter().filter(|c| c.heard() >= started).count();
-        answered_count < self.quorum && self.direct.heard() < started
+        let answered_count = self
+            .active_replicas
+            .iter()
+            .filter(|c| c.heard() >= started)
+            .count();
+        answered_count < self.required_replies && self.direct.heard() < started
     }
 
     /// Calls through neighbours, one after the other, if needed.
     async fn call_relayed(&self, body: Bytes) -> Option<Bytes> {
-        if !self.is_relay_needed().await {
+        if !self.wait_until_relay_decided().await {
             return None;
         }
         for neighbour in &self.relays {
--- a/crates/gradedyke-turns/src/feed.rs
+++ b/crates/gradedyke-turns/src/feed.rs
@@ -1,5 +1,5 @@
-//! Follows another process's copy of the platform's key-value service, so that most
-//! processes never call the service themselves.
+//! Follows another process's copy of the platform's key-value store, so that most
+//! processes never call the store themselves.
 //!
 //! `policy` decides which processes do, and when.
 
@@ -18,7 +18,7 @@
 
 use crate::message::{self, Reply, Request};
 use crate::mirror::{Cursor, Item, Mirror, Update};
-use crate::quorum::Quorum;
+use crate::quorum::Coordinator;
 
 pub use policy::{ENTRY_START_GRACE, KEEPER_START_GRACE, Policy, Standby};
 
@@ -32,12 +32,12 @@
 /// How long a source with a stale copy is followed before sources are compared again.
 const STALE_SOURCE_TIMEOUT: Duration = Duration::from_millis(800);
 /// How long to wait for a source with a fresh copy once one with a stale copy has
-/// answered. A replica needs about this long to list the service after its start.
+/// answered. Gives replicas that have just started time to list the store.
 const FRESH_SOURCE_WAIT: Duration = Duration::from_millis(60);
-/// Shortest time for which a source other than the preferred one is followed before sources
-/// are compared again; the longest is twice this. After a start only the processes that read
-/// the service are fresh, and without the comparison all others would stay with them.
-const RESELECT_INTERVAL: Duration = Duration::from_secs(2);
+/// Minimum time for which a source other than the preferred one is followed before sources
+/// are compared again; the maximum is twice this. Without it, all processes would keep
+/// following those that were fresh first.
+const MIN_RESELECT_DELAY: Duration = Duration::from_secs(2);
 /// Delay between the first requests to successive sources.
 const STAGGER_DELAY: Duration = Duration::from_millis(3);
 /// Longest time for which a request of a follower is held, whatever it asks for.
@@ -98,13 +98,13 @@
 }
 
 #[async_trait]
-impl Peers for Quorum {
+impl Peers for Coordinator {
     fn forwarding_address(&self) -> Option<SocketAddr> {
-        Quorum::forwarding_address(self)
+        Coordinator::forwarding_address(self)
     }
 
     fn is_isolated(&self) -> bool {
-        Quorum::is_isolated(self)
+        Coordinator::is_isolated(self)
     }
 
     async fn call(
@@ -128,19 +128,21 @@
     sources: impl Fn() -> Vec<SocketAddr>,
     stop: CancellationToken,
 ) {
-    let mut positions = Positions::new();
+    let mut progress_by_source = SourceProgressMap::new();
     let mut previous = None;
     loop {
         let candidates = sources();
         let neighbours = neighbours(&mirror, &*peers);
         if let Some(source) = select_source(&*peers, &policy, &candidates, &neighbours).await {
-            let others = positions.iter_mut().filter(|(other, _)| **other != source);
-            others.for_each(|(_, position)| position.discard_listing());
-            let position = positions.entry(source).or_default();
+            let others = progress_by_source
+                .iter_mut()
+                .filter(|(other, _)| **other != source);
+            others.for_each(|(_, progress)| progress.discard_listing());
+            let progress = progress_by_source.entry(source).or_default();
             let mut session = Session {
                 source,
-                position,
-                is_logged: previous == Some(source),
+                progress,
+                is_join_logged: previous == Some(source),
                 is_neighbour: neighbours.contains(&source),
                 reselect_at: reselect_at(&candidates, source, Instant::now()),
             };
@@ -160,9 +162,9 @@
     }
 }
 
-/// Returns other entries to follow while no replica can be reached directly; empty
-/// otherwise. Turns continue through forwarded requests then, but API keys are accepted only
-/// while the platform's service confirms them, so the copy has to stay fresh.
+/// Returns the neighbours to follow if no replica can be reached directly, and otherwise none.
+/// Turns continue through forwarded requests in that case, but API keys are accepted only if
+/// recently confirmed, so the copy has to stay fresh.
 fn neighbours(mirror: &Mirror, peers: &dyn Peers) -> Vec<SocketAddr> {
     let Some(own) = peers.forwarding_address().filter(|_| peers.is_isolated()) else {
         return Vec::new();
@@ -172,12 +174,12 @@
     neighbours
 }
 
-/// The position in each source, by its address.
-type Positions = HashMap<SocketAddr, Position>;
+/// The progress in each source, by its address.
+type SourceProgressMap = HashMap<SocketAddr, SourceProgress>;
 
-/// How far a source has been followed.
+/// How far this process has followed a source.
 #[derive(Default)]
-struct Position {
+struct SourceProgress {
     cursor: Cursor,
     /// Items of an incomplete listing, which continues when the source answers again.
     partial_listing: Vec<Item>,
@@ -186,11 +188,11 @@
 /// The source that is followed, and the state that belongs to it.
 struct Session<'a> {
     source: SocketAddr,
-    position: &'a mut Position,
+    progress: &'a mut SourceProgress,
     /// Whether the source is another entry, which follows other processes itself.
     is_neighbour: bool,
     /// Whether `feed_joined` has been logged for the source.
-    is_logged: bool,
+    is_join_logged: bool,
     /// When to compare sources again; `None` for the preferred one.
     reselect_at: Option<Instant>,
 }
@@ -219,7 +221,7 @@
 /// `candidates`.
 fn reselect_at(candidates: &[SocketAddr], source: SocketAddr, now: Instant) -> Option<Instant> {
     let is_preferred = candidates.first() == Some(&source);
-    let wait = RESELECT_INTERVAL.mul_f64(1.0 + rand::random::<f64>());
+    let wait = MIN_RESELECT_DELAY.mul_f64(1.0 + rand::random::<f64>());
     (!is_preferred).then(|| now + wait)
 }
 
@@ -232,11 +234,11 @@
 async fn select_source(
     peers: &dyn Peers,
     policy: &Policy,
-    sources: &[SocketAddr],
+    candidates: &[SocketAddr],
     neighbours: &[SocketAddr],
 ) -> Option<SocketAddr> {
     let mut requests = FuturesUnordered::new();
-    for (rank, source) in sources.iter().chain(neighbours).enumerate() {
+    for (rank, source) in candidates.iter().chain(neighbours).enumerate() {
         let delay = STAGGER_DELAY * u32::try_from(rank).unwrap_or(u32::MAX);
         requests.push(async move {
             tokio::time::sleep(delay).await;
@@ -261,7 +263,7 @@
 }
 
 /// Asks a source for the age of its copy, with exponential backoff, until it answers;
-/// `None` for a copy that the service never confirmed.
+/// `None` for a copy that the store never confirmed.
 async fn fetch_age(peers: &dyn Peers, source: SocketAddr) -> Option<Duration> {
     let mut wait = RETRY_DELAY;
     loop {
@@ -288,7 +290,7 @@
     loop {
         let cursor = Cursor {
             complete_revision: mirror.complete_revision(),
-            ..session.position.cursor
+            ..session.progress.cursor
         };
         let request = Request::Follow {
             cursor,
@@ -311,15 +313,16 @@
         let age = update.age_ms.map(Duration::from_millis);
         let is_fresh = policy.is_fresh(age);
         let now = Instant::now();
-        // A neighbour may itself follow this process, so its answers do not count.
+        // A neighbour may itself follow this process, so its updates do not show
+        // that replicas send fresh ones.
         if !session.is_neighbour {
             policy.record_update(is_fresh, now);
         }
-        let Some(items) = session.position.advance(&update, items) else {
+        let Some(items) = session.progress.advance(&update, items) else {
             continue;
         };
         mirror.apply_update(update, items, sent, now);
-        if !std::mem::replace(&mut session.is_logged, true) {
+        if !std::mem::replace(&mut session.is_join_logged, true) {
             tracing::info!(
                 event = "feed_joined",
                 %source,
@@ -336,7 +339,7 @@
     }
 }
 
-impl Position {
+impl SourceProgress {
     /// Discards an incomplete listing to free its memory.
     fn discard_listing(&mut self) {
         if self.cursor.listing {
--- a/crates/gradedyke-turns/src/feed/policy.rs
+++ b/crates/gradedyke-turns/src/feed/policy.rs
@@ -1,14 +1,13 @@
-//! Decides whether a process reads the platform's service itself.
+//! Decides whether a process reads the platform's key-value store itself.
 //!
-//! Usually only the replicas that watch the service do. The other processes follow them,
-//! and read the service themselves while no replica sends fresh updates, or when their copy
-//! is too old. Updates from another entry keep a copy fresh but never end the reading,
-//! because they may come from the reading process itself.
+//! Usually only the replicas that watch the store read it. The other processes follow them,
+//! and read the store themselves while no replica sends fresh updates, or when their copy
+//! is too old. Updates from another entry keep the copy fresh, but do not stop this process
+//! from reading the store: they may originate from this process.
 //!
-//! A process starts to read after [`SUPPLY_TIMEOUT_RATIO`] when replicas do not answer, and
-//! at an age of [`MAX_AGE_RATIO`] when they answer with stale copies. Both are fractions of
-//! the time in which a change must be in force. They are as late as that time allows,
-//! because many processes start to read the service at once.
+//! The propagation limit is the time within which a change must take effect. A process
+//! starts to read when replicas have not sent a fresh update for [`UPDATE_TIMEOUT_RATIO`]
+//! of the propagation limit, or when its copy is older than [`MAX_AGE_RATIO`] of it.
 
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
@@ -17,32 +16,32 @@
 
 use crate::mirror::Need;
 
-/// Time without a fresh update from a replica after which the service itself is read, as a
-/// fraction of the time in which a change must be in force.
-const SUPPLY_TIMEOUT_RATIO: f64 = 0.35;
+/// Time without a fresh update from a replica after which the store itself is read, as a
+/// fraction of the propagation limit.
+const UPDATE_TIMEOUT_RATIO: f64 = 0.35;
 /// Age above which a copy is stale and another source is selected, as a fraction of the
-/// same time.
+/// propagation limit.
 const STALE_AGE_RATIO: f64 = 0.65;
-/// Age of a copy above which the service itself is read even while replicas answer, as a
-/// fraction of the same time. The remainder is for one poll interval and one call.
+/// Age of a copy above which the store itself is read even while replicas answer, as a
+/// fraction of the propagation limit. The remainder is for one poll interval and one call.
 const MAX_AGE_RATIO: f64 = 0.9;
 
 /// Grace period of an entry after its start, in which replicas, which may be starting
-/// too, read the service.
+/// too, read the store.
 pub const ENTRY_START_GRACE: Duration = Duration::from_secs(2);
-/// Grace period of a replica after its start, in which the seed replicas read the service.
+/// Grace period of a replica after its start, in which the seed replicas read the store.
 pub const KEEPER_START_GRACE: Duration = Duration::from_millis(400);
 
-/// Age of the copy above which a standby reads the service itself.
+/// Age of the copy above which a standby reads the store itself.
 const STANDBY_MAX_AGE: Duration = Duration::from_millis(1_100);
 /// Shortest time for which a standby reads, so that a primary watcher that fails
 /// intermittently does not make it start again and again.
 const STANDBY_MIN_READ_TIME: Duration = Duration::from_secs(3);
 
-/// Decides for a process that follows replicas.
+/// Decides how urgently a process that follows replicas has to read the store itself.
 #[derive(Debug)]
 pub struct Policy {
-    /// The time in which a change must be in force.
+    /// The time within which a change must take effect.
     propagation_limit: Duration,
     state: Mutex<State>,
 }
@@ -57,7 +56,7 @@
 
 impl Policy {
     /// Creates the policy of a process that starts at `now` and waits `grace` for the
-    /// first update. A change must be in force after `propagation_limit`.
+    /// first update. A change must take effect within `propagation_limit`.
     pub fn new(now: Instant, grace: Duration, propagation_limit: Duration) -> Self {
         let state = State {
             fresh_at: now + grace,
@@ -83,9 +82,9 @@
         }
     }
 
-    /// How urgently this process has to read the service at `now`. `age` is the age of its
-    /// copy, `None` if the service never confirmed it. Replicas with stale copies are trying
-    /// to read the service themselves, so the need is low while they answer.
+    /// How urgently this process has to read the store at `now`. `age` is the age of its
+    /// copy, `None` if the store never confirmed it. Replicas with stale copies are trying
+    /// to read the store themselves, so the need is low while they answer.
     ///
     /// ```
     /// use std::time::Duration;
@@ -109,7 +108,7 @@
     /// ```
     pub fn need(&self, age: Option<Duration>, now: Instant) -> Need {
         let state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-        let timeout = self.propagation_limit.mul_f64(SUPPLY_TIMEOUT_RATIO);
+        let timeout = self.propagation_limit.mul_f64(UPDATE_TIMEOUT_RATIO);
         let max_age = self.propagation_limit.mul_f64(MAX_AGE_RATIO);
         let timed_out = |since| now.saturating_duration_since(since) > timeout;
         let too_old = age.map_or(timed_out(state.answered_at), |age| age > max_age);
@@ -125,14 +124,14 @@
     }
 }
 
-/// Decides whether a standby reads the platform's service itself, in place of the primary
+/// Decides whether a standby reads the platform's key-value store itself, in place of the primary
 /// watcher.
 #[derive(Debug, Default)]
 pub struct Standby(Mutex<Option<Instant>>);
 
 impl Standby {
-    /// How urgently the standby has to read the service at `now`. `age` is the age of its
-    /// copy, and `down` says whether the primary watcher is down.
+    /// How urgently the standby has to read the store at `now`. `age` is the age of its
+    /// copy, and `is_primary_down` says whether the primary watcher is down.
     ///
     /// ```
     /// use std::time::Duration;
@@ -148,9 +147,9 @@
     /// assert_eq!(standby.need(fresh, false, after(1)), Need::High);
     /// assert_eq!(standby.need(fresh, false, after(4)), Need::None);
     /// ```
-    pub fn need(&self, age: Option<Duration>, down: bool, now: Instant) -> Need {
+    pub fn need(&self, age: Option<Duration>, is_primary_down: bool, now: Instant) -> Need {
         let mut triggered_at = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        if down || age.is_none_or(|a| a > STANDBY_MAX_AGE) {
+        if is_primary_down || age.is_none_or(|a| a > STANDBY_MAX_AGE) {
             *triggered_at = Some(now);
         }
         let is_active = triggered_at
--- a/crates/gradedyke-turns/src/index.rs
+++ b/crates/gradedyke-turns/src/index.rs
@@ -8,9 +8,9 @@
 //! Requests and programs are stored in slot maps and refer to each other by key, so
 //! an ID is hashed once for each record and ancestors are followed without hashing.
 //!
-//! - `request`: the entries for requests, programs and turns.
+//! - `request`: the items for requests, programs and turns.
 //! - `lookup`: rebuilds records from the index.
-//! - `expire`: removes expired entries.
+//! - `expire`: removes expired items.
 
 mod expire;
 mod lookup;
@@ -24,15 +24,15 @@
 use tokio::time::Instant;
 
 use crate::body::{Body, Cache};
-use crate::conversation::{Conversation, Part};
+use crate::conversation::{Conversation, TurnBody};
 use crate::log::{Location, Segment};
 use crate::record::{Id, Key, Kind, Record, Turn};
-use request::{Program, Request, TurnEntry, WriteState};
+use request::{IndexedProgram, IndexedRequest, IndexedTurn, WriteState};
 
 pub use lookup::Lookup;
 
-/// Added to the requested retention time: the caller measures it from the last byte
-/// it receives, the replica from when the record is applied.
+/// Added to the requested retention time, because a caller counts that time from the last
+/// byte of the response, whereas a replica counts it from applying the record.
 const RETENTION_MARGIN: Duration = Duration::from_secs(5);
 
 /// Tokens of a program's budget that one attempt reserved or used.
@@ -61,9 +61,9 @@
 
 /// Index of a replica's records by request and program.
 pub struct Index {
-    requests: SlotMap<RequestKey, Request>,
+    requests: SlotMap<RequestKey, IndexedRequest>,
     request_keys: HashMap<Id, RequestKey>,
-    programs: SlotMap<ProgramKey, Program>,
+    programs: SlotMap<ProgramKey, IndexedProgram>,
     program_keys: HashMap<Id, ProgramKey>,
     /// IDs of the backend servers that ran turns, interned so that turns share them.
     servers: HashSet<Id>,
@@ -71,11 +71,11 @@
     /// Number of turns in the index.
     turn_count: usize,
     /// Records in the order in which they were applied, for replicas that follow this one.
-    arrivals: VecDeque<(Kind, RequestKey)>,
-    /// Position of the first element of `arrivals`.
+    applied_records: VecDeque<(Kind, RequestKey)>,
+    /// Position of the first element of `applied_records`.
     first_position: Position,
-    /// Number of unexpired records in each segment.
-    live_records: BTreeMap<Segment, usize>,
+    /// Number of unexpired records, by segment.
+    live_record_counts: BTreeMap<Segment, usize>,
 }
 
 impl Index {
@@ -89,35 +89,35 @@
             servers: HashSet::new(),
             bodies: Cache::new(max_body_bytes),
             turn_count: 0,
-            arrivals: VecDeque::new(),
+            applied_records: VecDeque::new(),
             first_position: 0,
-            live_records: BTreeMap::new(),
+            live_record_counts: BTreeMap::new(),
         }
     }
 
     /// Returns whether the index contains the record with `key`.
     pub fn contains(&self, key: &Key) -> bool {
-        self.find(&key.request)
+        self.request(&key.request)
             .is_some_and(|r| r.has_record(key.kind))
     }
 
     /// Returns whether the record with `key` is stored on this replica's disk.
     pub fn is_stored(&self, key: &Key) -> bool {
-        let request = self.find(&key.request);
+        let request = self.request(&key.request);
         let state = request.and_then(|r| r.write_states[key.kind as usize]);
         state.is_some_and(|s| s.location().is_some())
     }
 
-    fn find(&self, id: &Id) -> Option<&Request> {
+    fn request(&self, id: &Id) -> Option<&IndexedRequest> {
         self.requests.get(*self.request_keys.get(id)?)
     }
 
-    /// Returns the key of a request and inserts an empty entry if there is none.
+    /// Returns the key of a request and inserts an empty item if there is none.
     fn get_or_insert_key(&mut self, id: &Id) -> RequestKey {
         if let Some(key) = self.request_keys.get(id) {
             return *key;
         }
-        let key = self.requests.insert(Request::new(id.clone()));
+        let key = self.requests.insert(IndexedRequest::new(id.clone()));
         self.request_keys.insert(id.clone(), key);
         key
     }
@@ -159,11 +159,11 @@
         match record {
             Record::Reserved(reserved) => {
                 self.add_attempt(&reserved.program, key, expires_at);
-                self.requests[key].reserved = Some(reserved.tokens);
+                self.requests[key].reserved_tokens = Some(reserved.tokens);
             }
             Record::Settled(settled) => {
                 self.add_attempt(&settled.program, key, expires_at);
-                self.requests[key].settled = Some(settled.tokens);
+                self.requests[key].used_tokens = Some(settled.tokens);
             }
             Record::Turn(turn) => {
                 self.insert_turn(key, turn, expires_at, now);
@@ -173,23 +173,23 @@
             }
         }
         self.requests[key].write_states[kind as usize] = Some(WriteState::Pending(segment));
-        *self.live_records.entry(segment).or_default() += 1;
-        self.arrivals.push_back((kind, key));
+        *self.live_record_counts.entry(segment).or_default() += 1;
+        self.applied_records.push_back((kind, key));
         true
     }
 
     fn insert_turn(&mut self, key: RequestKey, turn: &Turn, expires_at: Instant, now: Instant) {
         if let Some(program) = &turn.program {
             self.add_attempt(program, key, expires_at);
-            self.requests[key].settled = Some(turn.tokens);
+            self.requests[key].used_tokens = Some(turn.tokens);
         }
         let program = turn.program.as_ref().and(self.requests[key].program);
         let program = program.map(|key| self.programs[key].id.clone());
         let server = self.intern_server(&turn.server);
         let parent = turn.parent.as_ref().map(|id| self.get_or_insert_key(id));
-        self.renew_chain(parent, now);
+        self.renew_retention(parent, now);
         self.turn_count += 1;
-        self.requests[key].turn = Some(Box::new(TurnEntry {
+        self.requests[key].turn = Some(Box::new(IndexedTurn {
             parent,
             server,
             program,
@@ -226,11 +226,11 @@
         let Some(state) = state else {
             return;
         };
-        let previous = std::mem::replace(state, WriteState::Stored(location));
-        if let Some(count) = self.live_records.get_mut(&previous.segment()) {
+        let previous = std::mem::replace(state, WriteState::OnDisk(location));
+        if let Some(count) = self.live_record_counts.get_mut(&previous.segment()) {
             *count -= 1;
         }
-        *self.live_records.entry(location.segment).or_default() += 1;
+        *self.live_record_counts.entry(location.segment).or_default() += 1;
         self.evict_bodies();
     }
 
@@ -257,8 +257,8 @@
     }
 
     /// Returns the size of the cached turn bodies in bytes.
-    pub fn body_bytes(&self) -> usize {
-        self.bodies.bytes()
+    pub fn cached_body_bytes(&self) -> usize {
+        self.bodies.cached_bytes()
     }
 
     /// Adds a request to a program's attempts, and retains the program at least until
@@ -267,7 +267,7 @@
         let key = match self.program_keys.get(program) {
             Some(key) => *key,
             None => {
-                let key = self.programs.insert(Program {
+                let key = self.programs.insert(IndexedProgram {
                     id: program.clone(),
                     attempts: Vec::new(),
                     expires_at,
@@ -286,7 +286,7 @@
     }
 
     /// Restarts the retention time of a turn and its ancestors at `now`.
-    fn renew_chain(&mut self, mut next: Option<RequestKey>, now: Instant) {
+    fn renew_retention(&mut self, mut next: Option<RequestKey>, now: Instant) {
         while let Some(turn) = next.and_then(|key| self.requests[key].turn.as_mut()) {
             let retention = Duration::from_millis(turn.keep_ms.into());
             turn.expires_at = now + retention + RETENTION_MARGIN;
@@ -301,21 +301,24 @@
         };
         let requests = self.programs[*program].attempts.iter();
         let requests = requests.map(|key| &self.requests[*key]);
-        let attempt = |request: &Request| Attempt {
+        let attempt = |request: &IndexedRequest| Attempt {
             request: request.id.clone(),
-            tokens: request.settled.or(request.reserved).unwrap_or_default(),
-            settled: request.settled.is_some(),
+            tokens: request
+                .used_tokens
+                .or(request.reserved_tokens)
+                .unwrap_or_default(),
+            settled: request.used_tokens.is_some(),
         };
         requests.map(attempt).collect()
     }
 
     /// Returns whether the index contains a turn and all its ancestors.
-    pub fn has_chain(&self, id: &Id) -> bool {
+    pub fn has_turn_and_ancestors(&self, id: &Id) -> bool {
         self.first_missing_ancestor(id).is_none()
     }
 
-    /// Returns the first of a turn and its ancestors, newest first, that the index does
-    /// not contain.
+    /// Follows a turn and its ancestors, newest first, and returns the first one that is not
+    /// in the index.
     pub fn first_missing_ancestor(&self, id: &Id) -> Option<Id> {
         let Some(mut key) = self.request_keys.get(id).copied() else {
             return Some(id.clone());
@@ -334,37 +337,37 @@
     pub fn conversation(&mut self, id: &Id) -> Option<Conversation> {
         let last = *self.request_keys.get(id)?;
         let server = self.requests[last].turn.as_ref()?.server.clone();
-        let mut parts = Vec::new();
+        let mut turns = Vec::new();
         let mut next = Some(last);
         while let Some(key) = next {
             next = self.requests[key].turn.as_ref()?.parent;
-            let part = self.part(key)?;
-            parts.push((self.requests[key].id.clone(), part));
+            let body = self.turn_body(key)?;
+            turns.push((self.requests[key].id.clone(), body));
         }
-        parts.reverse();
-        Some(Conversation { parts, server })
+        turns.reverse();
+        Some(Conversation { turns, server })
     }
 
-    fn part(&mut self, key: RequestKey) -> Option<Part> {
+    fn turn_body(&mut self, key: RequestKey) -> Option<TurnBody> {
         if let Some(body) = self.bodies.get(key) {
-            return Some(Part::InMemory(body));
+            return Some(TurnBody::InMemory(body));
         }
         let state = self.requests[key].write_states[Kind::Turn as usize]?;
-        state.location().map(Part::OnDisk)
+        state.location().map(TurnBody::OnDisk)
     }
 
     /// Returns the position after the last applied record.
     pub fn end_position(&self) -> Position {
-        self.first_position + self.arrivals.len() as u64
+        self.first_position + self.applied_records.len() as u64
     }
 
-    /// Returns the keys of up to `limit` records from position `from` on, without those
-    /// that have expired, and the position after them. A `from` before the first known
+    /// Returns the keys of the unexpired records among the `limit` records from position
+    /// `from` on, and the position after these records. A `from` before the first known
     /// position starts at that one: all records before it have expired.
     pub fn keys_since(&self, from: Position, limit: usize) -> (Vec<Key>, Position) {
         let from = from.clamp(self.first_position, self.end_position());
         let skip = usize::try_from(from - self.first_position).unwrap_or(usize::MAX);
-        let page = self.arrivals.iter().skip(skip).take(limit);
+        let page = self.applied_records.iter().skip(skip).take(limit);
         let next = from + page.len() as u64;
         // Requests that have been removed are skipped.
         let keys = page.filter_map(|(kind, key)| {
@@ -379,7 +382,7 @@
 
     /// Stops tracking a segment that was removed from disk.
     pub fn forget_segment(&mut self, segment: Segment) {
-        self.live_records.remove(&segment);
+        self.live_record_counts.remove(&segment);
     }
 
     /// Returns the number of turns and the number of programs in the index.
--- a/crates/gradedyke-turns/src/index/expire.rs
+++ b/crates/gradedyke-turns/src/index/expire.rs
@@ -1,28 +1,31 @@
-//! Removal of expired entries.
+//! Removal of expired items.
 
 use std::collections::{BTreeMap, HashSet};
 
 use tokio::time::Instant;
 
-use super::request::{TurnEntry, WriteState};
+use super::request::{IndexedTurn, WriteState};
 use super::{Index, RequestKey};
 use crate::log::Segment;
 use crate::record::{Id, Kind};
 
 impl Index {
-    /// Removes what has expired and returns the segments without unexpired records.
+    /// Removes expired items. Returns the segments whose records have all expired.
     pub fn expire(&mut self, now: Instant) -> Vec<Segment> {
         self.expire_turns(now);
         self.expire_programs(now);
         self.remove_unreferenced();
-        while self.arrivals.front().is_some_and(|(kind, key)| {
+        while self.applied_records.front().is_some_and(|(kind, key)| {
             let request = self.requests.get(*key);
             !request.is_some_and(|r| r.has_record(*kind))
         }) {
-            self.arrivals.pop_front();
+            self.applied_records.pop_front();
             self.first_position += 1;
         }
-        let empty = self.live_records.iter().filter(|(_, count)| **count == 0);
+        let empty = self
+            .live_record_counts
+            .iter()
+            .filter(|(_, count)| **count == 0);
         empty.map(|(segment, _)| *segment).collect()
     }
 
@@ -32,8 +35,8 @@
                 request.turn = None;
                 self.turn_count -= 1;
                 self.bodies.remove(key);
-                release(
-                    &mut self.live_records,
+                clear_write_state(
+                    &mut self.live_record_counts,
                     &mut request.write_states[Kind::Turn as usize],
                 );
             }
@@ -42,7 +45,7 @@
 
     fn expire_programs(&mut self, now: Instant) {
         let programs = &mut self.programs;
-        let (requests, live_records) = (&mut self.requests, &mut self.live_records);
+        let (requests, live_record_counts) = (&mut self.requests, &mut self.live_record_counts);
         self.program_keys.retain(|_, key| {
             if programs[*key].expires_at > now {
                 return true;
@@ -50,14 +53,14 @@
             for attempt in programs.remove(*key).into_iter().flat_map(|p| p.attempts) {
                 let request = &mut requests[attempt];
                 request.program = None;
-                request.reserved = None;
-                request.settled = None;
-                release(
-                    live_records,
+                request.reserved_tokens = None;
+                request.used_tokens = None;
+                clear_write_state(
+                    live_record_counts,
                     &mut request.write_states[Kind::Reserved as usize],
                 );
-                release(
-                    live_records,
+                clear_write_state(
+                    live_record_counts,
                     &mut request.write_states[Kind::Settled as usize],
                 );
             }
@@ -65,12 +68,12 @@
         });
     }
 
-    fn turns(&self) -> impl Iterator<Item = &TurnEntry> {
+    fn turns(&self) -> impl Iterator<Item = &IndexedTurn> {
         self.requests.values().filter_map(|r| r.turn.as_deref())
     }
 
-    /// Removes requests that have no records and no program, unless a turn continues
-    /// them, and backend server IDs that no turn uses.
+    /// Removes requests that have no records and no program and that no turn continues. Also
+    /// removes the IDs of backend servers that no turn uses.
     fn remove_unreferenced(&mut self) {
         let continued: HashSet<RequestKey> = self.turns().filter_map(|t| t.parent).collect();
         let used: HashSet<Id> = self.turns().map(|t| t.server.clone()).collect();
@@ -88,11 +91,14 @@
 }
 
 /// Clears the write state of a record and decrements the record count of its segment.
-fn release(live_records: &mut BTreeMap<Segment, usize>, state: &mut Option<WriteState>) {
+fn clear_write_state(
+    live_record_counts: &mut BTreeMap<Segment, usize>,
+    state: &mut Option<WriteState>,
+) {
     let Some(state) = state.take() else {
         return;
     };
-    if let Some(count) = live_records.get_mut(&state.segment()) {
+    if let Some(count) = live_record_counts.get_mut(&state.segment()) {
         *count -= 1;
     }
 }
--- a/crates/gradedyke-turns/src/index/lookup.rs
+++ b/crates/gradedyke-turns/src/index/lookup.rs
@@ -2,9 +2,9 @@
 
 use tokio::time::Instant;
 
-use super::request::Request;
+use super::request::IndexedRequest;
 use super::{Index, RequestKey};
-use crate::conversation::Part;
+use crate::conversation::TurnBody;
 use crate::log::Location;
 use crate::record::{Id, Key, Kind, Record, Reserved, Settled, Turn};
 
@@ -18,8 +18,8 @@
 }
 
 impl Index {
-    /// Returns the record with `key`, or `None` if the index does not contain it. The
-    /// retention time of a reservation or settlement is what is left of it at `now`.
+    /// Returns the record with `key`, or `None` if the index does not contain it. A
+    /// reservation or settlement gets the remaining retention time of its program at `now`.
     pub fn record(&mut self, key: &Key, now: Instant) -> Option<Lookup> {
         let request = *self.request_keys.get(&key.request)?;
         match key.kind {
@@ -30,12 +30,12 @@
     }
 
     fn turn_record(&mut self, key: RequestKey) -> Option<Lookup> {
-        let part = self.part(key)?;
+        let turn_body = self.turn_body(key)?;
         let request = &self.requests[key];
         let turn = request.turn.as_ref()?;
-        let body = match part {
-            Part::InMemory(body) => body,
-            Part::OnDisk(location) => return Some(Lookup::OnDisk(location)),
+        let body = match turn_body {
+            TurnBody::InMemory(body) => body,
+            TurnBody::OnDisk(location) => return Some(Lookup::OnDisk(location)),
         };
         let parent = turn.parent.map(|key| self.requests[key].id.clone());
         Some(Lookup::InMemory(Record::Turn(Turn {
@@ -52,7 +52,7 @@
 
     /// Returns the ID of a request's program and the program's remaining retention time
     /// in milliseconds.
-    fn program_retention(&self, request: &Request, now: Instant) -> Option<(Id, u32)> {
+    fn program_retention(&self, request: &IndexedRequest, now: Instant) -> Option<(Id, u32)> {
         let program = &self.programs[request.program?];
         let left = program.expires_at.saturating_duration_since(now);
         let keep_ms = u32::try_from(left.as_millis()).unwrap_or(u32::MAX);
@@ -65,7 +65,7 @@
         Some(Record::Reserved(Reserved {
             program,
             request: request.id.clone(),
-            tokens: request.reserved?,
+            tokens: request.reserved_tokens?,
             keep_ms,
         }))
     }
@@ -76,7 +76,7 @@
         Some(Record::Settled(Settled {
             program,
             request: request.id.clone(),
-            tokens: request.settled?,
+            tokens: request.used_tokens?,
             keep_ms,
         }))
     }
--- a/crates/gradedyke-turns/src/index/request.rs
+++ b/crates/gradedyke-turns/src/index/request.rs
@@ -1,4 +1,4 @@
-//! Entries of the index: requests, programs and turns.
+//! Items of the index: requests, programs and turns.
 
 use tokio::time::Instant;
 
@@ -12,34 +12,32 @@
     /// The record is being written to this segment.
     Pending(Segment),
     /// The record is on disk at this location.
-    Stored(Location),
+    OnDisk(Location),
 }
 
 impl WriteState {
     pub(super) fn segment(self) -> Segment {
         match self {
             Self::Pending(segment) => segment,
-            Self::Stored(location) => location.segment,
+            Self::OnDisk(location) => location.segment,
         }
     }
 
     pub(super) fn location(self) -> Option<Location> {
         match self {
             Self::Pending(_) => None,
-            Self::Stored(location) => Some(location),
+            Self::OnDisk(location) => Some(location),
         }
     }
 }
 
 /// Contents of the records of one request.
-pub(super) struct Request {
+pub(super) struct IndexedRequest {
     pub(super) id: Id,
     pub(super) program: Option<ProgramKey>,
-    /// Tokens reserved.
-    pub(super) reserved: Option<u32>,
-    /// Tokens used.
-    pub(super) settled: Option<u32>,
-    pub(super) turn: Option<Box<TurnEntry>>,
+    pub(super) reserved_tokens: Option<u32>,
+    pub(super) used_tokens: Option<u32>,
+    pub(super) turn: Option<Box<IndexedTurn>>,
     /// Write states of the request's records, indexed by [`Kind`].
     pub(super) write_states: [Option<WriteState>; KIND_COUNT],
 }
@@ -47,13 +45,13 @@
 /// Number of variants of [`Kind`].
 const KIND_COUNT: usize = 3;
 
-impl Request {
+impl IndexedRequest {
     pub(super) fn new(id: Id) -> Self {
         Self {
             id,
             program: None,
-            reserved: None,
-            settled: None,
+            reserved_tokens: None,
+            used_tokens: None,
             turn: None,
             write_states: [None; KIND_COUNT],
         }
@@ -69,14 +67,14 @@
 }
 
 /// A program and the requests that are attempts of it.
-pub(super) struct Program {
+pub(super) struct IndexedProgram {
     pub(super) id: Id,
     pub(super) attempts: Vec<RequestKey>,
     pub(super) expires_at: Instant,
 }
 
 /// A turn without its body.
-pub(super) struct TurnEntry {
+pub(super) struct IndexedTurn {
     pub(super) parent: Option<RequestKey>,
     pub(super) server: Id,
     pub(super) program: Option<Id>,
--- a/crates/gradedyke-turns/src/lib.rs
+++ b/crates/gradedyke-turns/src/lib.rs
@@ -1,17 +1,15 @@
 //! Replicated storage for conversation turns and token budgets.
 //!
-//! A program is a tree of turns: each turn names the turn it continues, and several
-//! turns may continue the same one. The replicas store the input and output of each
-//! turn, and the tokens that each attempt of a program reserved or used. Records are
+//! A program is a group of turns that share a token budget. A turn may continue an
+//! earlier turn, and several turns may continue the same one. The replicas store the
+//! input and output of each turn, and the tokens that each attempt of a program reserved or used. Records are
 //! immutable: a turn is identified by its request, and an attempt goes from reserved
 //! to settled. Replicas may therefore receive records in any order, and a program
 //! needs no leader. An `entry` writes the records of a turn to all members of the
 //! [`view`] and continues when a majority has synced them to disk. Two majorities
 //! always share a member, so later reservations see every earlier one.
 //!
-//! Compared with a log that has one owner for each program ([`gradedyke_journal`]),
-//! this saves a hop for each turn and a takeover when an owner fails. The drawback:
-//! two concurrent reservations may each count the other, so that both are refused
+//! Concurrent reservations of a program may each count the other, so both may be refused
 //! near the end of a budget.
 //!
 //! - [`record`]: the records; [`message`]: requests to a replica and their replies.
@@ -19,16 +17,14 @@
 //!   of turn bodies; [`conversation`]: all turns up to a given one.
 //! - [`desk`] and [`replica`]: the server side; [`pending`] and [`recovery`]: serving
 //!   requests before all records on disk are indexed; [`sync`]: replication between
-//!   replicas; [`stats`] and [`backlog`]: statistics of received and in-flight requests;
-//!   [`pressure`]: load feedback to callers; [`decay`]: decaying counters.
+//!   replicas; [`stats`]: request statistics; [`backlog`]: rejects requests while those in
+//!   flight take too long; [`pressure`]: load feedback to callers; [`decay`]: decaying counters.
 //! - [`view`]: the set of replicas; [`membership`]: changes of the view.
-//! - [`quorum`]: the client side; [`detour`]: forwarding around broken network links;
-//!   [`load`]: load of the backend servers; [`usage`]: usage of the client accounts.
-//! - [`mirror`]: a local copy of the platform's key-value service; [`feed`]: updates of
+//! - [`quorum`]: the client side; [`detour`]: calls replicas through other entries during a network
+//!   partition; [`load`]: load of the backend servers; [`usage`]: usage of the client accounts.
+//! - [`mirror`]: a local copy of the platform's key-value store; [`feed`]: updates of
 //!   the mirror from a replica; [`snapshot`]: the mirror and the usage of client accounts
 //!   on disk.
-//!
-//! [`gradedyke_journal`]: https://docs.rs/gradedyke-journal
 
 pub mod backlog;
 pub mod body;
--- a/crates/gradedyke-turns/src/load.rs
+++ b/crates/gradedyke-turns/src/load.rs
@@ -42,14 +42,15 @@
     pub unreached: u32,
     /// Recent responses whose speed was measured.
     pub paced: u32,
-    /// Sum over these responses of actual to expected duration, in hundredths.
+    /// Sum of the ratios of actual to expected duration of these responses, in hundredths.
     pub pace: u32,
 }
 
-/// Requests that one entry has in flight.
+/// One entry's report: its requests in flight and recent results by server, and its forwarding
+/// address.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Identifies one run of the entry's process.
+    /// Random ID of the entry's incarnation.
     pub entry: u64,
     /// Where it forwards requests of other entries, if it does.
     pub address: Option<SocketAddr>,
@@ -57,13 +58,13 @@
     pub busy: Vec<ServerLoad>,
 }
 
-/// How long a report is counted. Entries with requests in flight report more often than this.
+/// Age at which a report expires. Entries with requests in flight report more often than this.
 const REPORT_TTL: Duration = Duration::from_millis(1_500);
 
 /// How long an entry is considered running after it was last heard from.
 const NEIGHBOUR_TTL: Duration = Duration::from_secs(20);
-/// Most neighbours named to an entry. Several, so that probably one of them is reachable during
-/// a partition.
+/// Maximum number of neighbours sent to an entry. Several, because some may be unreachable too
+/// during a partition.
 const MAX_NEIGHBOURS: usize = 6;
 
 /// The latest reports of all entries.
--- a/crates/gradedyke-turns/src/log/mod.rs
+++ b/crates/gradedyke-turns/src/log/mod.rs
@@ -3,11 +3,11 @@
 //! A single thread writes. It takes all queued records, writes them, syncs once and
 //! replies to all callers (group commit). Each record is preceded by its length and
 //! checksum. A power loss may leave a partial record at the end of a segment; reading
-//! stops at the first incomplete or corrupt record. Each start begins a new segment, so
-//! nothing is appended after one.
+//! stops at the first incomplete or corrupt record. Each time the log is opened, a new
+//! segment begins, so nothing is appended after such a record.
 //!
 //! Each segment that is no longer written has a [`Table`] file with the locations of
-//! its records, so that a start reads only the tables and the last segment. A missing
+//! its records, so that opening the log reads only the tables and the last segment. A missing
 //! or corrupt table is rebuilt from its segment.
 
 mod outline;
@@ -42,8 +42,7 @@
     pub len: u32,
 }
 
-/// Size in bytes above which a new segment is started. A start reads the last segment
-/// whole, so larger segments slow it down; smaller ones make more files to search.
+/// Size in bytes above which a new segment is started.
 const SEGMENT_ROTATION_BYTES: usize = 2 << 20;
 /// Maximum number of records queued for the writer thread.
 const WRITE_QUEUE_LEN: usize = 4_096;
@@ -72,7 +71,7 @@
     queue: mpsc::Sender<PendingWrite>,
     active_segment: Arc<AtomicU32>,
     folder: Arc<Path>,
-    saved_tables: watch::Receiver<usize>,
+    saved_table_count: watch::Receiver<usize>,
 }
 
 fn segment_path(folder: &Path, segment: Segment) -> PathBuf {
@@ -161,31 +160,31 @@
     /// assert!(tables.is_empty());
     /// ```
     pub fn open(folder: &Path) -> Result<(Self, Vec<(Segment, Table)>), Error> {
-        let wrap = |e| Error::Folder(folder.to_owned(), e);
-        let segments = list_segments(folder).map_err(wrap)?;
-        // Each start begins a new segment, so nothing is appended after a partial
+        let folder_error = |e| Error::Folder(folder.to_owned(), e);
+        let segments = list_segments(folder).map_err(folder_error)?;
+        // Opening the log begins a new segment, so nothing is appended after a partial
         // record and nothing has to be truncated.
         let next = segments.last().map_or(1, |n| n + 1);
         let saver = TableSaver::new(folder);
         let mut tables = Vec::new();
         for segment in segments {
-            let table = load_or_build_table(folder, segment, &saver).map_err(wrap)?;
+            let table = load_or_build_table(folder, segment, &saver).map_err(folder_error)?;
             tables.extend(table.map(|t| (segment, t)));
         }
-        let file = create_segment(folder, next).map_err(wrap)?;
+        let file = create_segment(folder, next).map_err(folder_error)?;
         let (queue, pending) = mpsc::channel(WRITE_QUEUE_LEN);
         let active_segment = Arc::new(AtomicU32::new(next));
-        let saved_tables = saver.saved_count();
+        let saved_table_count = saver.saved_count();
         let writer = Writer::new(folder, file, active_segment.clone(), saver);
         std::thread::Builder::new()
             .name("turn-log".to_owned())
             .spawn(move || writer.run(pending))
-            .map_err(wrap)?;
+            .map_err(folder_error)?;
         let log = Self {
             queue,
             active_segment,
             folder: folder.into(),
-            saved_tables,
+            saved_table_count,
         };
         Ok((log, tables))
     }
@@ -197,8 +196,8 @@
 
     /// Returns a receiver for the number of tables saved since the log was opened. Tables
     /// are saved in the background, possibly after the first record of the next segment.
-    pub fn saved_tables(&self) -> watch::Receiver<usize> {
-        self.saved_tables.clone()
+    pub fn saved_table_count(&self) -> watch::Receiver<usize> {
+        self.saved_table_count.clone()
     }
 
     /// Appends a record and returns its location once it has been synced to disk.
--- a/crates/gradedyke-turns/src/log/outline.rs
+++ b/crates/gradedyke-turns/src/log/outline.rs
@@ -18,20 +18,20 @@
 /// A [`Record`] that borrows from its encoded bytes. The order of variants and fields
 /// must match that of [`Record`].
 #[derive(Deserialize)]
-enum Borrowed<'a> {
-    Reserved(#[serde(borrow)] Usage<'a>),
-    Settled(#[serde(borrow)] Usage<'a>),
-    Turn(#[serde(borrow)] Turn<'a>),
+enum BorrowedRecord<'a> {
+    Reserved(#[serde(borrow)] BorrowedReservation<'a>),
+    Settled(#[serde(borrow)] BorrowedReservation<'a>),
+    Turn(#[serde(borrow)] BorrowedTurn<'a>),
 }
 
 #[derive(Deserialize)]
-struct Usage<'a> {
+struct BorrowedReservation<'a> {
     program: &'a str,
     request: &'a str,
 }
 
 #[derive(Deserialize)]
-struct Turn<'a> {
+struct BorrowedTurn<'a> {
     request: &'a str,
     _parent: Option<&'a str>,
     _input: &'a [u8],
@@ -47,9 +47,9 @@
         // The remaining fields are not decoded.
         let (record, _) = postcard::take_from_bytes(bytes).ok()?;
         Some(match record {
-            Borrowed::Reserved(reserved) => Self::from_usage(Kind::Reserved, &reserved),
-            Borrowed::Settled(settled) => Self::from_usage(Kind::Settled, &settled),
-            Borrowed::Turn(turn) => Self {
+            BorrowedRecord::Reserved(reserved) => Self::from_reservation(Kind::Reserved, &reserved),
+            BorrowedRecord::Settled(settled) => Self::from_reservation(Kind::Settled, &settled),
+            BorrowedRecord::Turn(turn) => Self {
                 kind: Kind::Turn,
                 request: turn.request,
                 program: turn.program,
@@ -57,11 +57,11 @@
         })
     }
 
-    fn from_usage(kind: Kind, usage: &Usage<'a>) -> Self {
+    fn from_reservation(kind: Kind, reservation: &BorrowedReservation<'a>) -> Self {
         Self {
             kind,
-            request: usage.request,
-            program: Some(usage.program),
+            request: reservation.request,
+            program: Some(reservation.program),
         }
     }
 }
--- a/crates/gradedyke-turns/src/log/table.rs
+++ b/crates/gradedyke-turns/src/log/table.rs
@@ -13,14 +13,14 @@
 /// First bytes of a table file. They change with the file format; a table in another
 /// format is rebuilt from its segment.
 const FILE_MAGIC: [u8; 8] = *b"gdtable1";
-/// Size of an encoded entry in bytes.
-const ENTRY_BYTES: usize = 16;
-/// Size of a file's header in bytes: magic, segment length, two entry counts, checksum.
+/// Size of an encoded row in bytes.
+const ROW_BYTES: usize = 16;
+/// Size of a file's header in bytes: magic, segment length, two row counts, checksum.
 const HEADER_BYTES: usize = 8 + 8 + 4 + 4 + 4;
 
 /// Location of one record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Entry {
+struct TableRow {
     /// Hash of the program ID or request ID.
     id_hash: u64,
     /// Offset of the record in its segment, in bytes.
@@ -33,9 +33,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Table {
     /// Records that affect a program's budget, sorted by program.
-    programs: Vec<Entry>,
+    programs: Vec<TableRow>,
     /// Turns, sorted by request.
-    turns: Vec<Entry>,
+    turns: Vec<TableRow>,
 }
 
 fn hash_id(id: &str) -> u64 {
@@ -51,18 +51,18 @@
 impl Table {
     /// Inserts the location of a record. Call [`Table::sort`] before the first lookup.
     pub fn insert(&mut self, outline: &Outline<'_>, location: Location) {
-        let entry = |id: &str| Entry {
+        let row = |id: &str| TableRow {
             id_hash: hash_id(id),
             offset: location.offset,
             len: location.len,
         };
-        self.programs.extend(outline.program.map(entry));
+        self.programs.extend(outline.program.map(row));
         if outline.kind == Kind::Turn {
-            self.turns.push(entry(outline.request));
+            self.turns.push(row(outline.request));
         }
     }
 
-    /// Sorts the entries for lookup.
+    /// Sorts the rows for lookup.
     ///
     /// ```
     /// use gradedyke_turns::log::{Location, Outline, Table};
@@ -85,13 +85,13 @@
     /// Returns the candidate locations of a program's records. `segment` is the segment
     /// that this table belongs to.
     pub fn find_program(&self, segment: Segment, program: &Id) -> Vec<Location> {
-        find_entries(&self.programs, segment, program)
+        find_rows(&self.programs, segment, program)
     }
 
     /// Returns the candidate locations of a request's turn. `segment` is the segment that
     /// this table belongs to.
     pub fn find_turn(&self, segment: Segment, request: &Id) -> Vec<Location> {
-        find_entries(&self.turns, segment, request)
+        find_rows(&self.turns, segment, request)
     }
 
     /// Writes the table of a segment of `segment_len` bytes to `folder`, atomically: to a
@@ -126,13 +126,13 @@
 
     fn encode(&self, segment_len: u64) -> Vec<u8> {
         let count = self.programs.len() + self.turns.len();
-        let mut body = Vec::with_capacity(count * ENTRY_BYTES);
-        for entry in self.programs.iter().chain(&self.turns) {
-            body.extend_from_slice(&entry.id_hash.to_le_bytes());
-            body.extend_from_slice(&entry.offset.to_le_bytes());
-            body.extend_from_slice(&entry.len.to_le_bytes());
+        let mut body = Vec::with_capacity(count * ROW_BYTES);
+        for row in self.programs.iter().chain(&self.turns) {
+            body.extend_from_slice(&row.id_hash.to_le_bytes());
+            body.extend_from_slice(&row.offset.to_le_bytes());
+            body.extend_from_slice(&row.len.to_le_bytes());
         }
-        let count = |entries: &[Entry]| u32::try_from(entries.len()).unwrap_or(u32::MAX);
+        let count = |rows: &[TableRow]| u32::try_from(rows.len()).unwrap_or(u32::MAX);
         let mut bytes = Vec::with_capacity(HEADER_BYTES + body.len());
         bytes.extend_from_slice(&FILE_MAGIC);
         bytes.extend_from_slice(&segment_len.to_le_bytes());
@@ -146,17 +146,17 @@
     fn decode(bytes: &[u8], segment_len: u64) -> Option<Self> {
         let body = bytes.strip_prefix(&FILE_MAGIC)?;
         let body = body.strip_prefix(&segment_len.to_le_bytes())?;
-        let (programs, body) = split_u32(body)?;
-        let (turns, body) = split_u32(body)?;
+        let (program_count, body) = split_u32(body)?;
+        let (turn_count, body) = split_u32(body)?;
         let (checksum, body) = split_u32(body)?;
-        let split = programs as usize * ENTRY_BYTES;
-        let is_complete = body.len() == split + turns as usize * ENTRY_BYTES;
+        let program_bytes = program_count as usize * ROW_BYTES;
+        let is_complete = body.len() == program_bytes + turn_count as usize * ROW_BYTES;
         if !is_complete || crc32fast::hash(body) != checksum {
             return None;
         }
         Some(Self {
-            programs: decode_entries(&body[..split]),
-            turns: decode_entries(&body[split..]),
+            programs: decode_rows(&body[..program_bytes]),
+            turns: decode_rows(&body[program_bytes..]),
         })
     }
 }
@@ -168,28 +168,28 @@
     Some((u32::from_le_bytes(*value), rest))
 }
 
-fn decode_entries(bytes: &[u8]) -> Vec<Entry> {
-    let (chunks, _) = bytes.as_chunks::<ENTRY_BYTES>();
-    let entry = |chunk: &[u8; ENTRY_BYTES]| {
+fn decode_rows(bytes: &[u8]) -> Vec<TableRow> {
+    let (chunks, _) = bytes.as_chunks::<ROW_BYTES>();
+    let row = |chunk: &[u8; ROW_BYTES]| {
         let [a, b, c, d, e, f, g, h, i, j, k, l, m, n, o, p] = *chunk;
-        Entry {
+        TableRow {
             id_hash: u64::from_le_bytes([a, b, c, d, e, f, g, h]),
             offset: u32::from_le_bytes([i, j, k, l]),
             len: u32::from_le_bytes([m, n, o, p]),
         }
     };
-    chunks.iter().map(entry).collect()
+    chunks.iter().map(row).collect()
 }
 
-/// Returns the locations of the entries with the hash of `id`. `entries` must be sorted.
-fn find_entries(entries: &[Entry], segment: Segment, id: &Id) -> Vec<Location> {
+/// Returns the locations of the rows with the hash of `id`. `rows` must be sorted.
+fn find_rows(rows: &[TableRow], segment: Segment, id: &Id) -> Vec<Location> {
     let id_hash = hash_id(id.as_str());
-    let first = entries.partition_point(|e| e.id_hash < id_hash);
-    let matching = entries[first..].iter().take_while(|e| e.id_hash == id_hash);
-    let location = |entry: &Entry| Location {
+    let first = rows.partition_point(|e| e.id_hash < id_hash);
+    let matching = rows[first..].iter().take_while(|e| e.id_hash == id_hash);
+    let location = |row: &TableRow| Location {
         segment,
-        offset: entry.offset,
-        len: entry.len,
+        offset: row.offset,
+        len: row.len,
     };
     matching.map(location).collect()
 }
--- a/crates/gradedyke-turns/src/log/writer.rs
+++ b/crates/gradedyke-turns/src/log/writer.rs
@@ -70,8 +70,8 @@
         }
     }
 
-    /// Adds the records to the table and sends each location, for a batch that starts at
-    /// `first_offset`; sends `None` if `first_offset` is `None` because the write failed.
+    /// Replies to the callers of a batch that was written at `first_offset`, and adds its records
+    /// to the table. `first_offset` is `None` if the write failed; the callers then get `None`.
     fn reply(&mut self, batch: Vec<PendingWrite>, first_offset: Option<usize>) {
         let mut next_offset = first_offset.unwrap_or_default();
         let segment = self.active_segment.load(Ordering::Acquire);
--- a/crates/gradedyke-turns/src/membership/decide.rs
+++ b/crates/gradedyke-turns/src/membership/decide.rs
@@ -6,20 +6,20 @@
 
 use tokio::time::Instant;
 
-use super::spread::Spread;
+use super::distribution::Distribution;
 use crate::sync::Progress;
 use crate::view::{DiskId, Member, View};
 
-/// How long a member must be unreachable before a spare may replace it. A killed
-/// process usually restarts within this time.
+/// How long a member must be unreachable before a spare may replace it. Gives a
+/// process time to restart.
 const REPLACE_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long a member must be unreachable before it is removed without a
 /// replacement, where there are more active members than needed.
 const SURPLUS_REMOVAL_TIMEOUT: Duration = Duration::from_secs(8);
 /// How long members must be unreachable before the others continue without them
-/// even though that may lose records: more disks were lost than tolerated, or one
-/// was lost before another had caught up. Longer than the usual outage of a single
-/// instance, so that its disk has time to return.
+/// even though that may lose records. This happens if more disks are lost than
+/// tolerated, or if one is lost before the replacement of another has caught up. Gives
+/// an instance time to come back with its disk.
 const GIVE_UP_TIMEOUT: Duration = Duration::from_secs(20);
 /// How long a member that is to be retired waits for a spare to join, catch up and
 /// become active in its place.
@@ -27,16 +27,15 @@
 /// How much longer than the maximum jitter a vacancy is reserved for replicas of the
 /// data centres with the fewest members. Covers the time that these need to start and
 /// to learn of the vacancy.
-const PRIORITY_WINDOW: Duration = Duration::from_millis(600);
+const PRIORITY_MARGIN: Duration = Duration::from_millis(600);
 /// Maximum jitter before joining at a first start. Spreads the joins out, because
 /// concurrent ones conflict and each conflict costs a call to the platform.
 const FIRST_START_MAX_JITTER: Duration = Duration::from_secs(1);
-/// Maximum jitter before a spare joins. Shorter, because the vacancy lowers the
-/// number of losses that can be survived.
+/// Maximum jitter before a spare joins. Shorter than at a first start, as a
+/// vacancy should be filled soon.
 const SPARE_MAX_JITTER: Duration = Duration::from_millis(300);
-/// How long the situation must be unchanged before a member is moved to another
-/// data centre. Long enough for an instance to restart and catch up, because a move
-/// copies all records and isn't worthwhile for a short outage.
+/// How long the state of the view must be unchanged before a member is moved to another
+/// data centre. A move copies all records, so a short outage must not cause one.
 const REBALANCE_DELAY: Duration = Duration::from_secs(5);
 
 /// Settings of this replica's membership.
@@ -54,8 +53,8 @@
     /// doesn't mean that records were lost.
     pub first_start: bool,
     /// How many disks may be lost at the same time without losing records.
-    pub tolerate: usize,
-    /// Delay before this replica joins where several may, as drawn by [`turn`].
+    pub tolerated_losses: usize,
+    /// Delay before this replica joins where several may, as drawn by [`draw_join_delay`].
     pub join_delay: Duration,
 }
 
@@ -73,7 +72,7 @@
     max_jitter(first_start).mul_f64(rand::random())
 }
 
-/// What a replica knows when it decides.
+/// Input of [`decide`].
 #[derive(Clone, Debug)]
 pub struct Observation<'a> {
     /// The current view.
@@ -82,8 +81,8 @@
     pub disk: DiskId,
     /// How far it has synced from each other member.
     pub progress: &'a HashMap<DiskId, Progress>,
-    /// Since when its own instance is to be retired, if it is.
-    pub leave_since: Option<Instant>,
+    /// When the request to retire its own instance was first seen, if there is one.
+    pub retiring_since: Option<Instant>,
     /// Names of all instances that are to be retired.
     pub retiring: &'a HashSet<String>,
     /// Whether all other active members have all of its records, except the most recent.
@@ -101,8 +100,8 @@
         unreachable_since.is_some_and(|at| now - at >= duration)
     }
 
-    /// Whether a member isn't to be retired and hasn't been unreachable for long enough
-    /// to be replaced.
+    /// Whether a member stays: its instance is not to be retired, and it has not been
+    /// unreachable for [`REPLACE_TIMEOUT`].
     fn is_stable(&self, member: &Member, now: Instant) -> bool {
         !self.is_unreachable_for(member, REPLACE_TIMEOUT, now)
             && !self.retiring.contains(&member.name)
@@ -143,59 +142,59 @@
 /// Returns the view that this replica should propose, if any.
 pub fn decide(config: &Config, observation: &Observation<'_>, now: Instant) -> Option<View> {
     let view = observation.view;
-    match (view.find(observation.disk), observation.leave_since) {
+    match (view.find(observation.disk), observation.retiring_since) {
         (None, Some(_)) => None,
         (None, None) => {
             let replaces_own_disk = view.members.iter().any(|m| m.name == config.name);
             let joins = replaces_own_disk
                 || should_fill_vacancy(config, observation, now)
                 || should_rebalance(config, observation, now);
-            joins.then(|| join(config, observation))
+            joins.then(|| propose_join(config, observation))
         }
-        (Some(_), Some(since)) => leave(observation, since, now),
+        (Some(_), Some(since)) => propose_leave(observation, since, now),
         (Some(me), None) if me.address != config.address => {
-            Some(update_address(config, observation))
+            Some(propose_address(config, observation))
         }
-        (Some(me), None) if me.active => remove_unreachable(observation, now)
-            .or_else(|| leave_if_surplus(config, observation, now)),
-        (Some(_), None) => activate(observation, now),
+        (Some(me), None) if me.active => propose_removal_of_unreachable(observation, now)
+            .or_else(|| propose_leave_if_surplus(config, observation, now)),
+        (Some(_), None) => propose_activation(observation, now),
     }
 }
 
-/// Whether this replica should take a vacant place. Replicas in the data centre with
-/// the fewest members may do so after their jitter, others only after the priority
-/// window.
+/// Whether this replica should fill a vacancy. Replicas in the data centre with
+/// the fewest members may do so after their jitter, others only after the
+/// maximum jitter plus [`PRIORITY_MARGIN`] and their own jitter.
 fn should_fill_vacancy(config: &Config, observation: &Observation<'_>, now: Instant) -> bool {
     if !observation.has_vacancy(now) {
         return false;
     }
-    let spread = Spread::new(observation.stable_members(now), &config.data_centres);
-    let has_priority = spread.has_fewest(&config.data_centre);
+    let distribution = Distribution::new(observation.stable_members(now), &config.data_centres);
+    let has_priority = distribution.has_fewest(&config.data_centre);
     let priority_delay = if has_priority {
         Duration::ZERO
     } else {
-        max_jitter(config.first_start) + PRIORITY_WINDOW
+        max_jitter(config.first_start) + PRIORITY_MARGIN
     };
     now - observation.unchanged_since >= priority_delay + config.join_delay
 }
 
-/// Whether this replica should join although no place is vacant, so that a member in
+/// Whether this replica should join although there is no vacancy, so that a member in
 /// a data centre with more members can leave.
 fn should_rebalance(config: &Config, observation: &Observation<'_>, now: Instant) -> bool {
     if !observation.is_complete(now) {
         return false;
     }
-    let spread = Spread::new(&observation.view.members, &config.data_centres);
-    spread.is_underrepresented(&config.data_centre)
+    let distribution = Distribution::new(&observation.view.members, &config.data_centres);
+    distribution.is_underrepresented(&config.data_centre)
         && now - observation.unchanged_since >= REBALANCE_DELAY + config.join_delay
 }
 
-/// Adds this replica to the view. At a first start it is active at once as long as
+/// Proposes to add this replica to the view. At a first start it is active at once as long as
 /// there are too few active members to have stored any record.
-fn join(config: &Config, observation: &Observation<'_>) -> View {
+fn propose_join(config: &Config, observation: &Observation<'_>) -> View {
     let mut view = observation.view.clone();
-    view.tolerate = config.tolerate;
-    let no_records_yet = view.active().count() <= config.tolerate;
+    view.tolerate = config.tolerated_losses;
+    let no_records_yet = view.active().count() <= config.tolerated_losses;
     let mut members = view.members.clone();
     // If this instance is already a member with another disk, that disk was lost.
     members.retain(|m| m.name != config.name);
@@ -209,7 +208,8 @@
     view.with_members(members)
 }
 
-fn update_address(config: &Config, observation: &Observation<'_>) -> View {
+/// Proposes the present address of this replica.
+fn propose_address(config: &Config, observation: &Observation<'_>) -> View {
     let mut members = observation.view.members.clone();
     for member in &mut members {
         if member.disk == observation.disk {
@@ -219,20 +219,20 @@
     observation.view.with_members(members)
 }
 
-/// Removes this replica from the view once the other active members have all of its
+/// Proposes to remove this replica from the view once the other active members have all of its
 /// records and are enough to store new ones. Waits a limited time for a spare.
-fn leave(observation: &Observation<'_>, since: Instant, now: Instant) -> Option<View> {
+fn propose_leave(observation: &Observation<'_>, since: Instant, now: Instant) -> Option<View> {
     let view = observation.view;
     let others = view.active().filter(|m| m.disk != observation.disk).count();
     let waited_for_spare = others >= target_member_count(view) || now - since >= SPARE_WAIT;
     if !observation.others_caught_up || others <= view.tolerate || !waited_for_spare {
         return None;
     }
-    Some(remove(view, observation.disk))
+    Some(without_member(view, observation.disk))
 }
 
-/// Makes this replica active and removes members that are unreachable.
-fn activate(observation: &Observation<'_>, now: Instant) -> Option<View> {
+/// Proposes to make this replica active and to remove members that are unreachable.
+fn propose_activation(observation: &Observation<'_>, now: Instant) -> Option<View> {
     let view = observation.view;
     let mut unreachable = Vec::new();
     let mut synced = 0;
@@ -252,9 +252,11 @@
             return None;
         }
     }
-    // Fewer members than a quorum may lack a record that only a lost member has.
+    // If fewer members than a quorum were synced, a record may exist only on a lost member.
     let active = view.active().count();
-    if synced < view.quorum().min(active) && !should_give_up_unreachable(observation, synced, now) {
+    if synced < view.quorum_size().min(active)
+        && !should_give_up_unreachable(observation, synced, now)
+    {
         return None;
     }
     let mut members = view.members.clone();
@@ -287,9 +289,9 @@
     timed_out && synced > 0
 }
 
-/// Removes a member that has been unreachable for long, if there are more active
+/// Proposes to remove a member that has been unreachable for long, if there are more active
 /// members than needed.
-fn remove_unreachable(observation: &Observation<'_>, now: Instant) -> Option<View> {
+fn propose_removal_of_unreachable(observation: &Observation<'_>, now: Instant) -> Option<View> {
     let view = observation.view;
     if view.active().count() <= target_member_count(view) {
         return None;
@@ -298,26 +300,31 @@
         .active()
         .find(|m| observation.is_unreachable_for(m, SURPLUS_REMOVAL_TIMEOUT, now))?
         .disk;
-    Some(remove(view, unreachable))
+    Some(without_member(view, unreachable))
 }
 
-/// Removes this replica if there are more members than needed, the others have all
-/// of its records, and it is the last member in the data centre with the most. A
+/// Proposes to remove this replica if there are more members than needed, the others have
+/// all of its records, and it joined last among the members of the data centre with the
+/// most members. A
 /// surplus arises when a replaced member returns, and from rebalancing.
-fn leave_if_surplus(config: &Config, observation: &Observation<'_>, now: Instant) -> Option<View> {
+fn propose_leave_if_surplus(
+    config: &Config,
+    observation: &Observation<'_>,
+    now: Instant,
+) -> Option<View> {
     if !observation.others_caught_up || !observation.has_surplus(now) {
         return None;
     }
     let view = observation.view;
-    let spread = Spread::new(&view.members, &config.data_centres);
+    let distribution = Distribution::new(&view.members, &config.data_centres);
     let candidates = view.members.iter();
-    let mut candidates = candidates.filter(|m| spread.has_most(&m.data_centre));
+    let mut candidates = candidates.filter(|m| distribution.has_most(&m.data_centre));
     let last = candidates.next_back().map(|m| m.disk);
-    (last == Some(observation.disk)).then(|| remove(view, observation.disk))
+    (last == Some(observation.disk)).then(|| without_member(view, observation.disk))
 }
 
 /// Returns the next view, without the member on `disk`.
-fn remove(view: &View, disk: DiskId) -> View {
+fn without_member(view: &View, disk: DiskId) -> View {
     let mut members = view.members.clone();
     members.retain(|m| m.disk != disk);
     view.with_members(members)
--- a/crates/gradedyke-turns/src/membership/spread.rs
+++ b/crates/gradedyke-turns/src/membership/distribution.rs
@@ -1,8 +1,8 @@
 //! How the members of a view are distributed over data centres.
 //!
-//! An outage can affect a whole data centre. If 2t + 1 members are spread evenly
-//! over three or more data centres, a quorum remains. Any replica may take a vacant
-//! place, but those whose data centre has the fewest members have priority.
+//! An outage can affect a whole data centre. If 2t + 1 members, with t the
+//! number of tolerated disk losses, are distributed evenly over three or more data
+//! centres, a quorum survives the loss of one. Any replica may fill a vacancy, but those whose data centre has the fewest members have priority.
 
 use std::collections::BTreeMap;
 
@@ -10,20 +10,20 @@
 
 /// Number of members in each data centre.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Spread<'a> {
+pub struct Distribution<'a> {
     counts: BTreeMap<&'a str, usize>,
 }
 
-impl<'a> Spread<'a> {
+impl<'a> Distribution<'a> {
     /// Counts `members` in each of `data_centres` and in any other that a member is in.
     ///
     /// ```
-    /// use gradedyke_turns::membership::spread::Spread;
+    /// use gradedyke_turns::membership::distribution::Distribution;
     ///
     /// let known = ["north".to_owned(), "south".to_owned()];
-    /// let spread = Spread::new([], &known);
-    /// assert!(spread.has_fewest("north"));
-    /// assert!(!spread.is_underrepresented("north"));
+    /// let distribution = Distribution::new([], &known);
+    /// assert!(distribution.has_fewest("north"));
+    /// assert!(!distribution.is_underrepresented("north"));
     /// ```
     pub fn new(members: impl IntoIterator<Item = &'a Member>, data_centres: &'a [String]) -> Self {
         let known = data_centres.iter().map(|d| (d.as_str(), 0));
--- a/crates/gradedyke-turns/src/membership/mod.rs
+++ b/crates/gradedyke-turns/src/membership/mod.rs
@@ -5,7 +5,7 @@
 //! removes members that are unreachable. There is no leader; changes are ordered by
 //! compare-and-swap. Only as many replicas as the tolerated losses require are
 //! members, because each holds a copy of all records. The others are spares, which
-//! join when a place becomes vacant; those in the data centre with the fewest
+//! join when there is a vacancy; those in the data centre with the fewest
 //! members have priority.
 //!
 //! Removing a member is safe because the members of any quorum together have every
@@ -14,7 +14,7 @@
 //! views.
 
 pub mod decide;
-pub mod spread;
+pub mod distribution;
 
 use std::collections::{BTreeSet, HashMap, HashSet, VecDeque};
 use std::net::SocketAddr;
@@ -44,7 +44,8 @@
 pub trait Retirement: Send + Sync {
     /// Returns the names of the instances that are to be retired.
     fn retiring_instances(&self, mirror: &Mirror) -> HashSet<String>;
-    /// Returns the key and value that report whether the instance `name` has left the view.
+    /// Returns the key and value that report whether the retirement of the instance `name`
+    /// is `done`.
     fn retire_status(&self, name: &str, done: bool) -> (String, Vec<u8>);
 }
 
@@ -57,18 +58,19 @@
     followers: HashMap<(DiskId, SocketAddr), FollowerHandle>,
     tasks: JoinSet<()>,
     /// The retirement status last written for the operator.
-    reported_done: Option<bool>,
-    /// Since when this replica's instance is to be retired.
-    leave_since: Option<Instant>,
+    reported_retired: Option<bool>,
+    /// When the request to retire this replica's instance was first seen, if there is one.
+    retiring_since: Option<Instant>,
     /// End positions of the index at recent checks, oldest first.
     recent_ends: VecDeque<(Instant, Position)>,
-    /// The current situation, and since when it has been unchanged.
-    situation: (Situation, Instant),
+    /// The current state, and since when it has been the same.
+    view_state: (ViewState, Instant),
 }
 
-/// Facts that must be unchanged for some time before certain changes to the view.
+/// What must stay the same for some time before a vacancy is filled from other data centres
+/// or a member is moved.
 #[derive(Default, PartialEq, Eq)]
-struct Situation {
+struct ViewState {
     /// The version of the view.
     version: u64,
     /// Unreachable members.
@@ -98,10 +100,10 @@
             retirement,
             followers: HashMap::new(),
             tasks: JoinSet::new(),
-            reported_done: None,
-            leave_since: None,
+            reported_retired: None,
+            retiring_since: None,
             recent_ends: VecDeque::new(),
-            situation: (Situation::default(), Instant::now()),
+            view_state: (ViewState::default(), Instant::now()),
         }
     }
 
@@ -132,7 +134,7 @@
         let retiring = self.retirement.retiring_instances(&mirror);
         let now = Instant::now();
         let must_leave = retiring.contains(&self.config.name);
-        self.leave_since = must_leave.then(|| self.leave_since.unwrap_or(now));
+        self.retiring_since = must_leave.then(|| self.retiring_since.unwrap_or(now));
         let progress = self.progress();
         // The others' progress matters only if this replica may have to leave.
         let has_surplus = view.active().count() > decide::target_member_count(&view);
@@ -146,7 +148,7 @@
             view: &view,
             disk: self.replica.disk(),
             progress: &progress,
-            leave_since: self.leave_since,
+            retiring_since: self.retiring_since,
             retiring: &retiring,
             others_caught_up,
             unchanged_since,
@@ -171,7 +173,7 @@
         followers.map(progress).collect()
     }
 
-    /// Returns since when the situation has been the same as now.
+    /// Returns since when the state of the view has been the same as now.
     fn unchanged_since(
         &mut self,
         view: &View,
@@ -182,19 +184,19 @@
         let unreachable = progress
             .iter()
             .filter(|(_, p)| p.unreachable_since.is_some());
-        let situation = Situation {
+        let view_state = ViewState {
             version: view.version,
             unreachable: unreachable.map(|(disk, _)| *disk).collect(),
             retiring: retiring.iter().cloned().collect(),
         };
-        if self.situation.0 != situation {
-            self.situation = (situation, now);
+        if self.view_state.0 != view_state {
+            self.view_state = (view_state, now);
         }
-        self.situation.1
+        self.view_state.1
     }
 
-    /// Whether all other active members have the records that arrived here before
-    /// [`MAX_LAG`] ago. Newer records needn't be waited for, because their writer sends
+    /// Whether all other active members have the records that this replica applied
+    /// more than [`MAX_LAG`] ago. Newer records needn't be waited for, because their writer sends
     /// them to all members.
     fn have_others_caught_up(&mut self, view: &View, now: Instant) -> bool {
         let end = self.replica.index().end_position();
@@ -271,8 +273,8 @@
             }
             Ok(Swapped::Conflict(held)) => {
                 tracing::info!(event = "view_conflict", version = view.version, expected);
-                // Without this, the next attempt could conflict again before the current
-                // value arrives by itself.
+                // The mirror gets the current value now; otherwise the next proposal could
+                // conflict again.
                 let items = held.map(mirror::Item::from).into_iter().collect();
                 self.replica.mirror().apply(items, Instant::now());
             }
@@ -282,16 +284,17 @@
         }
     }
 
-    /// Writes for the operator whether this instance has left the view, if that changed.
+    /// Reports to the operator whether this instance has left the view, unless that was
+    /// reported already.
     async fn report_status(&mut self, done: bool) {
-        if self.reported_done == Some(done) {
+        if self.reported_retired == Some(done) {
             return;
         }
         let (key, value) = self.retirement.retire_status(&self.config.name, done);
         let written = write(&*self.kv, key, value).await;
         match written {
             Ok(()) => {
-                self.reported_done = Some(done);
+                self.reported_retired = Some(done);
                 tracing::info!(event = "emptying", instance = self.config.name, done);
             }
             Err(error) => tracing::warn!(event = "emptying_not_told", done, %error),
--- a/crates/gradedyke-turns/src/message.rs
+++ b/crates/gradedyke-turns/src/message.rs
@@ -27,7 +27,7 @@
     /// Whether this replica is the nearest one. It then also returns the whole conversation
     /// and the load of other entries.
     pub nearest: bool,
-    /// The sender's requests in progress.
+    /// The sender's load report.
     pub load: Report,
     /// The requests that the sender admitted for client accounts, if the turn belongs to one.
     pub usage: Option<usage::Report>,
@@ -42,7 +42,7 @@
 pub enum Request {
     /// Checks that the replica is reachable.
     Hello,
-    /// Asks how old the copy of the platform's key-value service is.
+    /// Asks how old the receiver's mirror is.
     Age,
     /// Asks an entry to forward a request to a replica.
     Via {
@@ -69,16 +69,16 @@
     Chain(Id),
     /// Reads the keys of stored records.
     Keys {
-        /// Identifier of the sender's disk.
+        /// ID of the sender's disk.
         disk: DiskId,
-        /// Identifier of the replica's run that `from` belongs to.
+        /// Random ID of the replica's incarnation that `from` belongs to.
         boot: u64,
         /// The position to start from; the sender has all records before it.
         from: Position,
     },
     /// Reads records.
     Records(Vec<Key>),
-    /// Reads changes of the replica's copy of the platform's key-value service.
+    /// Reads changes of the receiver's mirror.
     Follow {
         /// The sender's position.
         cursor: Cursor,
@@ -96,7 +96,7 @@
     },
 }
 
-/// What a replica holds of a conversation.
+/// Whether a replica has a turn, with the conversation if requested.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Found {
     /// The replica does not have the turn.
@@ -110,11 +110,11 @@
 /// A page of record keys.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Keys {
-    /// Identifier of the replica's run. Positions from another run are invalid.
+    /// Random ID of the replica's incarnation. Positions from another one are invalid.
     pub boot: u64,
     /// The position to continue from.
     pub next: Position,
-    /// Whether there are no more keys.
+    /// Whether these are the last keys and the replica has indexed all its records.
     pub all: bool,
     /// The keys.
     pub keys: Vec<Key>,
@@ -127,7 +127,8 @@
 pub enum Reply {
     /// The replica is reachable.
     Hello,
-    /// Milliseconds since the service last confirmed the copy; `None` if it never did.
+    /// Milliseconds since the platform's key-value store last confirmed the sender's mirror;
+    /// `None` if it never did.
     Age(Option<u64>),
     /// The reply to the forwarded request, encoded.
     Via(Bytes),
@@ -157,7 +158,7 @@
     Keys(Keys),
     /// The requested records that the replica has.
     Records(Vec<Record>),
-    /// Changes of the copy.
+    /// Changes of the sender's mirror.
     News(Update),
     /// The sender's view is outdated; this is the replica's view.
     Stale(View),
--- a/crates/gradedyke-turns/src/mirror.rs
+++ b/crates/gradedyke-turns/src/mirror.rs
@@ -1,12 +1,12 @@
-//! A copy of the contents of the platform's key-value service, held by every process.
+//! A copy of the contents of the platform's key-value store, held by every process.
 //!
-//! Only a few processes watch the service, because its call rate is limited and does not
-//! grow with the deployment; the others follow these. Each change of a key has the service's
+//! Only a few processes watch the store, because its call rate is limited and does not
+//! grow with the deployment; the others follow these. Each change of a key has the store's
 //! revision. The highest revision wins, so changes may arrive by any path, repeatedly and in
-//! any order, and an old value never replaces a newer one. An outage of the service leaves
+//! any order, and an old value never replaces a newer one. An outage of the store leaves
 //! the copy unchanged.
 //!
-//! `follow` reads and watches the service; [`crate::feed`] follows another process. `state`
+//! `follow` reads and watches the store; [`crate::feed`] follows another process. `state`
 //! and `items` hold the copy, and `packed` encodes items for transfer.
 
 mod follow;
@@ -52,7 +52,7 @@
 /// A position in the changes of another process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cursor {
-    /// Random identifier of the followed process's run.
+    /// Random ID of the followed process's incarnation.
     pub boot: u64,
     /// Sequence number of the last change received from it.
     pub change: u64,
@@ -67,9 +67,9 @@
 /// The changes after a [`Cursor`], or a page of them.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Update {
-    /// Random identifier of the sending process's run.
+    /// Random ID of the sending process's incarnation.
     pub boot: u64,
-    /// Sequence number of the last change covered; the next request starts after it.
+    /// Sequence number of the last change knows_deletions; the next request starts after it.
     pub next: u64,
     /// The changed items.
     pub items: Packed,
@@ -84,13 +84,13 @@
     /// Set if the listing holds all keys: a key that is not in it was deleted, unless its
     /// revision is higher than this one.
     pub whole: Option<Revision>,
-    /// Milliseconds since the service last confirmed the copy; `None` if it never did.
+    /// Milliseconds since the store last confirmed the copy; `None` if it never did.
     pub age_ms: Option<u64>,
-    /// Milliseconds, rounded up, from sending the last request that the service answered
+    /// Milliseconds, at most one too many, from sending the last request that the store answered
     /// to receiving the follower's request; negative if the follower's request came first,
-    /// `None` if the service never answered.
+    /// `None` if the store never answered.
     pub asked_ms: Option<i64>,
-    /// Milliseconds for which the service has answered without a failure.
+    /// Milliseconds for which the store has answered without a failure.
     pub steady_ms: u64,
     /// Addresses of some running entries.
     pub neighbours: Vec<SocketAddr>,
@@ -98,7 +98,7 @@
 
 /// A copy of the keys under some prefixes.
 pub struct Mirror {
-    /// Random identifier of this process's run.
+    /// Random ID of this process's incarnation.
     boot: u64,
     prefixes: Vec<String>,
     state: Mutex<State>,
@@ -169,15 +169,14 @@
             .collect()
     }
 
-    /// Returns how long ago the service confirmed the copy; `None` if it never did.
+    /// Returns how long ago the store confirmed the copy; `None` if it never did.
     pub fn age(&self, now: Instant) -> Option<Duration> {
         let confirmed_at = self.lock().confirmed_at(&self.prefixes)?;
         Some(now.saturating_duration_since(confirmed_at))
     }
 
-    /// Returns a time such that all changes made in the service before it are in the copy:
-    /// when the last request that the service answered was sent, by this or another process.
-    /// `None` if the service never answered.
+    /// Returns when the last request that the store answered was sent, by this or another
+    /// process. The copy has all earlier changes. `None` if the store never answered.
     pub fn complete_as_of(&self) -> Option<Instant> {
         self.lock().earliest(&self.prefixes, |p| p.requested_at)
     }
@@ -187,7 +186,7 @@
         self.lock().neighbours.clone()
     }
 
-    /// Returns since when the service has answered without a failure; `None` during an
+    /// Returns since when the store has answered without a failure; `None` during an
     /// outage.
     pub fn service_available_since(&self) -> Option<Instant> {
         self.lock().available_since
@@ -223,7 +222,7 @@
         self.notify(state, changed);
     }
 
-    /// Applies events that the service's watch of `prefix` returned: all changes after the
+    /// Applies events that the store's watch of `prefix` returned: all changes after the
     /// revision up to which the prefix is complete.
     fn apply_watched(&self, prefix: &str, items: Vec<Item>, now: Instant) {
         let latest = items.iter().map(|i| i.revision).max();
@@ -241,7 +240,7 @@
         }
     }
 
-    /// Records that the service confirmed the copy of a prefix at `now`, in answer to a
+    /// Records that the store confirmed the copy of a prefix at `now`, in answer to a
     /// request sent at `requested_at`.
     fn record_confirmation(&self, prefix: &str, requested_at: Instant, now: Instant) {
         let mut state = self.lock();
@@ -249,7 +248,7 @@
         state.available_since.get_or_insert(now);
     }
 
-    /// Records that the service failed to answer.
+    /// Records that the store failed to answer.
     fn record_failure(&self) {
         self.lock().available_since = None;
     }
@@ -257,16 +256,15 @@
     /// Returns the changes after `cursor`, or a page of them, for a request received at
     /// `received_at`.
     ///
-    /// A process that follows this one for the first time gets a listing. If its copy is
-    /// complete up to a revision after which this process knows of all deletions, the listing
-    /// holds only newer items.
+    /// A process that follows this one for the first time gets a listing. The listing holds only
+    /// items newer than the follower's copy if this process knows all deletions since then.
     pub fn update_since(&self, cursor: &Cursor, received_at: Instant, now: Instant) -> Update {
         let mut state = self.lock();
         let is_valid = cursor.boot == self.boot && cursor.change >= state.listed_at_change;
         let continues_listing = cursor.boot == self.boot && cursor.listing;
         let listing = continues_listing || !is_valid;
-        let covered = state.knows_deletions_since(&self.prefixes, cursor.complete_revision);
-        let above = if listing && covered {
+        let knows_deletions = state.knows_deletions_since(&self.prefixes, cursor.complete_revision);
+        let after_revision = if listing && knows_deletions {
             cursor.complete_revision
         } else {
             0
@@ -276,7 +274,7 @@
         } else {
             0
         };
-        let page = state.page(after, above);
+        let page = state.page(after, after_revision);
         let complete_revision = state
             .complete_revision(&self.prefixes)
             .filter(|_| !page.more);
@@ -289,7 +287,7 @@
             listing,
             more: page.more,
             complete_revision,
-            whole: complete_revision.filter(|_| listing && !covered),
+            whole: complete_revision.filter(|_| listing && !knows_deletions),
             age_ms: state.confirmed_at(&self.prefixes).map(ms_since),
             asked_ms: state
                 .earliest(&self.prefixes, |p| p.requested_at)
@@ -343,8 +341,8 @@
     }
 }
 
-/// Returns the milliseconds from `first` to `second`, rounded up; negative if `second` is
-/// earlier.
+/// Returns an upper bound of the milliseconds from `first` to `second`: whole milliseconds plus
+/// one. If `second` is earlier, returns the negative of the whole milliseconds between them.
 fn ms_between(first: Instant, second: Instant) -> i64 {
     let ms = |d: Duration| i64::try_from(d.as_millis()).unwrap_or(i64::MAX - 1);
     match second.checked_duration_since(first) {
--- a/crates/gradedyke-turns/src/mirror/follow.rs
+++ b/crates/gradedyke-turns/src/mirror/follow.rs
@@ -1,4 +1,4 @@
-//! Keeps a copy up to date by listing and watching the platform's service.
+//! Keeps a copy up to date by listing and watching the platform's key-value store.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,24 +16,25 @@
 /// quick succession are returned by one call.
 const BATCH_DELAY: Duration = Duration::from_millis(100);
 
-/// How urgently a process needs to read the service itself.
+/// How urgently a process needs to read the store itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Need {
     /// It follows another process with a fresh copy.
     None,
     /// It gets no fresh updates, but its copy is still recent or the processes it follows
-    /// are trying to read the service.
+    /// are trying to read the store.
     Low,
     /// Others follow it, or its copy is too old and the processes it follows do not answer.
     High,
 }
 
-/// Intervals and delays of a process that reads the service.
+/// Intervals and delays of a process that reads the store.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
     /// Interval between checks whether it needs to read, with a jitter of 50 %.
     pub poll_interval: Duration,
-    /// Time without a reply after which a concurrent call is made (hedging), if any is.
+    /// Time without a reply after which another call is made concurrently (hedging); `None` for
+    /// no hedging.
     pub hedge_delay: Option<Duration>,
     /// Longest delay after the first failed call.
     pub initial_max_delay: Duration,
@@ -101,7 +102,7 @@
     loop {
         let current_need = need();
         if current_need == Need::None {
-            // The outage is over, so the next one starts with a short delay again.
+            // After a time without need, failures start with a short delay again.
             retry.reset();
         }
         let started = Instant::now();
@@ -121,7 +122,7 @@
     }
 }
 
-/// Lists or resumes `prefix` and watches it until there is no `need` any more.
+/// Lists `prefix` or resumes its watch, and watches it until there is no `need` any more.
 async fn read_prefix(
     mirror: &Mirror,
     kv: &dyn KeyValue,
@@ -129,13 +130,17 @@
     need: &impl Fn() -> Need,
     retry: &mut Retry,
 ) -> Result<(), Error> {
-    let through = mirror.prefix_revision(prefix);
+    let complete_revision = mirror.prefix_revision(prefix);
     let (start, requested_at) =
-        start_with_hedging(kv, prefix, through, retry.timing.hedge_delay).await?;
+        start_with_hedging(kv, prefix, complete_revision, retry.timing.hedge_delay).await?;
     if matches!(start, ReadStart::Compacted) && need() != Need::High {
         // A process with a high need lists the prefix; listings by all would overload the
-        // service.
-        tracing::info!(event = "platform_forgot", prefix, through);
+        // store.
+        tracing::info!(
+            event = "platform_forgot",
+            prefix,
+            through = complete_revision
+        );
         retry.record_failure(Instant::now());
         return Ok(());
     }
@@ -187,20 +192,20 @@
     Listed(Listing),
     /// A watch was resumed; it returned the changes since the last read.
     Resumed(Vec<Event>, Box<dyn Watch>),
-    /// The changes since the last read cannot be resumed: the service has compacted them.
+    /// The watch cannot be resumed: the store has compacted the changes since the last read.
     Compacted,
 }
 
-/// Resumes the watch of a prefix that is complete up to the revision `through`, or lists the
+/// Resumes the watch of a prefix that is complete up to `complete_revision`, or lists the
 /// prefix if that is 0.
 async fn start_read(
     kv: &dyn KeyValue,
     prefix: &str,
-    through: Revision,
+    complete_revision: Revision,
 ) -> Result<ReadStart, Error> {
-    if through > 0 {
+    if complete_revision > 0 {
         let resumed = async {
-            let mut watch = kv.watch(prefix, through + 1).await?;
+            let mut watch = kv.watch(prefix, complete_revision + 1).await?;
             let events = watch.next().await?;
             Ok(ReadStart::Resumed(events, watch))
         };
@@ -213,18 +218,21 @@
 }
 
 /// Starts to read a prefix; also returns when the call was sent. Each time that `hedge_delay`
-/// passes without a reply, one more concurrent call is made, because the service may never
+/// passes without a reply, one more concurrent call is made, because the store may never
 /// reply to a call that it received during an outage. The first call that ends gives the
 /// result.
 async fn start_with_hedging(
     kv: &dyn KeyValue,
     prefix: &str,
-    through: Revision,
+    complete_revision: Revision,
     hedge_delay: Option<Duration>,
 ) -> Result<(ReadStart, Instant), Error> {
     let call = || async {
         let requested_at = Instant::now();
-        Ok((start_read(kv, prefix, through).await?, requested_at))
+        Ok((
+            start_read(kv, prefix, complete_revision).await?,
+            requested_at,
+        ))
     };
     let mut calls = FuturesUnordered::from_iter([call()]);
     loop {
--- a/crates/gradedyke-turns/src/mirror/items.rs
+++ b/crates/gradedyke-turns/src/mirror/items.rs
@@ -7,9 +7,9 @@
 
 use super::{Item, Packed};
 
-/// Size of keys and values at which a page is full, in bytes. It limits the memory of a
+/// A page takes no more items once its keys and values have this size. It limits the memory of a
 /// process that sends pages to many followers at once.
-const PAGE_SIZE_BYTES: usize = 128 << 10;
+const PAGE_FULL_BYTES: usize = 128 << 10;
 
 /// An item with the change that stored it.
 pub(super) struct StoredItem {
@@ -90,20 +90,20 @@
         changes.filter_map(|(_, key)| self.by_key.get(key))
     }
 
-    /// Returns a page of the items that changed after `change` and have a revision above
-    /// `above`.
-    pub(super) fn page(&self, change: u64, above: Revision) -> Page {
+    /// Returns a page of the items that changed after `change` and have a higher revision than
+    /// `after_revision`.
+    pub(super) fn page(&self, change: u64, after_revision: Revision) -> Page {
         let mut items = Vec::new();
         let mut bytes = 0;
         for stored in self.changed_after(change) {
-            if bytes >= PAGE_SIZE_BYTES {
+            if bytes >= PAGE_FULL_BYTES {
                 return Page {
                     items: items.into(),
                     next: stored.change - 1,
                     more: true,
                 };
             }
-            if stored.item.revision > above {
+            if stored.item.revision > after_revision {
                 bytes += stored.item.key.len() + stored.item.value.as_ref().map_or(0, |v| v.len());
                 items.push(stored.item.clone());
             }
--- a/crates/gradedyke-turns/src/mirror/packed.rs
+++ b/crates/gradedyke-turns/src/mirror/packed.rs
@@ -5,8 +5,8 @@
 
 use super::Item;
 
-/// Smallest encoding that is compressed, in bytes.
-const MIN_COMPRESSED_BYTES: usize = 1 << 10;
+/// Size from which an encoding is compressed, in bytes.
+const COMPRESSION_THRESHOLD_BYTES: usize = 1 << 10;
 
 /// Largest size of decompressed items, in bytes: more than a page with the largest value at
 /// its end. Anything larger is rejected before it is decompressed.
@@ -52,7 +52,7 @@
                 return Self::default();
             }
         };
-        let compressed = encoded.len() >= MIN_COMPRESSED_BYTES;
+        let compressed = encoded.len() >= COMPRESSION_THRESHOLD_BYTES;
         let bytes = match compressed {
             true => lz4_flex::compress_prepend_size(&encoded),
             false => encoded,
--- a/crates/gradedyke-turns/src/mirror/state.rs
+++ b/crates/gradedyke-turns/src/mirror/state.rs
@@ -19,24 +19,26 @@
     pub(super) revision: Revision,
     /// The revision of the first listing. All later deletions are known.
     pub(super) first_listed: Revision,
-    /// When the service last confirmed the copy.
+    /// When the store last confirmed the copy.
     pub(super) confirmed_at: Option<Instant>,
-    /// When the request that it answered was sent. All changes made before are in the copy.
+    /// When the request that the store answered at `confirmed_at` was sent. The copy has all
+    /// earlier changes.
     pub(super) requested_at: Option<Instant>,
 }
 
 #[derive(Default)]
 pub(super) struct State {
     pub(super) items: Items,
-    /// Cached pages by their start and lowest revision, and the last change when they were
-    /// made: any later change makes them invalid.
+    /// The last change when the cached pages were made, and the pages by the change and the
+    /// revision after which they start. Any later change makes them invalid.
     pub(super) pages: (u64, HashMap<(u64, Revision), Page>),
     /// The state of each prefix that has been listed.
     pub(super) prefixes: HashMap<String, PrefixState>,
-    /// The change at which a prefix was last listed for the first time. Before it the items
-    /// were loaded from disk, so a follower with an earlier position needs a full listing.
+    /// Sequence number of the latest change that was the first listing of a prefix. Items
+    /// before it may have been loaded from disk, so a follower with an earlier cursor needs a
+    /// full listing.
     pub(super) listed_at_change: u64,
-    /// Since when the service has answered without a failure.
+    /// Since when the store has answered without a failure.
     pub(super) available_since: Option<Instant>,
     pub(super) neighbours: Vec<SocketAddr>,
 }
@@ -57,7 +59,7 @@
             .all(|p| self.prefixes.get(p).is_some_and(covers))
     }
 
-    /// Returns when the service last confirmed all prefixes.
+    /// Returns when the store last confirmed all prefixes.
     pub(super) fn confirmed_at(&self, prefixes: &[String]) -> Option<Instant> {
         self.earliest(prefixes, |s| s.confirmed_at)
     }
@@ -84,9 +86,9 @@
         }
     }
 
-    /// Returns a page of the items that changed after a change and have a revision above
-    /// `above`. Pages are cached, because many followers ask for the same one.
-    pub(super) fn page(&mut self, after: u64, above: Revision) -> Page {
+    /// Returns a page of the items that changed after the change `after` and have a higher
+    /// revision than `after_revision`. Pages are cached, because many followers ask for the same one.
+    pub(super) fn page(&mut self, after: u64, after_revision: Revision) -> Page {
         let change = self.items.last_change();
         if self.pages.0 != change {
             self.pages = (change, HashMap::new());
@@ -96,8 +98,9 @@
         if pages.len() >= MAX_CACHED_PAGES {
             pages.clear();
         }
-        let page = pages.entry((after, above));
-        page.or_insert_with(|| items.page(after, above)).clone()
+        let page = pages.entry((after, after_revision));
+        page.or_insert_with(|| items.page(after, after_revision))
+            .clone()
     }
 
     /// Stores an item unless the same or a newer revision is stored. Returns whether it was
@@ -128,8 +131,7 @@
         let deleted: Vec<String> = stored.filter(is_deleted).map(|i| i.key.clone()).collect();
         let mut changed = !deleted.is_empty();
         for key in deleted {
-            // Not older than the stored revision, which may be equal: hence the insert
-            // without a comparison.
+            // `apply` would ignore this item if the stored one has the same revision.
             let item = Item {
                 key,
                 value: None,
--- a/crates/gradedyke-turns/src/quorum.rs
+++ b/crates/gradedyke-turns/src/quorum.rs
@@ -2,14 +2,14 @@
 //! replicas.
 //!
 //! - `begin`: reserves tokens for an attempt and reads the conversation it continues.
-//! - `keep`: writes records and reads usage totals.
+//! - `store`: writes records and reads usage totals.
 //! - `settle`: reports in the background how many tokens attempts used.
 //! - `gathered`: combines the replies of the replicas.
 
 mod begin;
 mod gathered;
-mod keep;
 mod settle;
+mod store;
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -34,8 +34,8 @@
 use crate::usage::{self, Total};
 use crate::view::{DiskId, Member, View};
 
-/// Timeout of a call to a replica: several disk syncs, even on a slow disk. Replicas that
-/// missed a record get it from each other.
+/// Timeout of a call to a replica. A replica that misses a record because of it gets the record
+/// from the others.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Why an operation on the replicas failed. An attempt that fails to begin has sent nothing
@@ -60,23 +60,26 @@
         /// Tokens requested.
         requested: u32,
     },
-    /// Too few replicas answered; at least one is still recovering from its disk.
+    /// Too few replicas acknowledged; at least one is still recovering from its disk.
     #[error("replicas are still recovering from disk; retry soon")]
     Starting,
-    /// Too few replicas answered; at least one is overloaded.
+    /// Too few replicas acknowledged; at least one is overloaded.
     #[error("replicas are overloaded; retry soon")]
     Busy,
-    /// No majority of replicas answered.
-    #[error("{answered} replicas answered, {needed} needed; check that they are running")]
+    /// Too few replicas acknowledged, or too few have the record on disk.
+    #[error(
+        "only {acknowledged} of {needed} required replicas acknowledged, or too few copies were \
+         stored; check that the replicas are running and their disks work"
+    )]
     NoQuorum {
-        /// Number of active replicas that answered.
-        answered: usize,
-        /// Number of answers needed.
+        /// Number of active replicas that acknowledged.
+        acknowledged: usize,
+        /// Number of active replicas that must acknowledge.
         needed: usize,
     },
 }
 
-/// Parameters of [`Quorum::begin`].
+/// Parameters of [`Coordinator::begin`].
 #[derive(Clone, Debug)]
 pub struct BeginParams {
     /// The reservation and the program's total budget in tokens; `None` without a budget.
@@ -85,17 +88,17 @@
     pub parent: Option<Id>,
     /// Whether this is believed to be the program's first turn.
     pub is_first_turn: bool,
-    /// Requests that this entry has in flight.
+    /// This entry's load report.
     pub load: Report,
     /// Usage that this entry admitted for client accounts, if the turn belongs to one.
     pub usage: Option<usage::Report>,
     /// Timeout of one try.
     pub try_timeout: Duration,
-    /// Deadline for retries while no majority answers.
+    /// Deadline for retries while no majority acknowledges.
     pub deadline: Instant,
 }
 
-/// Result of [`Quorum::begin`].
+/// Result of [`Coordinator::begin`].
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct BeginResponse {
     /// The conversation up to the parent turn.
@@ -108,8 +111,8 @@
     pub elapsed: Duration,
 }
 
-/// A client of all replicas in the current view.
-pub struct Quorum {
+/// Coordinates reads and writes of a quorum: a client of all replicas in the current view.
+pub struct Coordinator {
     mirror: Arc<Mirror>,
     data_centre: String,
     clients: Mutex<HashMap<SocketAddr, Client>>,
@@ -120,7 +123,7 @@
     forwarding_address: Option<SocketAddr>,
     /// Random per process, so that processes order equally distant members differently.
     tie_break_salt: u64,
-    /// Load that arrived after its request had a majority.
+    /// Load that arrived too late for the attempt that requested it.
     late_load: Arc<LateLoad>,
     /// The neighbour that last forwarded a request successfully.
     last_relay: Arc<Mutex<Option<SocketAddr>>>,
@@ -171,7 +174,7 @@
     member_count: usize,
 }
 
-impl Quorum {
+impl Coordinator {
     /// Creates a client of the replicas in `mirror`'s view, for a process in `data_centre`.
     /// `forwarding_address` is where this process forwards requests for other entries.
     pub fn new(
@@ -259,11 +262,17 @@
         let mut neighbours = self.mirror.neighbours();
         neighbours.retain(|n| Some(*n) != self.forwarding_address);
         let relays = neighbours.into_iter().map(|n| self.client(n));
-        let all = view.active().map(|m| self.client(m.address)).collect();
-        let majority = (all, view.quorum());
+        let active_replicas = view.active().map(|m| self.client(m.address)).collect();
+        let active_replicas = (active_replicas, view.quorum_size());
         let last_relay = self.last_relay.clone();
         let direct = self.client(address);
-        ReplicaClient::new(address, direct, relays.collect(), majority, last_relay)
+        ReplicaClient::new(
+            address,
+            direct,
+            relays.collect(),
+            active_replicas,
+            last_relay,
+        )
     }
 
     /// Probes unreachable members in the background. A process that is not ready receives no
@@ -279,7 +288,7 @@
             self.last_probe_succeeded.store(false, Ordering::Relaxed);
             return;
         }
-        let quorum = self.clone();
+        let coordinator = self.clone();
         tokio::spawn(async move {
             let hello = message::encode(&Request::Hello);
             let calls = down
@@ -290,7 +299,7 @@
             let silent = results.filter(|(_, reply)| reply.is_none());
             let unreachable: Vec<DiskId> = silent.map(|((disk, _), _)| *disk).collect();
             let has_quorum = view.has_quorum(|m| !unreachable.contains(&m.disk));
-            quorum
+            coordinator
                 .last_probe_succeeded
                 .store(has_quorum, Ordering::Relaxed);
         });
@@ -331,9 +340,10 @@
         }
     }
 
-    /// Sort key of a member: own data centre first, then random per process, so that entries
-    /// in a data centre without members do not all pick the same member.
-    fn distance(&self, member: &Member) -> (bool, u64) {
+    /// Sort key of a member: members of the own data centre first, the rest in an order that
+    /// differs between processes, so that entries in a data centre without members do not all
+    /// pick the same member.
+    fn proximity_key(&self, member: &Member) -> (bool, u64) {
         let is_remote = member.data_centre != self.data_centre;
         let tie_break = (member.disk ^ self.tie_break_salt).wrapping_mul(self.tie_break_salt | 1);
         (is_remote, tie_break)
@@ -343,7 +353,7 @@
     fn nearest_member<'a>(&self, view: &'a View) -> Option<&'a Member> {
         let rank = |m: &&Member| {
             let is_down = self.client(m.address).is_down();
-            (is_down, !m.active, self.distance(m))
+            (is_down, !m.active, self.proximity_key(m))
         };
         view.members.iter().min_by_key(rank)
     }
@@ -351,7 +361,7 @@
     /// Returns the addresses of the members, nearest first.
     pub fn addresses_by_distance(&self) -> Vec<SocketAddr> {
         let mut members = self.view().members;
-        members.sort_by_key(|m| self.distance(m));
+        members.sort_by_key(|m| self.proximity_key(m));
         members.into_iter().map(|m| m.address).collect()
     }
 }
--- a/crates/gradedyke-turns/src/quorum/begin.rs
+++ b/crates/gradedyke-turns/src/quorum/begin.rs
@@ -7,7 +7,7 @@
 use tokio::time::Instant;
 
 use super::gathered::CollectedReplies;
-use super::{BeginParams, BeginResponse, CALL_TIMEOUT, Error, Quorum};
+use super::{BeginParams, BeginResponse, CALL_TIMEOUT, Coordinator, Error};
 use crate::conversation::Transcript;
 use crate::message::{self, Begin, Reply, Request};
 use crate::record::Settled;
@@ -18,17 +18,17 @@
 const CONVERSATION_WAIT: Duration = Duration::from_millis(25);
 /// First delay before a retry while no majority answers.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(40);
-/// Delay before the single retry after overloaded replicas refused. Longer than
+/// Delay before the only retry after a rejection by overloaded replicas. Longer than
 /// [`MIN_RETRY_DELAY`], so that retries do not add to the overload.
 const BUSY_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Longest delay between retries. Bounds the burst of retries that meets replicas when they
-/// have restarted.
+/// Longest delay between retries, so that attempts continue soon after replicas have
+/// restarted.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(160);
-/// How long after the loss of the majority attempts still retry, which covers a restart of
-/// all replicas. After that, attempts fail at once.
+/// Time after the loss of the majority during which failed attempts are retried. Covers a
+/// restart of all replicas. After that, attempts fail at once.
 const QUORUM_LOSS_GRACE: Duration = Duration::from_millis(1_500);
 
-impl Quorum {
+impl Coordinator {
     /// Reserves the tokens that an attempt may use and reads the conversation it continues.
     /// Retries for a short time while no majority answers, to bridge restarts of replicas.
     ///
@@ -160,7 +160,7 @@
             collected.add(&member, reply);
             if collected.has_quorum()
                 && conversation_deadline.is_none()
-                && collected.holder.is_some()
+                && collected.parent_holder.is_some()
             {
                 conversation_deadline = Some(deadline.min(Instant::now() + CONVERSATION_WAIT));
             }
@@ -168,25 +168,31 @@
         replies.close(&self.late_load);
         *maybe_reserved |= collected.may_have_executed();
         self.record_pressure(collected.pressure(), Instant::now());
-        Some(self.evaluate(collected, params, replies.member_count).await)
+        Some(
+            self.build_response(collected, params, replies.member_count)
+                .await,
+        )
     }
 
-    /// Turns the collected replies into the result of the try.
-    async fn evaluate(
+    /// Returns the result of one try from its replies.
+    async fn build_response(
         &self,
         collected: CollectedReplies,
         params: &BeginParams,
         member_count: usize,
     ) -> Result<BeginResponse, Error> {
-        let (answered, needed) = (collected.answered, collected.needed);
-        if !collected.has_quorum() && collected.starting {
+        let (acknowledged, needed) = (collected.active_acks, collected.needed);
+        if !collected.has_quorum() && collected.is_any_starting {
             return Err(Error::Starting);
         }
-        if !collected.has_quorum() && collected.busy {
+        if !collected.has_quorum() && collected.is_any_busy {
             return Err(Error::Busy);
         }
         if !collected.has_quorum() {
-            return Err(Error::NoQuorum { answered, needed });
+            return Err(Error::NoQuorum {
+                acknowledged,
+                needed,
+            });
         }
         if let Some((reserved, budget)) = &params.reservation {
             collected.check_budget(reserved, *budget)?;
@@ -201,13 +207,15 @@
                 ..BeginResponse::default()
             });
         }
-        let transcript = match (collected.transcript, collected.holder) {
+        let transcript = match (collected.transcript, collected.parent_holder) {
             (Some(transcript), _) => Ok(transcript),
             (None, Some(holder)) => self
                 .fetch_conversation(&holder, params)
                 .await
                 .ok_or(Error::Indeterminate),
-            (None, None) if collected.missing == member_count && member_count >= needed => {
+            (None, None)
+                if collected.members_without_parent == member_count && member_count >= needed =>
+            {
                 Err(Error::TurnNotFound)
             }
             (None, None) => Err(Error::Indeterminate),
--- a/crates/gradedyke-turns/src/quorum/gathered.rs
+++ b/crates/gradedyke-turns/src/quorum/gathered.rs
@@ -14,32 +14,33 @@
 
 /// Replies to one request that were received so far.
 pub(super) struct CollectedReplies {
-    /// Active members that must acknowledge.
+    /// Number of active members that must acknowledge.
     pub(super) needed: usize,
-    /// Members that must have the record on disk.
+    /// Number of members that must have the record on disk.
     required_copies: usize,
-    /// Members that the request was sent to.
+    /// Number of members that the request was sent to.
     member_count: usize,
-    /// Members that replied or failed.
-    finished: usize,
-    /// Members that replied that they did not execute the request.
+    /// Number of members that replied or failed.
+    finished_members: usize,
+    /// Number of members that replied that they did not execute the request.
     not_executed: usize,
-    /// Active members that acknowledged.
-    pub(super) answered: usize,
-    /// Members that acknowledged and so have the request's record, if any, on disk.
-    stored: usize,
+    /// Number of active members that acknowledged.
+    pub(super) active_acks: usize,
+    /// Number of members, active or not, that acknowledged and so have the request's record, if
+    /// any, on disk.
+    all_acks: usize,
     /// All known attempts of the program.
     attempts: HashMap<Id, Attempt>,
     /// The conversation up to the parent turn.
     pub(super) transcript: Option<Transcript>,
     /// A member that has the parent turn but did not send the conversation.
-    pub(super) holder: Option<Member>,
-    /// Members that do not have the parent turn.
-    pub(super) missing: usize,
+    pub(super) parent_holder: Option<Member>,
+    /// Number of members that do not have the parent turn.
+    pub(super) members_without_parent: usize,
     /// Whether a member is still recovering from its disk.
-    pub(super) starting: bool,
+    pub(super) is_any_starting: bool,
     /// Whether a member is overloaded.
-    pub(super) busy: bool,
+    pub(super) is_any_busy: bool,
     /// Requests that other entries have in flight.
     pub(super) load: Option<Vec<ServerLoad>>,
     /// Pressure of each member that reported it.
@@ -51,28 +52,28 @@
 impl CollectedReplies {
     pub(super) fn new(view: &View) -> Self {
         Self {
-            needed: view.quorum(),
+            needed: view.quorum_size(),
             required_copies: view.required_copies(),
-            stored: 0,
+            all_acks: 0,
             member_count: view.members.len(),
-            finished: 0,
+            finished_members: 0,
             not_executed: 0,
-            answered: 0,
+            active_acks: 0,
             attempts: HashMap::new(),
             transcript: None,
-            holder: None,
-            missing: 0,
-            starting: false,
-            busy: false,
+            parent_holder: None,
+            members_without_parent: 0,
+            is_any_starting: false,
+            is_any_busy: false,
             load: None,
             pressures: Vec::new(),
             usage: None,
         }
     }
 
-    /// Returns whether enough members acknowledged and stored the record.
+    /// Returns whether enough active members acknowledged and enough members have the record.
     pub(super) fn has_quorum(&self) -> bool {
-        self.answered >= self.needed && self.stored >= self.required_copies
+        self.active_acks >= self.needed && self.all_acks >= self.required_copies
     }
 
     /// Returns the highest pressure within the least loaded majority; `None` if fewer members
@@ -90,19 +91,19 @@
 
     /// Counts a member that executed the request.
     fn count_ack(&mut self, member: &Member) {
-        self.answered += usize::from(member.active);
-        self.stored += 1;
+        self.active_acks += usize::from(member.active);
+        self.all_acks += 1;
     }
 
     /// Returns whether no further reply is needed or expected.
     pub(super) fn is_complete(&self, params: &BeginParams) -> bool {
         let has_parent = params.parent.is_none() || self.transcript.is_some();
-        self.has_quorum() && has_parent || self.finished == self.member_count
+        self.has_quorum() && has_parent || self.finished_members == self.member_count
     }
 
     /// Adds a member's reply; `None` if the call failed.
     pub(super) fn add(&mut self, member: &Member, reply: Option<Reply>) {
-        self.finished += 1;
+        self.finished_members += 1;
         match reply {
             Some(Reply::Began {
                 attempts,
@@ -128,12 +129,12 @@
             }
             Some(Reply::Starting) => {
                 self.not_executed += 1;
-                self.starting = true;
+                self.is_any_starting = true;
             }
             Some(Reply::Busy(pressure)) => {
                 self.pressures.push(pressure);
                 self.not_executed += 1;
-                self.busy = true;
+                self.is_any_busy = true;
             }
             Some(Reply::Failed(error)) => {
                 tracing::warn!(event = "replica_failed", replica = member.name, %error);
@@ -150,8 +151,8 @@
     fn record_parent(&mut self, member: &Member, parent: Option<Found>) {
         match parent {
             Some(Found::Whole(transcript)) => self.transcript = Some(transcript),
-            Some(Found::Here) => self.holder = Some(member.clone()),
-            Some(Found::Missing) => self.missing += 1,
+            Some(Found::Here) => self.parent_holder = Some(member.clone()),
+            Some(Found::Missing) => self.members_without_parent += 1,
             None => {}
         }
     }
--- a/crates/gradedyke-turns/src/quorum/settle.rs
+++ b/crates/gradedyke-turns/src/quorum/settle.rs
@@ -12,17 +12,17 @@
 use gradedyke_base::retry::Backoff;
 use tokio::time::Instant;
 
-use super::{CALL_TIMEOUT, Error, Quorum};
+use super::{CALL_TIMEOUT, Coordinator, Error};
 use crate::message::{self, Request};
 use crate::record::{Record, Settled};
 
 /// How long a settlement is retried; long enough for all replicas to restart.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Most pending settlements, a few hundred kB of memory. Beyond that the oldest are dropped.
+/// Maximum number of pending settlements. Beyond that the oldest are dropped.
 const MAX_QUEUE_LEN: usize = 4_096;
-/// Most settlements in one request, about 20 kB.
+/// Maximum number of settlements in one request.
 const MAX_BATCH_LEN: usize = 256;
-/// First delay after a failed request: a few disk syncs, even on a slow disk.
+/// First delay before a failed request is retried.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Longest delay between retries.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
@@ -57,7 +57,7 @@
         let dropped = self.pending.drain(..count);
         let first = dropped.map(|p| p.settled.request).next();
         let first = first.map_or_else(String::new, |request| request.to_string());
-        // Their reservations remain, so the programs can use less of their budgets.
+        // The reservations still count against the budgets of their programs.
         tracing::warn!(
             event = "not_settled",
             count,
@@ -85,7 +85,8 @@
 
     /// Removes an acknowledged batch from the front of the queue.
     fn remove_sent(&mut self, sent: &[Settled]) {
-        // The oldest of the batch may have been dropped meanwhile, so find its last.
+        // The first settlements of the batch may have been dropped meanwhile, so find the last
+        // one.
         let last = sent.last().map(|s| &s.request);
         let last_index = self
             .pending
@@ -95,7 +96,7 @@
     }
 }
 
-impl Quorum {
+impl Coordinator {
     fn lock_queue(&self) -> MutexGuard<'_, Queue> {
         self.settlement_queue
             .lock()
@@ -106,8 +107,8 @@
     pub fn settle(&self, settled: Settled) {
         let deadline = Instant::now() + SETTLE_TIMEOUT;
         let start_task = self.lock_queue().push(settled, deadline);
-        if start_task && let Some(quorum) = self.weak_self.upgrade() {
-            tokio::spawn(quorum.send_pending());
+        if start_task && let Some(coordinator) = self.weak_self.upgrade() {
+            tokio::spawn(coordinator.send_pending());
         }
     }
 
--- a/crates/gradedyke-turns/src/quorum/keep.rs
+++ b/crates/gradedyke-turns/src/quorum/store.rs
@@ -7,18 +7,18 @@
 use tokio::time::Instant;
 
 use super::gathered::CollectedReplies;
-use super::{Error, Quorum};
+use super::{Coordinator, Error};
 use crate::message::{self, Reply, Request};
 use crate::record::Record;
 use crate::usage::{self, Total};
 use crate::view::View;
 
-/// First delay before a failed write is retried: a few disk syncs, even on a slow disk.
+/// First delay before a failed write is retried.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Longest delay between retries. Short, as callers wait meanwhile.
+/// Longest delay between retries; callers wait meanwhile.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(1_000);
 
-impl Quorum {
+impl Coordinator {
     /// Writes a record; returns once a majority has it on disk. If `usage` is given, reports
     /// that usage and returns the client account's total.
     ///
@@ -56,8 +56,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error::NoQuorum`] if no majority answered by the deadline, [`Error::Indeterminate`] if the
-    /// view was stale.
+    /// [`Error::NoQuorum`] if no majority acknowledged by the deadline.
     pub async fn report_usage(
         &self,
         report: &usage::Report,
@@ -66,6 +65,7 @@
         let request = message::encode(&Request::Usage(report.clone()));
         let view = self.view();
         let result = self.send_to_quorum(&view, request, deadline).await;
+        // Replicas never reply `Stale` to `Usage`, so there always is a result.
         result.unwrap_or(Err(Error::Indeterminate))
     }
 
@@ -93,7 +93,10 @@
         if collected.has_quorum() {
             return Some(Ok(collected.usage));
         }
-        let (answered, needed) = (collected.answered, collected.needed);
-        Some(Err(Error::NoQuorum { answered, needed }))
+        let (acknowledged, needed) = (collected.active_acks, collected.needed);
+        Some(Err(Error::NoQuorum {
+            acknowledged,
+            needed,
+        }))
     }
 }
--- a/crates/gradedyke-turns/src/record.rs
+++ b/crates/gradedyke-turns/src/record.rs
@@ -68,7 +68,7 @@
     pub request: Id,
     /// The largest number of tokens that the attempt may use.
     pub tokens: u32,
-    /// How long the program's attempts count, in milliseconds.
+    /// How long the program's attempts count against its budget, in milliseconds.
     pub keep_ms: u32,
 }
 
@@ -79,13 +79,13 @@
     pub program: Id,
     /// The request.
     pub request: Id,
-    /// Upper limit of the number of tokens that reached the caller.
+    /// Largest number of tokens that may have reached the caller.
     pub tokens: u32,
-    /// How long the program's attempts count, in milliseconds.
+    /// How long the program's attempts count against its budget, in milliseconds.
     pub keep_ms: u32,
 }
 
-/// A turn with a complete answer.
+/// A turn whose response is complete.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Turn {
     /// Its request. Later turns refer to the turn by it.
@@ -94,13 +94,13 @@
     pub parent: Option<Id>,
     /// The caller's input.
     pub input: Bytes,
-    /// The part of the answer that belongs to the conversation.
+    /// The part of the response that belongs to the conversation.
     pub output: Bytes,
     /// The backend server that ran the turn and has it in its cache.
     pub server: Id,
     /// The program whose budget the turn used, if it has one.
     pub program: Option<Id>,
-    /// Number of tokens of the answer; replaces the reservation.
+    /// Number of tokens of the response; replaces the reservation.
     pub tokens: u32,
     /// How long the turn is retained, in milliseconds.
     pub keep_ms: u32,
--- a/crates/gradedyke-turns/src/recovery.rs
+++ b/crates/gradedyke-turns/src/recovery.rs
@@ -4,7 +4,7 @@
 //! (`Replica::load_for_request`): all records of its program, and the turns that it
 //! continues. The others are loaded in the background ([`Replica::recover`]), newest
 //! segment first. Until all records are loaded, the replica tells its followers that
-//! it has more, syncs from no other replica, and expires nothing.
+//! it has more records, syncs from no other replica, and expires nothing.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -19,7 +19,7 @@
 
 /// Number of records indexed at a time in the background. Requests wait meanwhile.
 const BATCH_RECORDS: usize = 256;
-/// Pause after each batch, which leaves most of the CPU time to requests.
+/// Pause after each batch, in which requests are handled.
 const BATCH_PAUSE: Duration = Duration::from_millis(3);
 
 impl Replica {
--- a/crates/gradedyke-turns/src/replica.rs
+++ b/crates/gradedyke-turns/src/replica.rs
@@ -11,7 +11,7 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::body::Body;
-use crate::conversation::{Part, Transcript};
+use crate::conversation::{Transcript, TurnBody};
 use crate::index::{self, Index, Lookup, Position};
 use crate::load::{Aggregator, Report, ServerLoad};
 use crate::log::{self, Location, Log};
@@ -33,21 +33,21 @@
 const PAGE_DELAY: Duration = Duration::from_millis(50);
 /// Interval between removals of expired records.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(5);
-/// Name of the file in the data folder that holds the disk's identity.
+/// Name of the file in the data folder that holds the ID of the disk.
 const DISK_ID_FILE: &str = "disk-id";
 
-/// A replica of the records.
+/// Stores records on one disk and serves them.
 pub struct Replica {
     disk: DiskId,
-    /// Random identifier of this run of the process. Positions are valid only within it.
-    run_id: u64,
+    /// Random ID of this process's incarnation. Positions are valid only within it.
+    incarnation: u64,
     pub(crate) log: Log,
     index: Mutex<Index>,
     pending_segments: Mutex<Segments>,
     /// Whether all records on disk are in the index.
     pub(crate) recovered: watch::Sender<bool>,
     /// The position after the record that was last written to disk.
-    arrivals_end: watch::Sender<Position>,
+    written_end: watch::Sender<Position>,
     view: watch::Sender<View>,
     /// The position up to which each other replica has all records.
     follower_positions: Mutex<std::collections::HashMap<DiskId, Position>>,
@@ -59,7 +59,7 @@
     pub(crate) stop: CancellationToken,
 }
 
-/// Reads the identity of the disk in `folder`. If there is none, a random one is
+/// Reads the ID of the disk in `folder`. If there is none, a random one is
 /// created and stored.
 ///
 /// # Errors
@@ -115,9 +115,9 @@
         let pending_segments = Segments::new(tables);
         Ok(Arc::new(Self {
             disk,
-            run_id: rand::random(),
+            incarnation: rand::random(),
             log,
-            arrivals_end: watch::Sender::new(index.end_position()),
+            written_end: watch::Sender::new(index.end_position()),
             index: Mutex::new(index),
             recovered: watch::Sender::new(pending_segments.is_empty()),
             pending_segments: Mutex::new(pending_segments),
@@ -131,12 +131,12 @@
         }))
     }
 
-    /// Returns the identity of its disk.
+    /// Returns the ID of its disk.
     pub fn disk(&self) -> DiskId {
         self.disk
     }
 
-    /// Returns the mirror of the platform's key-value service.
+    /// Returns the mirror of the platform's key-value store.
     pub fn mirror(&self) -> &Arc<Mirror> {
         &self.mirror
     }
@@ -204,11 +204,12 @@
             self.stop.cancel();
         })?;
         self.index().set_location(&key, location);
-        self.arrivals_end.send_replace(end);
+        self.written_end.send_replace(end);
         Ok(())
     }
 
-    /// Returns the rejection of a request that was sent under an outdated view.
+    /// Returns the reply that rejects a request of the view `version`, or `None` if that view is
+    /// not outdated.
     fn reject_stale(&self, version: u64) -> Option<Reply> {
         let view = self.view.borrow();
         (version < view.version).then(|| Reply::Stale(view.clone()))
@@ -281,7 +282,7 @@
 
     /// Looks up a turn, with its conversation if `with_conversation`.
     async fn find_turn(&self, id: &Id, with_conversation: bool) -> Found {
-        if !self.index().has_chain(id) {
+        if !self.index().has_turn_and_ancestors(id) {
             return Found::Missing;
         }
         if !with_conversation {
@@ -291,7 +292,7 @@
         transcript.map_or(Found::Here, Found::Whole)
     }
 
-    async fn chain_reply(&self, id: &Id) -> Reply {
+    async fn transcript_reply(&self, id: &Id) -> Reply {
         match self.load_for_request(None, Some(id)).await {
             Ok(()) => Reply::Chain(self.transcript(id).await),
             Err(error) => Reply::Failed(error.to_string()),
@@ -308,10 +309,10 @@
         let records = self.try_read(stored).await?;
         let bodies: Vec<Body> = records.into_iter().filter_map(turn_body).collect();
         let transcript = conversation.transcript(&bodies);
-        let parts = conversation.parts.iter();
-        let read_parts = parts.filter(|(_, part)| matches!(part, Part::OnDisk(_)));
+        let turns = conversation.turns.iter();
+        let read_turns = turns.filter(|(_, turn)| matches!(turn, TurnBody::OnDisk(_)));
         let mut index = self.index();
-        for ((request, _), body) in read_parts.zip(bodies) {
+        for ((request, _), body) in read_turns.zip(bodies) {
             index.cache_body(request, body);
         }
         transcript
@@ -388,24 +389,24 @@
     /// Waits a limited time for records from position `from` on, and returns a page of
     /// their keys. Also notes that the replica on `disk` has all records before `from`.
     async fn wait_for_keys(&self, disk: DiskId, boot: u64, from: Position) -> Reply {
-        let from = if boot == self.run_id { from } else { 0 };
+        let from = if boot == self.incarnation { from } else { 0 };
         {
             let positions = self.follower_positions.lock();
             let mut positions = positions.unwrap_or_else(PoisonError::into_inner);
             positions.insert(disk, from);
         }
-        let mut arrivals_end = self.arrivals_end.subscribe();
-        let arrival = arrivals_end.wait_for(|end| *end > from);
-        let has_arrivals = tokio::time::timeout(KEYS_WAIT_TIMEOUT, arrival)
+        let mut written_end = self.written_end.subscribe();
+        let new_record = written_end.wait_for(|end| *end > from);
+        let has_new_records = tokio::time::timeout(KEYS_WAIT_TIMEOUT, new_record)
             .await
             .is_ok();
-        if has_arrivals && self.index().end_position() - from < MAX_PAGE_KEYS as u64 {
+        if has_new_records && self.index().end_position() - from < MAX_PAGE_KEYS as u64 {
             tokio::time::sleep(PAGE_DELAY).await;
         }
         let index = self.index();
         let (keys, next) = index.keys_since(from, MAX_PAGE_KEYS);
         Reply::Keys(Keys {
-            boot: self.run_id,
+            boot: self.incarnation,
             next,
             all: next == index.end_position() && self.is_recovered(),
             keys,
@@ -436,17 +437,17 @@
             let (turns, programs) = self.index().counts();
             metrics::gauge!("gradedyke_turns_kept").set(turns as f64);
             metrics::gauge!("gradedyke_programs_kept").set(programs as f64);
-            let bytes = self.index().body_bytes();
+            let bytes = self.index().cached_body_bytes();
             metrics::gauge!("gradedyke_turn_bytes_in_memory").set(bytes as f64);
         }
     }
 
-    /// Handles a request, except those that the caller must handle itself: `Age` and
-    /// `Follow`.
+    /// Handles a request. The caller must handle `Age` and `Follow` itself; here they only get
+    /// [`Reply::Hello`].
     pub(crate) async fn handle(&self, request: Request) -> Reply {
         match request {
             Request::Hello | Request::Age | Request::Follow { .. } => Reply::Hello,
-            Request::Via { .. } => Reply::Failed("a replica does not relay requests".to_owned()),
+            Request::Via { .. } => Reply::Failed("a replica does not forward requests".to_owned()),
             Request::Begin(begin) => self.begin(begin).await,
             Request::Keep {
                 view,
@@ -455,7 +456,7 @@
             } => self.store_in_view(view, &record, usage).await,
             Request::KeepAll { view, records } => self.store_all(view, &records).await,
             Request::Usage(report) => Reply::Usage(self.apply_usage_report(report)),
-            Request::Chain(id) => self.chain_reply(&id).await,
+            Request::Chain(id) => self.transcript_reply(&id).await,
             Request::Keys { disk, boot, from } => self.wait_for_keys(disk, boot, from).await,
             Request::Records(keys) => match self.records(&keys).await {
                 Some(records) => Reply::Records(records),
--- a/crates/gradedyke-turns/src/snapshot.rs
+++ b/crates/gradedyke-turns/src/snapshot.rs
@@ -1,13 +1,12 @@
 //! Snapshots that a replica writes to disk beside its records: the mirror and the
 //! usage of client accounts.
 //!
-//! If all processes restart while the platform's key-value service is unavailable,
-//! requests can be served from the snapshot of the mirror. It is marked as outdated,
-//! and any newer copy replaces it.
+//! If all processes restart while the platform's key-value store is unavailable,
+//! requests can be served from the snapshot of the mirror. The loaded items count as
+//! unconfirmed, and newer revisions replace them.
 //!
-//! Usage is what the entries reported in the last window. They report it
-//! again when only replicas restart. If all entries were lost too, client
-//! accounts could exceed their limits without the snapshot.
+//! The usage is what entries reported in the last window. The snapshot is needed only if
+//! entries and replicas are lost together: entries that still run report it again.
 
 use std::fs;
 use std::io::{self, Write};
@@ -29,8 +28,8 @@
 const MIRROR_FILE: &str = "mirror";
 /// Name of the usage snapshot in the data folder.
 const USAGE_FILE: &str = "usage";
-/// Pause between two writes of the usage snapshot. Requests admitted since the last
-/// write aren't counted if all processes are lost.
+/// Pause between two writes of the usage snapshot. If all processes are lost,
+/// requests admitted since the last write are not counted.
 const USAGE_WRITE_INTERVAL: Duration = Duration::from_millis(250);
 /// Pause between two writes of the mirror's snapshot, which limits the number of disk
 /// syncs when many keys change one after the other.
@@ -86,8 +85,8 @@
     value
 }
 
-/// Loads the snapshot in `folder` into `mirror`, as an outdated copy. Does nothing if
-/// it is missing or damaged.
+/// Loads the snapshot in `folder` into `mirror`, as items that the platform has not confirmed.
+/// Does nothing if the snapshot is missing or damaged.
 pub fn load_mirror(mirror: &Mirror, folder: &Path, now: Instant) {
     let Some(items) = read::<Vec<Item>>(folder, MIRROR_FILE) else {
         return;
--- a/crates/gradedyke-turns/src/stats.rs
+++ b/crates/gradedyke-turns/src/stats.rs
@@ -1,7 +1,7 @@
 //! Request statistics of a replica, logged about once a second while it is overloaded.
 //!
-//! The statistics cover the number of requests of each kind, how long requests waited to be read, and how
-//! long responses took.
+//! The statistics cover the number of requests of each kind, how long requests waited to be
+//! read, and how long responses took.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 
 /// Minimum length of a window.
 const MIN_WINDOW: Duration = Duration::from_secs(1);
-/// Queue delay of a request from which on the replica counts as overloaded.
+/// Queue delay from which a replica is considered overloaded.
 const OVERLOAD_QUEUE_DELAY: Duration = Duration::from_millis(50);
 
 /// What a request asks for.
@@ -58,7 +58,8 @@
     pub rejected: u32,
     /// Longest time that a request waited to be read.
     pub max_queue_delay: Duration,
-    /// Longest time from reading a request to its response.
+    /// Longest response time of requests to begin an attempt or store records, without the time
+    /// waiting to be read.
     pub max_response_time: Duration,
 }
 
@@ -94,7 +95,7 @@
         self.window.rejected += 1;
     }
 
-    /// Records the response time of a request. Long polls are not recorded.
+    /// Records the response time of a request to begin an attempt or to store records.
     pub fn record_response_time(&mut self, elapsed: Duration) {
         self.window.max_response_time = self.window.max_response_time.max(elapsed);
     }
--- a/crates/gradedyke-turns/src/sync.rs
+++ b/crates/gradedyke-turns/src/sync.rs
@@ -26,7 +26,7 @@
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Delay before missing records are fetched. Most arrive from their writer within it.
 const FETCH_DELAY: Duration = Duration::from_millis(150);
-/// Interval at which a replica that doesn't sync checks whether the members are
+/// Interval at which a spare or a recovering replica checks whether the members are
 /// reachable.
 const PING_INTERVAL: Duration = Duration::from_millis(400);
 /// Maximum number of records fetched in one call.
@@ -139,25 +139,25 @@
         let Reply::Keys(keys) = self.call(&Request::Keys { disk, boot, from }).await? else {
             return None;
         };
-        let mut missing = self.missing(&keys.keys);
-        if !missing.is_empty() && self.is_active() {
+        let mut not_on_disk = self.not_on_disk(&keys.keys);
+        if !not_on_disk.is_empty() && self.is_active() {
             tokio::time::sleep(FETCH_DELAY).await;
-            missing = self.missing(&missing);
+            not_on_disk = self.not_on_disk(&not_on_disk);
         }
-        if missing.is_empty() {
+        if not_on_disk.is_empty() {
             return Some(keys);
         }
         let _guard = self.replica.lock_fetch().await;
         // Some may have been fetched from another replica in the meantime.
-        let missing = self.missing(&missing);
-        for chunk in missing.chunks(MAX_RECORDS_PER_CALL) {
+        let not_on_disk = self.not_on_disk(&not_on_disk);
+        for chunk in not_on_disk.chunks(MAX_RECORDS_PER_CALL) {
             self.fetch(chunk.to_vec()).await?;
         }
         Some(keys)
     }
 
     /// Returns those of `keys` whose records aren't on disk here.
-    fn missing(&self, keys: &[Key]) -> Vec<Key> {
+    fn not_on_disk(&self, keys: &[Key]) -> Vec<Key> {
         let index = self.replica.index();
         keys.iter()
             .filter(|k| !index.is_stored(k))
--- a/crates/gradedyke-turns/src/usage.rs
+++ b/crates/gradedyke-turns/src/usage.rs
@@ -6,13 +6,9 @@
 //! those whose usage has risen. Each replica replies with the sum over all entries, and the
 //! entry uses the greatest sum.
 //!
-//! A report covers the entry's whole window, so a restarted replica is soon up to date, and
-//! it also saves the reports on disk. A replica that lost its disk returns a sum that is too
+//! A report covers the entry's whole window, so a restarted replica is soon up to date.
+//! Replicas also save the reports on disk. A replica that lost its disk returns a sum that is too
 //! low, which does not matter as long as another one returns the right sum.
-//!
-//! Two alternatives were rejected: a fixed share of the allowance for each entry refuses
-//! requests within the allowance when demand is uneven, and an owner for each account that
-//! grants batches costs a call for each request and loses the usage when it changes.
 
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -34,7 +30,7 @@
 }
 
 /// Number of buckets into which a window is divided. Usage expires bucket by bucket, so a sum may
-/// still include usage that is up to two buckets older than the window.
+/// include usage that is older than the window by up to two buckets.
 pub const BUCKETS_PER_WINDOW: u32 = 20;
 
 /// Number of buckets that are reported: those of a window and the one in progress.
@@ -67,7 +63,7 @@
 
 /// The requests that one entry admitted for an account in the last window.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Row {
+pub struct AccountUsage {
     /// The account.
     pub account: AccountHash,
     /// Usage by bucket of the window, the latest first. Missing buckets at the end are zero.
@@ -78,14 +74,14 @@
 /// An entry's usage report to a replica.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Random identifier of the entry's process run.
+    /// Random ID of the entry's incarnation.
     pub entry: u64,
     /// Length of a bucket, in milliseconds.
     pub part_ms: u32,
     /// The account whose total the replica returns.
     pub asked: AccountHash,
     /// The usage of accounts.
-    pub rows: Vec<Row>,
+    pub rows: Vec<AccountUsage>,
 }
 
 /// Counts one account's usage through one entry in a sliding window.
@@ -159,7 +155,7 @@
 }
 
 /// A row with its entry, as saved on disk.
-pub type SavedRow = (u64, Row);
+pub type SavedRow = (u64, AccountUsage);
 
 impl Aggregator {
     /// Stores the rows of a report.
@@ -170,7 +166,7 @@
         }
     }
 
-    fn insert_row(&mut self, entry: u64, row: Row, now: Instant) {
+    fn insert_row(&mut self, entry: u64, row: AccountUsage, now: Instant) {
         let window = self.bucket_len * BUCKETS_PER_WINDOW;
         let entries = self.rows.entry(row.account).or_default();
         entries.retain(|_, row| now.saturating_duration_since(row.received_at) <= window);
@@ -187,14 +183,14 @@
     /// Returns an account's usage in the last window over all entries.
     ///
     /// ```
-    /// use gradedyke_turns::usage::{Aggregator, Report, Row, Total};
+    /// use gradedyke_turns::usage::{Aggregator, Report, AccountUsage, Total};
     /// use std::time::Duration;
     ///
     /// let now = tokio::time::Instant::now();
     /// let bucket = |requests| Total { requests, planned: 0 };
     /// let mut aggregator = Aggregator::default();
     /// for entry in [1, 2] {
-    ///     let rows = vec![Row { account: 7, buckets: vec![bucket(2), bucket(3)] }];
+    ///     let rows = vec![AccountUsage { account: 7, buckets: vec![bucket(2), bucket(3)] }];
     ///     aggregator.record_report(Report { entry, part_ms: 250, asked: 7, rows }, now);
     /// }
     /// assert_eq!(aggregator.total(7, now).requests, 10);
@@ -235,7 +231,7 @@
                     vec![Total::default(); self.elapsed_buckets(reported.received_at, now)];
                 buckets.extend_from_slice(self.buckets_in_window(reported, now));
                 buckets.truncate(REPORTED_BUCKETS);
-                let row = Row {
+                let row = AccountUsage {
                     account: *account,
                     buckets,
                 };
@@ -251,7 +247,8 @@
     }
 
     /// Restores saved usage as if it had been reported at `now`. The time since it was saved
-    /// is not known; assuming none never admits more than the allowance.
+    /// is unknown. Counting it as just reported may refuse requests, but never admits more than
+    /// the allowance.
     pub fn restore(&mut self, (part_ms, rows): (u32, Vec<SavedRow>), now: Instant) {
         self.bucket_len = Duration::from_millis(part_ms.into());
         for (entry, row) in rows {
--- a/crates/gradedyke-turns/src/view.rs
+++ b/crates/gradedyke-turns/src/view.rs
@@ -1,22 +1,22 @@
 //! The view: the current set of replicas.
 //!
-//! The view is a single value in the platform's key-value service. It is changed
-//! only by compare-and-swap and by one member at a time, so that a majority of one
-//! view and a majority of the next always share a member. Requests carry the version
+//! The view is a single value in the platform's key-value store. It is changed
+//! only by compare-and-swap. Why no record is lost in a change is described in
+//! [`crate::membership`]. Requests carry the version
 //! of the view they were sent under; a replica that knows a later one rejects them.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-/// Key of the view in the key-value service.
+/// Key of the view in the key-value store.
 pub const VIEW_KEY: &str = "gradedyke/view";
 
-/// Maximum number of replicas that watch the platform's key-value service: one and
+/// Maximum number of replicas that watch the platform's key-value store: one and
 /// a standby.
 const MAX_WATCHERS: usize = 2;
 
-/// Identity of a replica's disk. A replica that lost its disk gets a new one.
+/// ID of a replica's disk. A replica that lost its disk gets a new one.
 pub type DiskId = u64;
 
 /// A replica that is part of a view.
@@ -24,7 +24,7 @@
 pub struct Member {
     /// The name of its instance.
     pub name: String,
-    /// The identity of its disk.
+    /// The ID of its disk.
     pub disk: DiskId,
     /// The address on which it serves peers.
     pub address: SocketAddr,
@@ -38,7 +38,7 @@
 /// A version of the set of replicas.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct View {
-    /// Incremented with each change; 0 before the first.
+    /// Incremented with each change; 0 before the first change.
     pub version: u64,
     /// How many disks may be lost at the same time without losing records.
     pub tolerate: usize,
@@ -52,17 +52,17 @@
         self.members.iter().filter(|m| m.active)
     }
 
-    /// Returns how many active members must respond: a majority, and enough that each
+    /// Returns how many active members must acknowledge: a majority, and enough that each
     /// record is on at least one of them after the tolerated losses.
     ///
     /// ```
     /// use gradedyke_turns::view::View;
     ///
     /// let view = View { tolerate: 1, ..View::default() };
-    /// assert_eq!(view.quorum(), 1);
-    /// assert_eq!(view.copies(), 2);
+    /// assert_eq!(view.quorum_size(), 1);
+    /// assert_eq!(view.required_copies(), 2);
     /// ```
-    pub fn quorum(&self) -> usize {
+    pub fn quorum_size(&self) -> usize {
         let active = self.active().count();
         let majority = active / 2 + 1;
         majority.max(active.min(self.required_copies()))
@@ -79,11 +79,11 @@
     pub fn has_quorum(&self, is_up: impl Fn(&Member) -> bool) -> bool {
         let active = self.active().filter(|m| is_up(m)).count();
         let all = self.members.iter().filter(|m| is_up(m)).count();
-        active >= self.quorum() && all >= self.required_copies()
+        active >= self.quorum_size() && all >= self.required_copies()
     }
 
-    /// Returns the members that watch the platform's key-value service on behalf of
-    /// all processes: the first one does, the second is its standby.
+    /// Returns the members that watch the store on behalf of all processes: the first
+    /// watches it, the second is its standby.
     pub fn watchers(&self) -> impl Iterator<Item = &Member> {
         self.active().take(MAX_WATCHERS)
     }
--- a/crates/gradedyke-turns/tests/feed.rs
+++ b/crates/gradedyke-turns/tests/feed.rs
@@ -8,15 +8,15 @@
 use gradedyke_turns::detour::Forwarder;
 use gradedyke_turns::feed::{self, ENTRY_START_GRACE, Policy};
 use gradedyke_turns::mirror::{Item, Mirror, Update};
-use gradedyke_turns::quorum::Quorum;
+use gradedyke_turns::quorum::Coordinator;
 use tokio::io::AsyncReadExt;
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::sync::{oneshot, watch};
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// Time in which a change must be in force.
-const IN_FORCE_TIME: Duration = Duration::from_secs(2);
+/// Time within which a change must take effect.
+const PROPAGATION_LIMIT: Duration = Duration::from_secs(2);
 
 /// A mirror that holds one item.
 fn mirror_with_item() -> Arc<Mirror> {
@@ -52,16 +52,16 @@
 
     let stop = CancellationToken::new();
     let mirror = Mirror::new(&[""]);
-    let quorum = Quorum::new(mirror.clone(), "here", None);
+    let coordinator = Coordinator::new(mirror.clone(), "here", None);
     let policy = Arc::new(Policy::new(
         Instant::now(),
         ENTRY_START_GRACE,
-        IN_FORCE_TIME,
+        PROPAGATION_LIMIT,
     ));
     let (followed, stopped) = (mirror.clone(), stop.clone());
     tokio::spawn(feed::run(
         followed,
-        quorum,
+        coordinator,
         policy,
         move || sources.clone(),
         stopped,
@@ -94,14 +94,14 @@
     let mirror = mirror_with_item();
     let now = Instant::now();
     mirror.apply_update(update, mirror_with_item().items(), now, now);
-    let forwarder = Arc::new(Forwarder::new(Quorum::new(mirror, "here", None)));
+    let forwarder = Arc::new(Forwarder::new(Coordinator::new(mirror, "here", None)));
     let serving = gradedyke_peer::server::serve(listener, forwarder, stop.clone());
     tokio::spawn(serving);
     address
 }
 
 #[tokio::test]
-async fn a_gateway_without_replicas_follows_a_neighbour_with_a_fresh_copy() {
+async fn an_entry_without_replicas_follows_a_neighbour_with_a_fresh_copy() {
     let stop = CancellationToken::new();
     let now = Instant::now();
     let confirmed_update = |age_ms| Update {
@@ -123,10 +123,10 @@
     };
     mirror.apply_update(update, Vec::new(), now, now);
     let own = "127.0.0.1:1".parse().unwrap();
-    let quorum = Quorum::new(mirror.clone(), "here", Some(own));
-    let policy = Arc::new(Policy::new(now, ENTRY_START_GRACE, IN_FORCE_TIME));
+    let coordinator = Coordinator::new(mirror.clone(), "here", Some(own));
+    let policy = Arc::new(Policy::new(now, ENTRY_START_GRACE, PROPAGATION_LIMIT));
     let sources = move || vec![replica];
-    let feed = feed::run(mirror.clone(), quorum, policy, sources, stop.clone());
+    let feed = feed::run(mirror.clone(), coordinator, policy, sources, stop.clone());
     tokio::spawn(feed);
     let mut changed = mirror.subscribe();
     changed.wait_for(|change| *change > 0).await.unwrap();
--- a/crates/gradedyke-turns/tests/index.rs
+++ b/crates/gradedyke-turns/tests/index.rs
@@ -115,8 +115,8 @@
     let now = Instant::now();
     index.apply(&turn("a", None, 1), 1, now);
     index.apply(&turn("c", Some("b"), 1), 1, now);
-    assert!(index.has_chain(&id("a")));
-    assert!(!index.has_chain(&id("c")));
+    assert!(index.has_turn_and_ancestors(&id("a")));
+    assert!(!index.has_turn_and_ancestors(&id("c")));
     assert!(transcript(&mut index, "c").is_none());
 }
 
@@ -130,17 +130,17 @@
     index.apply(&turn("b", Some("a"), 1), 2, halfway);
     let after_first_expiry = start + Duration::from_millis(u64::from(RETENTION_MS) + 6_000);
     index.expire(after_first_expiry);
-    assert!(index.has_chain(&id("b")));
-    assert!(!index.has_chain(&id("x")));
+    assert!(index.has_turn_and_ancestors(&id("b")));
+    assert!(!index.has_turn_and_ancestors(&id("x")));
     let empty = index.expire(halfway + Duration::from_millis(u64::from(RETENTION_MS) + 6_000));
-    assert!(!index.has_chain(&id("a")));
+    assert!(!index.has_turn_and_ancestors(&id("a")));
     let mut empty: Vec<_> = empty.into_iter().collect();
     empty.sort_unstable();
     assert_eq!(empty, [1, 2]);
 }
 
 #[test]
-fn a_moved_record_leaves_its_old_segment_empty() {
+fn a_record_written_again_counts_only_in_its_new_segment() {
     let mut index = Index::new(MAX_CACHED_BODY_BYTES);
     let start = Instant::now();
     index.apply(&turn("a", None, 1), 1, start);
@@ -149,12 +149,12 @@
         request: id("a"),
     };
     index.set_location(&key, location(2, 0));
-    // The only record has moved from segment 1 to segment 2.
+    // The only record was applied for segment 1 and written to segment 2.
     assert_eq!(index.expire(start), [1]);
 }
 
 #[test]
-fn arrived_returns_each_record_once() {
+fn keys_since_returns_each_record_once() {
     let mut index = Index::new(MAX_CACHED_BODY_BYTES);
     let now = Instant::now();
     for record in records() {
@@ -188,7 +188,7 @@
     index.apply(&turn("c", Some("b"), 1), 1, now);
     // "b" is not on disk yet, so the oldest stored body, "a", is evicted.
     index.set_location(&key("c"), location(1, 300));
-    assert_eq!(index.body_bytes(), 22);
+    assert_eq!(index.cached_body_bytes(), 22);
     let conversation = index.conversation(&id("c")).unwrap();
     assert_eq!(conversation.disk_locations(), [location(1, 100)]);
     assert!(conversation.transcript(&[]).is_none());
@@ -215,7 +215,7 @@
     );
     // The bodies of expired turns are removed.
     index.expire(now + Duration::from_millis(2 * u64::from(RETENTION_MS)));
-    assert_eq!(index.body_bytes(), 0);
+    assert_eq!(index.cached_body_bytes(), 0);
 }
 
 #[test]
--- a/crates/gradedyke-turns/tests/listing.rs
+++ b/crates/gradedyke-turns/tests/listing.rs
@@ -1,6 +1,6 @@
 //! Updates sent to followers: their sizes, and that no change is missed.
 //!
-//! The tests use ten keys for each instance, one for each of ten backend servers.
+//! Each instance has ten backend servers with one key each.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use rand::{RngExt, SeedableRng};
 use tokio::time::Instant;
 
-/// Largest reply, in bytes: a page with the item that fills it.
+/// Largest reply, in bytes: a full page and one more item.
 const MAX_REPLY_BYTES: usize = 132 << 10;
 /// Largest reply with at most two changes, in bytes.
 const MAX_CHANGES_REPLY_BYTES: usize = 1 << 10;
@@ -179,7 +179,7 @@
     let first = listed_mirror(100, 200, now);
     let mirror = Mirror::new(&[""]);
     follow(&mirror, &first, &mut Cursor::default(), now);
-    // The second source listed the service after a deletion that it did not see.
+    // The second source listed the store after a deletion that it did not see.
     let second = listed_mirror(99, 300, now);
     follow(&mirror, &second, &mut Cursor::default(), now);
     assert_eq!(contents(&mirror), contents(&second));
--- a/crates/gradedyke-turns/tests/log.rs
+++ b/crates/gradedyke-turns/tests/log.rs
@@ -71,7 +71,7 @@
 }
 
 #[tokio::test]
-async fn a_torn_write_hides_no_synced_records() {
+async fn records_synced_before_a_torn_write_are_read() {
     // What a power loss may leave of unsynced bytes.
     let torn_ends: [&[u8]; 5] = [
         &[],
@@ -190,7 +190,7 @@
 
 /// Waits until a log has saved `count` tables in the background.
 async fn wait_for_saved_tables(log: Log, count: usize) {
-    let mut saved = log.saved_tables();
+    let mut saved = log.saved_table_count();
     // Pending saves continue without the log. If one fails, the channel is closed and the
     // wait ends.
     drop(log);
--- a/crates/gradedyke-turns/tests/membership/spread.rs
+++ b/crates/gradedyke-turns/tests/membership/distribution.rs
@@ -1,4 +1,4 @@
-//! Table tests of how members are distributed over data centres.
+//! Table-driven tests of how members are distributed over data centres.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -9,6 +9,9 @@
 
 use crate::{OWN_DISK, PeerState, config, member, progress, view};
 
+/// Time for other replicas to learn of a view change, in milliseconds.
+const PROPAGATION_MS: u64 = 150;
+
 /// A member's name, disk and data centre, and whether it is active.
 type MemberRow = (&'static str, DiskId, &'static str, bool);
 
@@ -41,7 +44,7 @@
             view: &view,
             disk: OWN_DISK,
             progress: &progress(self.states, now),
-            leave_since: None,
+            retiring_since: None,
             retiring: &self.retiring.iter().map(|n| (*n).to_owned()).collect(),
             others_caught_up: true,
             unchanged_since: now - Duration::from_millis(self.unchanged_ms),
@@ -292,7 +295,7 @@
                 view: &view,
                 disk: OWN_DISK,
                 progress: &HashMap::new(),
-                leave_since: None,
+                retiring_since: None,
                 retiring: &HashSet::new(),
                 others_caught_up: false,
                 unchanged_since: now - Duration::from_millis(*ms),
@@ -305,9 +308,8 @@
         let longest = jitters.max().unwrap();
         let prioritized = join_delay_ms("there", first_start, longest).unwrap();
         let others = join_delay_ms("here", first_start, Duration::ZERO).unwrap();
-        // The 150 ms are for the others to learn of the change.
         assert!(
-            prioritized + 150 < others,
+            prioritized + PROPAGATION_MS < others,
             "first start {first_start}: {prioritized} ms, others {others} ms"
         );
     }
--- a/crates/gradedyke-turns/tests/membership/main.rs
+++ b/crates/gradedyke-turns/tests/membership/main.rs
@@ -1,6 +1,6 @@
-//! Table tests of the membership decisions of a replica.
+//! Table-driven tests of the membership decisions of a replica.
 
-mod spread;
+mod distribution;
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -19,7 +19,7 @@
         data_centre: "here".to_owned(),
         data_centres: Vec::new(),
         first_start,
-        tolerate: 1,
+        tolerated_losses: 1,
         join_delay: Duration::ZERO,
     }
 }
@@ -84,7 +84,7 @@
         view: &view,
         disk: OWN_DISK,
         progress: &progress(states, now),
-        leave_since: leave_since_ms.map(|ms| now - Duration::from_millis(ms)),
+        retiring_since: leave_since_ms.map(|ms| now - Duration::from_millis(ms)),
         retiring: &retiring
             .iter()
             .map(|n| (*n).to_owned())
@@ -278,7 +278,7 @@
     ];
     let three = [("a", 1, true), ("b", 2, true), ("me", OWN_DISK, true)];
     let two = [("a", 1, true), ("me", OWN_DISK, true)];
-    // Members, whether the others are caught up, milliseconds since the request.
+    // Members, whether the others are caught up, milliseconds since the request to retire.
     let cases: &[(&str, &[_], bool, u64, Option<&str>)] = &[
         ("enough others", &four, true, 0, Some("a b c")),
         ("waiting for a spare", &three, true, 100, None),
@@ -341,7 +341,7 @@
 }
 
 #[test]
-fn quorum_and_copies_depend_on_active_members() {
+fn quorum_depends_on_active_members_and_required_copies_do_not() {
     // Members and the expected quorum.
     let cases: &[(&[_], usize)] = &[
         (&[], 1),
@@ -361,7 +361,7 @@
         ),
     ];
     for (members, expected) in cases {
-        assert_eq!(view(members).quorum(), *expected, "{members:?}");
+        assert_eq!(view(members).quorum_size(), *expected, "{members:?}");
         assert_eq!(view(members).required_copies(), 2, "{members:?}");
     }
 }
--- a/crates/gradedyke-turns/tests/mirror.rs
+++ b/crates/gradedyke-turns/tests/mirror.rs
@@ -15,7 +15,7 @@
 }
 
 #[tokio::test]
-async fn a_reply_that_waited_unread_is_as_old_as_the_request() {
+async fn completeness_is_counted_from_sending_the_request() {
     let sent = Instant::now();
     let mirror = Mirror::new(&[""]);
     assert_eq!(mirror.complete_as_of(), None);
@@ -30,7 +30,7 @@
 }
 
 #[tokio::test]
-async fn a_copy_from_disk_is_not_confirmed() {
+async fn an_update_without_request_time_leaves_completeness_unknown() {
     let now = Instant::now();
     let mirror = Mirror::new(&[""]);
     mirror.apply_update(update(None), Vec::new(), now, now);
@@ -42,7 +42,7 @@
 }
 
 #[tokio::test]
-async fn the_age_grows_with_each_hop() {
+async fn completeness_time_never_advances_between_followers() {
     let start = Instant::now();
     let (first, second) = (Mirror::new(&[""]), Mirror::new(&[""]));
     first.apply_update(update(Some(300)), Vec::new(), start, start);
@@ -61,7 +61,7 @@
 async fn an_update_received_during_a_long_poll_is_newer_than_the_request() {
     let sent = Instant::now();
     let (first, second) = (Mirror::new(&[""]), Mirror::new(&[""]));
-    // The service was asked 200 ms after the first process received the request.
+    // The store was asked 200 ms after the first process received the request.
     let later = sent + Duration::from_millis(200);
     first.apply_update(
         update(Some(0)),
@@ -76,7 +76,7 @@
 }
 
 #[tokio::test]
-async fn a_follower_of_a_copy_from_disk_learns_when_the_service_confirms_it() {
+async fn a_follower_of_a_copy_from_disk_learns_when_the_store_confirms_it() {
     let now = Instant::now();
     let item = Item {
         key: "key".to_owned(),
@@ -97,7 +97,7 @@
         (follower.get("key").is_some(), follower.complete_as_of()),
         (true, None)
     );
-    // The service confirms the same contents, so only the confirmation is new.
+    // The store confirms the same contents, so only the confirmation is new.
     let mut changed = source.subscribe();
     changed.mark_unchanged();
     source.apply_update(update(Some(10)), vec![item], now, now);
