--- a/crates/gradedyke-turns/tests/quorum/main.rs
+++ b/crates/gradedyke-turns/tests/quorum/main.rs
@@ -1,6 +1,6 @@
 //! Attempts and records with real replicas over loopback, some of which fail.
 //!
-//! - `replicas`: replicas that synchronise with each other, start up, or are overloaded.
+//! - `replicas`: replicas that sync with each other, start up, or are overloaded.
 //! - `relay`: entries that reach replicas through other entries.
 
 mod relay;
@@ -14,7 +14,7 @@
 use gradedyke_turns::load::{Report, ServerLoad};
 use gradedyke_turns::membership;
 use gradedyke_turns::mirror::{Item, Mirror};
-use gradedyke_turns::quorum::{BeginParams, Error, Quorum};
+use gradedyke_turns::quorum::{BeginParams, Coordinator, Error};
 use gradedyke_turns::record::{Id, Record, Reserved, Settled, Turn};
 use gradedyke_turns::replica::Replica;
 use gradedyke_turns::view::{self, Member, View};
@@ -28,14 +28,15 @@
     Id::parse(text).unwrap()
 }
 
-struct Node {
+/// A replica with its server.
+struct RunningReplica {
     folder: tempfile::TempDir,
     replica: Arc<Replica>,
     member: Member,
     stop: CancellationToken,
 }
 
-impl Node {
+impl RunningReplica {
     async fn start(folder: tempfile::TempDir, name: &str, tasks: &mut JoinSet<()>) -> Self {
         let stop = CancellationToken::new();
         let mirror = Mirror::new(&[""]);
@@ -62,38 +63,39 @@
     }
 }
 
-struct Group {
-    nodes: Vec<Node>,
+/// Replicas and an entry's client of them.
+struct Deployment {
+    replicas: Vec<RunningReplica>,
     mirror: Arc<Mirror>,
-    quorum: Arc<Quorum>,
+    coordinator: Arc<Coordinator>,
     tasks: JoinSet<()>,
 }
 
-impl Group {
+impl Deployment {
     async fn start(count: usize) -> Self {
         let mut tasks = JoinSet::new();
-        let mut nodes = Vec::new();
+        let mut replicas = Vec::new();
         for number in 0..count {
             let folder = tempfile::tempdir().unwrap();
-            nodes.push(Node::start(folder, &format!("n{number}"), &mut tasks).await);
+            replicas.push(RunningReplica::start(folder, &format!("n{number}"), &mut tasks).await);
         }
         let mirror = Mirror::new(&[""]);
-        let quorum = Quorum::new(mirror.clone(), "here", None);
-        let group = Self {
-            nodes,
+        let coordinator = Coordinator::new(mirror.clone(), "here", None);
+        let deployment = Self {
+            replicas,
             mirror,
-            quorum,
+            coordinator,
             tasks,
         };
-        group.publish(1);
-        group
+        deployment.publish(1);
+        deployment
     }
 
     fn view(&self, version: u64) -> View {
         View {
             version,
             tolerate: 1,
-            members: self.nodes.iter().map(|n| n.member.clone()).collect(),
+            members: self.replicas.iter().map(|n| n.member.clone()).collect(),
         }
     }
 
@@ -106,12 +108,14 @@
             revision: version,
         };
         self.mirror.apply(vec![item], Instant::now());
-        self.nodes.iter().for_each(|n| n.replica.update_view(&view));
+        self.replicas
+            .iter()
+            .for_each(|n| n.replica.update_view(&view));
         assert_eq!(membership::read_view(&self.mirror).unwrap().0, view);
     }
 
     fn stop(&self, number: usize) {
-        self.nodes[number].stop.cancel();
+        self.replicas[number].stop.cancel();
     }
 
     async fn reserve(&self, request: &str, tokens: u32, budget: u64) -> Result<(), Error> {
@@ -128,9 +132,9 @@
             load: Report::default(),
             usage: None,
             try_timeout: Duration::from_secs(1),
-            deadline: near_deadline(),
+            deadline: operation_deadline(),
         };
-        self.quorum.begin(&params).await.map(|_| ())
+        self.coordinator.begin(&params).await.map(|_| ())
     }
 
     async fn settle(&self, request: &str, tokens: u32) {
@@ -140,13 +144,13 @@
             tokens,
             keep_ms: 60_000,
         });
-        self.quorum
-            .store(&record, None, near_deadline())
+        self.coordinator
+            .store(&record, None, operation_deadline())
             .await
             .unwrap();
     }
 
-    async fn keep(&self, request: &str, parent: Option<&str>) -> Result<(), Error> {
+    async fn store(&self, request: &str, parent: Option<&str>) -> Result<(), Error> {
         let record = Record::Turn(Turn {
             request: id(request),
             parent: parent.map(id),
@@ -157,8 +161,8 @@
             tokens: 1,
             keep_ms: 60_000,
         });
-        self.quorum
-            .store(&record, None, near_deadline())
+        self.coordinator
+            .store(&record, None, operation_deadline())
             .await
             .map(|_| ())
     }
@@ -171,105 +175,111 @@
             load: Report::default(),
             usage: None,
             try_timeout: Duration::from_secs(1),
-            deadline: near_deadline(),
+            deadline: operation_deadline(),
         };
-        let transcript = self.quorum.begin(&params).await;
+        let transcript = self.coordinator.begin(&params).await;
         transcript.map(|c| c.transcript.map(|c| c.body))
     }
 }
 
-/// A deadline that only passes if a majority is missing.
-fn near_deadline() -> Instant {
+/// A deadline far enough away for any operation with a majority.
+fn operation_deadline() -> Instant {
     Instant::now() + Duration::from_secs(2)
 }
 
 #[tokio::test]
 async fn turn_is_readable_after_loss_of_any_one_replica() {
     for lost in 0..3 {
-        let group = Group::start(3).await;
-        group.keep("a", None).await.unwrap();
-        group.keep("b", Some("a")).await.unwrap();
-        group.stop(lost);
-        let body = group.transcript("b").await.unwrap().unwrap();
+        let deployment = Deployment::start(3).await;
+        deployment.store("a", None).await.unwrap();
+        deployment.store("b", Some("a")).await.unwrap();
+        deployment.stop(lost);
+        let body = deployment.transcript("b").await.unwrap().unwrap();
         assert_eq!(body, "a?a!b?b!", "without replica {lost}");
     }
 }
 
 #[tokio::test]
 async fn writes_and_reads_without_majority_fail_with_no_quorum() {
-    let group = Group::start(3).await;
-    group.stop(0);
-    group.keep("a", None).await.unwrap();
-    group.stop(1);
-    let refused = group.keep("b", Some("a")).await.unwrap_err();
+    let deployment = Deployment::start(3).await;
+    deployment.stop(0);
+    deployment.store("a", None).await.unwrap();
+    deployment.stop(1);
+    let refused = deployment.store("b", Some("a")).await.unwrap_err();
     assert!(matches!(refused, Error::NoQuorum { .. }), "{refused:?}");
-    let refused = group.transcript("a").await.unwrap_err();
+    let refused = deployment.transcript("a").await.unwrap_err();
     assert!(matches!(refused, Error::NoQuorum { .. }), "{refused:?}");
 }
 
 #[tokio::test]
-async fn complete_and_new_replica_store_records_on_both_disks() {
-    let mut group = Group::start(2).await;
-    group.keep("a", None).await.unwrap();
+async fn active_and_joining_replica_both_store_records() {
+    let mut deployment = Deployment::start(2).await;
+    deployment.store("a", None).await.unwrap();
     // The second replica has lost its disk and has not caught up yet.
-    let node = group.nodes.remove(1);
-    node.stop.cancel();
+    let running = deployment.replicas.remove(1);
+    running.stop.cancel();
     let empty = tempfile::tempdir().unwrap();
-    let mut new_node = Node::start(empty, "n1", &mut group.tasks).await;
-    new_node.member.active = false;
-    group.nodes.push(new_node);
-    group.publish(2);
-    assert!(group.quorum.is_majority_reachable());
-    group.keep("b", Some("a")).await.unwrap();
-    assert_eq!(group.transcript("b").await.unwrap().unwrap(), "a?a!b?b!");
+    let mut new_replica = RunningReplica::start(empty, "n1", &mut deployment.tasks).await;
+    new_replica.member.active = false;
+    deployment.replicas.push(new_replica);
+    deployment.publish(2);
+    assert!(deployment.coordinator.is_majority_reachable());
+    deployment.store("b", Some("a")).await.unwrap();
+    assert_eq!(
+        deployment.transcript("b").await.unwrap().unwrap(),
+        "a?a!b?b!"
+    );
     // A single replica is not enough.
-    group.stop(1);
-    let refused = group.keep("c", Some("b")).await.unwrap_err();
+    deployment.stop(1);
+    let refused = deployment.store("c", Some("b")).await.unwrap_err();
     assert!(matches!(refused, Error::NoQuorum { .. }), "{refused:?}");
 }
 
 #[tokio::test]
 async fn missing_turn_is_reported_only_if_all_replicas_answer() {
-    let group = Group::start(3).await;
-    assert_eq!(group.transcript("no").await, Err(Error::TurnNotFound));
-    group.stop(2);
-    assert_eq!(group.transcript("no").await, Err(Error::Indeterminate));
+    let deployment = Deployment::start(3).await;
+    assert_eq!(deployment.transcript("no").await, Err(Error::TurnNotFound));
+    deployment.stop(2);
+    assert_eq!(deployment.transcript("no").await, Err(Error::Indeterminate));
 }
 
 #[tokio::test]
-async fn budget_holds_across_replica_restarts() {
-    let mut group = Group::start(3).await;
-    group.reserve("a", 40, 100).await.unwrap();
-    group.settle("a", 30).await;
-    group.reserve("b", 40, 100).await.unwrap();
+async fn budget_is_enforced_after_replica_restarts() {
+    let mut deployment = Deployment::start(3).await;
+    deployment.reserve("a", 40, 100).await.unwrap();
+    deployment.settle("a", 30).await;
+    deployment.reserve("b", 40, 100).await.unwrap();
     let spent = Error::BudgetExceeded {
         budget: 100,
         used: 70,
         requested: 40,
     };
-    assert_eq!(group.reserve("c", 40, 100).await, Err(spent.clone()));
-    group.settle("c", 0).await;
+    assert_eq!(deployment.reserve("c", 40, 100).await, Err(spent.clone()));
+    deployment.settle("c", 0).await;
     // Restart each replica in turn with its disk.
     for number in 0..3 {
-        let node = group.nodes.remove(number);
-        node.stop.cancel();
-        let name = node.member.name.clone();
-        let started = Node::start(node.folder, &name, &mut group.tasks).await;
-        assert_eq!(started.member.disk, node.member.disk);
-        group.nodes.insert(number, started);
-        group.publish(number as u64 + 2);
+        let running = deployment.replicas.remove(number);
+        running.stop.cancel();
+        let name = running.member.name.clone();
+        let started = RunningReplica::start(running.folder, &name, &mut deployment.tasks).await;
+        assert_eq!(started.member.disk, running.member.disk);
+        deployment.replicas.insert(number, started);
+        deployment.publish(number as u64 + 2);
         let request = format!("d{number}");
-        assert_eq!(group.reserve(&request, 40, 100).await, Err(spent.clone()));
-        group.settle(&request, 0).await;
+        assert_eq!(
+            deployment.reserve(&request, 40, 100).await,
+            Err(spent.clone())
+        );
+        deployment.settle(&request, 0).await;
     }
-    group.reserve("e", 30, 100).await.unwrap();
+    deployment.reserve("e", 30, 100).await.unwrap();
 }
 
 #[tokio::test]
 async fn concurrent_reservations_do_not_exceed_budget() {
-    let group = Group::start(3).await;
+    let deployment = Deployment::start(3).await;
     let names: Vec<String> = (0..8).map(|n| format!("r{n}")).collect();
-    let attempts = names.iter().map(|name| group.reserve(name, 30, 100));
+    let attempts = names.iter().map(|name| deployment.reserve(name, 30, 100));
     let results = futures_util::future::join_all(attempts).await;
     let admitted = results.iter().filter(|r| r.is_ok()).count();
     assert!(admitted <= 3, "{results:?}");
@@ -277,21 +287,21 @@
 
 #[tokio::test]
 async fn request_with_stale_view_is_rejected_and_retried() {
-    let group = Group::start(3).await;
-    group.keep("a", None).await.unwrap();
+    let deployment = Deployment::start(3).await;
+    deployment.store("a", None).await.unwrap();
     // The replicas have a newer view than the client, which gets it from them.
-    let later = group.view(7);
-    group
-        .nodes
+    let later = deployment.view(7);
+    deployment
+        .replicas
         .iter()
         .for_each(|n| n.replica.update_view(&later));
-    group.keep("b", Some("a")).await.unwrap();
-    assert_eq!(group.quorum.view().version, 7);
+    deployment.store("b", Some("a")).await.unwrap();
+    assert_eq!(deployment.coordinator.view().version, 7);
 }
 
 #[tokio::test]
-async fn gateways_receive_load_of_other_gateways() {
-    let group = Group::start(3).await;
+async fn entries_receive_load_of_other_entries() {
+    let deployment = Deployment::start(3).await;
     let params = |entry, requests| BeginParams {
         usage: None,
         reservation: None,
@@ -311,15 +321,25 @@
             }],
         },
         try_timeout: Duration::from_secs(1),
-        deadline: near_deadline(),
+        deadline: operation_deadline(),
     };
-    let first_load = group.quorum.begin(&params(1, 2)).await.unwrap().load;
+    let first_load = deployment
+        .coordinator
+        .begin(&params(1, 2))
+        .await
+        .unwrap()
+        .load;
     assert!(first_load.is_none_or(|l| l.is_empty()));
     // The nearest replica may answer after the majority has; its load then comes with a later
     // attempt.
     let mut last_load = None;
     for _ in 0..100 {
-        last_load = group.quorum.begin(&params(2, 3)).await.unwrap().load;
+        last_load = deployment
+            .coordinator
+            .begin(&params(2, 3))
+            .await
+            .unwrap()
+            .load;
         if last_load.as_ref().is_some_and(|l| !l.is_empty()) {
             break;
         }
--- a/crates/gradedyke-turns/tests/quorum/relay.rs
+++ b/crates/gradedyke-turns/tests/quorum/relay.rs
@@ -14,32 +14,32 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-use super::{Group, id, near_deadline};
+use super::{Deployment, id, operation_deadline};
 
 #[tokio::test]
-async fn partitioned_gateway_reaches_replica_through_neighbour() {
-    let mut group = Group::start(3).await;
-    group.keep("a", None).await.unwrap();
+async fn partitioned_entry_reaches_replica_through_neighbour() {
+    let mut deployment = Deployment::start(3).await;
+    deployment.store("a", None).await.unwrap();
     // The neighbour can reach the replicas.
     let neighbour = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = neighbour.local_addr().unwrap();
-    let forwarder = Arc::new(Forwarder::new(group.quorum.clone()));
+    let forwarder = Arc::new(Forwarder::new(deployment.coordinator.clone()));
     let stop = CancellationToken::new();
     let serving = gradedyke_peer::server::serve(neighbour, forwarder, stop.clone());
-    group.tasks.spawn(serving);
+    deployment.tasks.spawn(serving);
     // The direct address either accepts connections and never answers, or is closed.
     let silent = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let closed = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let closed_address = closed.local_addr().unwrap();
     drop(closed);
-    let replica = group.nodes[0].member.address;
-    let client_with = |direct: SocketAddr, all: Vec<Client>| {
+    let replica = deployment.replicas[0].member.address;
+    let client_with = |direct: SocketAddr, active_replicas: Vec<Client>| {
         let relays = vec![Client::new(address)];
         ReplicaClient::new(
             replica,
             Client::new(direct),
             relays,
-            (all, 2),
+            (active_replicas, 2),
             Arc::default(),
         )
     };
@@ -54,15 +54,18 @@
         assert_eq!(transcript.body, "a?a!");
     }
     // A replica that does not answer while a majority does is not called through neighbours.
-    let answering_replicas =
-        [1, 2].map(|n: usize| group.quorum.client(group.nodes[n].member.address));
+    let answering_replicas = [1, 2].map(|n: usize| {
+        deployment
+            .coordinator
+            .client(deployment.replicas[n].member.address)
+    });
     let client = client_with(silent.local_addr().unwrap(), answering_replicas.to_vec());
     let hello = message::encode(&Request::Hello);
     let keep_answering = async {
         loop {
             for replica in &answering_replicas {
                 replica
-                    .call(hello.clone(), near_deadline() - Instant::now())
+                    .call(hello.clone(), operation_deadline() - Instant::now())
                     .await
                     .unwrap();
             }
@@ -88,12 +91,12 @@
 
 #[tokio::test]
 async fn slow_replica_is_called_through_one_neighbour_only() {
-    let mut group = Group::start(3).await;
+    let mut deployment = Deployment::start(3).await;
     // The first replica accepts connections and never answers.
     let silent = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let slow_address = silent.local_addr().unwrap();
-    group.nodes[0].member.address = slow_address;
-    group.publish(2);
+    deployment.replicas[0].member.address = slow_address;
+    deployment.publish(2);
     let stop = CancellationToken::new();
     let request_count = Arc::new(AtomicUsize::new(0));
     let mut relays = Vec::new();
@@ -101,21 +104,21 @@
         let neighbour = TcpListener::bind("127.0.0.1:0").await.unwrap();
         relays.push(Client::new(neighbour.local_addr().unwrap()));
         let handler = Arc::new(CountingForwarder {
-            forwarder: Forwarder::new(group.quorum.clone()),
+            forwarder: Forwarder::new(deployment.coordinator.clone()),
             request_count: request_count.clone(),
         });
         let serving = gradedyke_peer::server::serve(neighbour, handler, stop.clone());
-        group.tasks.spawn(serving);
+        deployment.tasks.spawn(serving);
     }
     let closed = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let closed_address = closed.local_addr().unwrap();
     drop(closed);
-    let all = vec![Client::new(closed_address); 3];
+    let active_replicas = vec![Client::new(closed_address); 3];
     let client = ReplicaClient::new(
         slow_address,
         Client::new(closed_address),
         relays,
-        (all, 2),
+        (active_replicas, 2),
         Arc::default(),
     );
     let hello = message::encode(&Request::Hello);
--- a/crates/gradedyke-turns/tests/quorum/replicas.rs
+++ b/crates/gradedyke-turns/tests/quorum/replicas.rs
@@ -1,4 +1,4 @@
-//! Replicas that synchronise with each other, start up, or are overloaded.
+//! Replicas that sync with each other, start up, or are overloaded.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,12 +19,12 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-use super::{Group, Node, id};
+use super::{Deployment, RunningReplica, id};
 
 #[tokio::test]
 async fn keys_request_waits_for_more_records_unless_a_page_is_full() {
-    let group = Group::start(1).await;
-    let replica = group.nodes[0].replica.clone();
+    let deployment = Deployment::start(1).await;
+    let replica = deployment.replicas[0].replica.clone();
     let record = |n: usize| {
         Record::Settled(Settled {
             program: id("p"),
@@ -40,6 +40,7 @@
         boot: 0,
         from: 0,
     });
+    // `MAX_PAGE_KEYS` of a replica.
     let page_len = 512;
     // Number of stored records, and whether the request waits for more.
     for (count, should_wait) in [(1, true), (page_len, false)] {
@@ -63,22 +64,22 @@
 
 #[tokio::test]
 async fn begin_retries_while_replicas_recover_from_disk() {
-    let mut group = Group::start(3).await;
-    group.keep("a", None).await.unwrap();
+    let mut deployment = Deployment::start(3).await;
+    deployment.store("a", None).await.unwrap();
     let mut restarted = Vec::new();
     // All three restart at once, and none has recovered from its disk yet.
-    for node in &mut group.nodes {
-        node.stop.cancel();
+    for running in &mut deployment.replicas {
+        running.stop.cancel();
         let (replica_sender, replica) = watch::channel(None);
         let dispatcher = Arc::new(Dispatcher::new(Mirror::new(&[""]), replica));
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        node.member.address = listener.local_addr().unwrap();
+        running.member.address = listener.local_addr().unwrap();
         let stop = CancellationToken::new();
         let serving = gradedyke_peer::server::serve(listener, dispatcher.clone(), stop);
-        group.tasks.spawn(serving);
-        restarted.push((replica_sender, dispatcher, node.replica.clone()));
+        deployment.tasks.spawn(serving);
+        restarted.push((replica_sender, dispatcher, running.replica.clone()));
     }
-    group.publish(2);
+    deployment.publish(2);
     let hello = message::encode(&Request::Hello);
     let recovery = async {
         for (replica_sender, dispatcher, replica) in restarted {
@@ -89,29 +90,29 @@
             replica_sender.send_replace(Some(replica));
         }
     };
-    let (transcript, ()) = tokio::join!(group.transcript("a"), recovery);
+    let (transcript, ()) = tokio::join!(deployment.transcript("a"), recovery);
     assert_eq!(transcript.unwrap().unwrap(), "a?a!");
 }
 
 #[tokio::test]
 async fn new_replica_fetches_each_record_once() {
-    let mut group = Group::start(2).await;
+    let mut deployment = Deployment::start(2).await;
     for n in 0..40 {
-        group.keep(&format!("t{n}"), None).await.unwrap();
+        deployment.store(&format!("t{n}"), None).await.unwrap();
     }
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().to_owned();
-    let mut new_node = Node::start(folder, "n2", &mut group.tasks).await;
-    new_node.member.active = false;
-    let replica = new_node.replica.clone();
-    group.nodes.push(new_node);
-    group.publish(2);
+    let mut new_replica = RunningReplica::start(folder, "n2", &mut deployment.tasks).await;
+    new_replica.member.active = false;
+    let replica = new_replica.replica.clone();
+    deployment.replicas.push(new_replica);
+    deployment.publish(2);
     let stop = CancellationToken::new();
-    for node in &group.nodes[..2] {
+    for running in &deployment.replicas[..2] {
         let (sender, mut progress) = watch::channel(Progress::default());
-        let (disk, address) = (node.member.disk, node.member.address);
+        let (disk, address) = (running.member.disk, running.member.address);
         let follower = Follower::new(replica.clone(), disk, address, sender);
-        group.tasks.spawn(follower.run(stop.clone()));
+        deployment.tasks.spawn(follower.run(stop.clone()));
         let caught_up = progress.wait_for(|p| p.synced_version.is_some());
         let caught_up = tokio::time::timeout(Duration::from_secs(10), caught_up).await;
         assert!(
@@ -120,7 +121,7 @@
         );
     }
     stop.cancel();
-    group.tasks.shutdown().await;
+    deployment.tasks.shutdown().await;
     let (log, tables) = Log::open(&path).unwrap();
     let segments = tables.iter().map(|(segment, _)| *segment);
     let written: usize = segments.map(|s| log.read_segment(s).unwrap().len()).sum();
@@ -129,8 +130,8 @@
 
 #[tokio::test]
 async fn overloaded_replica_rejects_begins_and_accepts_settlements() {
-    let group = Group::start(1).await;
-    let (_, ready) = watch::channel(Some(group.nodes[0].replica.clone()));
+    let deployment = Deployment::start(1).await;
+    let (_, ready) = watch::channel(Some(deployment.replicas[0].replica.clone()));
     let dispatcher = Dispatcher::new(Mirror::new(&[""]), ready);
     let begin = |n: usize| {
         message::encode(&Request::Begin(Begin {
--- a/crates/gradedyke-turns/tests/recovery.rs
+++ b/crates/gradedyke-turns/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! Answers of a replica whose records on disk haven't been loaded yet.
+//! Replies of a replica whose records on disk haven't been loaded yet.
 
 use std::collections::HashMap;
 use std::fs;
@@ -19,7 +19,7 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-const KEEP_MS: u32 = 60_000;
+const RETENTION_MS: u32 = 60_000;
 
 fn id(text: &str) -> Id {
     Id::parse(text).unwrap()
@@ -30,7 +30,7 @@
         program: id(program),
         request: id(request),
         tokens,
-        keep_ms: KEEP_MS,
+        keep_ms: RETENTION_MS,
     })
 }
 
@@ -39,7 +39,7 @@
         program: id(program),
         request: id(request),
         tokens,
-        keep_ms: KEEP_MS,
+        keep_ms: RETENTION_MS,
     })
 }
 
@@ -54,7 +54,7 @@
         server: id("s"),
         program: Some(id(program)),
         tokens: 3,
-        keep_ms: KEEP_MS,
+        keep_ms: RETENTION_MS,
     })
 }
 
@@ -66,13 +66,13 @@
 }
 
 /// A replica that has been opened; no records are loaded.
-struct Node {
+struct UnrecoveredReplica {
     replica: Arc<Replica>,
     dispatcher: Dispatcher,
     stop: CancellationToken,
 }
 
-impl Node {
+impl UnrecoveredReplica {
     fn new(folder: &Path) -> Self {
         let stop = CancellationToken::new();
         let mirror = Mirror::new(&[]);
@@ -152,20 +152,20 @@
         settled("q", "c", 2),
     ];
     write(folder.path(), &records).await;
-    let node = Node::new(folder.path());
-    let (usage, found) = node.begin("p", Some("b")).await;
+    let opened = UnrecoveredReplica::new(folder.path());
+    let (usage, found) = opened.begin("p", Some("b")).await;
     assert_eq!(usage, [(id("a"), (3, true)), (id("b"), (3, true))].into());
     let Some(Found::Whole(transcript)) = found else {
         panic!("{found:?}");
     };
     assert!(transcript.body.ends_with(b"b!"));
     assert_eq!(transcript.body.len(), 2 * ((3 << 20) + 2));
-    let (usage, _) = node.begin("q", None).await;
+    let (usage, _) = opened.begin("q", None).await;
     assert_eq!(usage, [(id("c"), (2, true))].into());
-    let (usage, found) = node.begin("unheard-of", Some("nowhere")).await;
+    let (usage, found) = opened.begin("unheard-of", Some("nowhere")).await;
     assert_eq!((usage, found), (AttemptUsage::new(), Some(Found::Missing)));
     // Another program continues a turn of the first one.
-    let reopened = Node::new(folder.path());
+    let reopened = UnrecoveredReplica::new(folder.path());
     let (_, found) = reopened.begin("another", Some("b")).await;
     assert!(matches!(found, Some(Found::Whole(_))), "{found:?}");
 }
@@ -174,11 +174,11 @@
 async fn keys_are_incomplete_until_recovery_ends() {
     let folder = tempfile::tempdir().unwrap();
     write(folder.path(), &[turn("p", "a", None, 10)]).await;
-    let node = Node::new(folder.path());
-    let keys = node.keys().await;
+    let opened = UnrecoveredReplica::new(folder.path());
+    let keys = opened.keys().await;
     assert!(!keys.all, "keys are complete before the disk was read");
-    node.replica.clone().recover().await;
-    let keys = node.keys().await;
+    opened.replica.clone().recover().await;
+    let keys = opened.keys().await;
     assert!(keys.all);
     assert_eq!(keys.keys, [turn("p", "a", None, 10).key()]);
 }
@@ -187,20 +187,20 @@
 async fn no_segment_is_removed_before_recovery() {
     let folder = tempfile::tempdir().unwrap();
     write(folder.path(), &[turn("p", "a", None, 10)]).await;
-    let node = Node::new(folder.path());
-    let expire = tokio::spawn(node.replica.clone().run_expiry());
+    let opened = UnrecoveredReplica::new(folder.path());
+    let expire = tokio::spawn(opened.replica.clone().run_expiry());
     tokio::time::sleep(std::time::Duration::from_secs(600)).await;
-    let (_, found) = node.begin("p", Some("a")).await;
+    let (_, found) = opened.begin("p", Some("a")).await;
     assert!(matches!(found, Some(Found::Whole(_))), "{found:?}");
-    node.stop.cancel();
+    opened.stop.cancel();
     expire.await.unwrap();
 }
 
 #[tokio::test]
-async fn unreadable_segment_is_not_a_missing_turn() {
+async fn turn_in_unreadable_segment_is_not_reported_as_missing() {
     let folder = tempfile::tempdir().unwrap();
     write(folder.path(), &[turn("p", "a", None, 10)]).await;
-    let node = Node::new(folder.path());
+    let opened = UnrecoveredReplica::new(folder.path());
     let segment = folder.path().join("turns-00000001.log");
     fs::write(&segment, b"other bytes than the table was made of").unwrap();
     let request = Request::Begin(Begin {
@@ -213,7 +213,7 @@
         first: false,
         patience_ms: 1_000,
     });
-    let reply = node.send(&request).await;
+    let reply = opened.send(&request).await;
     assert!(matches!(reply, Reply::Failed(_)), "{reply:?}");
 }
 
@@ -242,9 +242,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, ..ProptestConfig::default() })]
 
-    /// Compares the answers before and during recovery with an index of all records.
+    /// Compares the replies before and during recovery with an index of all records.
     #[test]
-    fn answers_match_an_index_of_all_records(
+    fn replies_match_an_index_of_all_records(
         records in arbitrary_records(),
         restarts in prop::collection::vec(any::<prop::sample::Index>(), 0..3),
         recover_concurrently in any::<bool>(),
@@ -271,11 +271,11 @@
                     Record::Settled(s) => s.program.clone(),
                     Record::Turn(t) => t.program.clone().unwrap(),
                 };
-                let node = Node::new(folder.path());
+                let opened = UnrecoveredReplica::new(folder.path());
                 if recover_concurrently {
-                    tokio::spawn(node.replica.clone().recover());
+                    tokio::spawn(opened.replica.clone().recover());
                 }
-                let (usage, found) = node.begin(program.as_str(), Some(request.as_str())).await;
+                let (usage, found) = opened.begin(program.as_str(), Some(request.as_str())).await;
                 let attempts = reference.attempts(&program).into_iter();
                 let expected: AttemptUsage = attempts
                     .map(|a| (a.request, (a.tokens, a.settled)))
--- a/crates/gradedyke-turns/tests/settle.rs
+++ b/crates/gradedyke-turns/tests/settle.rs
@@ -11,7 +11,7 @@
 use gradedyke_turns::message::{self, Reply, Request};
 use gradedyke_turns::mirror::{Item, Mirror};
 use gradedyke_turns::pressure::Pressure;
-use gradedyke_turns::quorum::Quorum;
+use gradedyke_turns::quorum::Coordinator;
 use gradedyke_turns::record::{Id, Settled};
 use gradedyke_turns::view::{self, Member, View};
 use tokio::net::TcpListener;
@@ -22,9 +22,9 @@
 
 const REPLICA_COUNT: u64 = 3;
 /// Requests that each replica rejects before it accepts any.
-const REJECTED_REQUESTS: usize = 3;
+const REJECTED_REQUEST_COUNT: usize = 3;
 const SETTLEMENT_COUNT: usize = 300;
-/// How long to wait until a replica has received all settlements; ample.
+/// How long to wait until a replica has received all settlements.
 const RECEIVE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A replica that first rejects requests, then records the settlements it receives.
@@ -40,7 +40,7 @@
             return message::encode(&Reply::Hello);
         };
         let earlier_requests = self.request_count.fetch_add(1, Ordering::Relaxed);
-        if earlier_requests < REJECTED_REQUESTS {
+        if earlier_requests < REJECTED_REQUEST_COUNT {
             return message::encode(&Reply::Busy(Pressure::default()));
         }
         self.stored.send_modify(|stored| {
@@ -98,9 +98,9 @@
         revision: 1,
     };
     mirror.apply(vec![item], Instant::now());
-    let quorum = Quorum::new(mirror, "here", None);
+    let coordinator = Coordinator::new(mirror, "here", None);
     for number in 0..SETTLEMENT_COUNT {
-        quorum.settle(Settled {
+        coordinator.settle(Settled {
             program: id("p"),
             request: id(&format!("r{number}")),
             tokens: 0,
@@ -119,7 +119,7 @@
     // The rejected requests, plus at most three batches.
     let request_count = request_count.load(Ordering::Relaxed);
     assert!(
-        request_count <= REJECTED_REQUESTS + 3,
+        request_count <= REJECTED_REQUEST_COUNT + 3,
         "{request_count} requests for {SETTLEMENT_COUNT} settlements"
     );
 }
