--- a/crates/gradedyke-turns/src/backlog.rs
+++ b/crates/gradedyke-turns/src/backlog.rs
@@ -13,7 +13,7 @@
 /// The same for a program's first turn. Lower, because rejecting a first turn wastes no work,
 /// whereas rejecting a later one wastes the program's earlier turns.
 const MAX_OLDEST_REQUEST_AGE_FIRST_TURN: Duration = Duration::from_millis(50);
-/// InFlightRequests that may be in flight whatever their age, so that one slow request does not block
+/// Requests that may be in flight whatever their age, so that one slow request does not block
 /// others.
 const MIN_CONCURRENT_REQUESTS: usize = 32;
 
--- a/crates/gradedyke-turns/src/body.rs
+++ b/crates/gradedyke-turns/src/body.rs
@@ -21,7 +21,7 @@
 
 impl Body {
     /// Returns the size of input and output in bytes.
-    pub fn len(&self) -> usize {
+    pub fn byte_len(&self) -> usize {
         self.input.len() + self.output.len()
     }
 }
@@ -78,7 +78,7 @@
         if self.bodies.contains_key(turn) {
             return;
         }
-        self.cached_bytes += body.len();
+        self.cached_bytes += body.byte_len();
         self.eviction_queue.push_back(turn);
         self.bodies.insert(
             turn,
@@ -108,7 +108,7 @@
     pub fn remove(&mut self, turn: K) {
         // The key stays in the eviction queue, and `evict` skips it.
         if let Some(cached) = self.bodies.remove(turn) {
-            self.cached_bytes -= cached.body.len();
+            self.cached_bytes -= cached.body.byte_len();
         }
     }
 
--- a/crates/gradedyke-turns/src/desk.rs
+++ b/crates/gradedyke-turns/src/desk.rs
@@ -23,7 +23,8 @@
 /// How long a request waits for a replica that is still opening before it is answered with
 /// [`Reply::Starting`]. Well below the timeout of the caller.
 const STARTUP_WAIT: Duration = Duration::from_millis(100);
-/// Maximum number of concurrent [`Request::Begin`] requests; limits memory. [`Backlog`] limits latency.
+/// Maximum number of concurrent [`Request::Begin`] requests; limits memory. [`Backlog`] limits
+/// latency.
 const MAX_CONCURRENT_BEGINS: usize = 192;
 /// Maximum number of concurrent requests of other kinds that need the replica. They have their
 /// own, higher limit, as most of them complete attempts that have already run.
--- a/crates/gradedyke-turns/src/lib.rs
+++ b/crates/gradedyke-turns/src/lib.rs
@@ -2,10 +2,10 @@
 //!
 //! A program is a group of turns that share a token budget. A turn may continue an
 //! earlier turn, and several turns may continue the same one. The replicas store the
-//! input and output of each turn, and the tokens that each attempt of a program reserved or used. Records are
-//! immutable: a turn is identified by its request, and an attempt goes from reserved
-//! to settled. Replicas may therefore receive records in any order, and a program
-//! needs no leader. An `entry` writes the records of a turn to all members of the
+//! input and output of each turn, and the tokens that each attempt of a program reserved
+//! or used. Records are immutable: a turn is identified by its request, and an attempt
+//! goes from reserved to settled. Replicas may therefore receive records in any order,
+//! and a program needs no leader. An `entry` writes the records of a turn to all members of the
 //! [`view`] and continues when a majority has synced them to disk. Two majorities
 //! always share a member, so later reservations see every earlier one.
 //!
@@ -20,8 +20,9 @@
 //!   replicas; [`stats`]: request statistics; [`backlog`]: rejects requests while those in
 //!   flight take too long; [`pressure`]: load feedback to callers; [`decay`]: decaying counters.
 //! - [`view`]: the set of replicas; [`membership`]: changes of the view.
-//! - [`quorum`]: the client side; [`detour`]: calls replicas through other entries during a network
-//!   partition; [`load`]: load of the backend servers; [`usage`]: usage of the client accounts.
+//! - [`quorum`]: the client side; [`detour`]: calls replicas through other entries during a
+//!   network partition; [`load`]: load of the backend servers; [`usage`]: usage of the client
+//!   accounts.
 //! - [`mirror`]: a local copy of the platform's key-value store; [`feed`]: updates of
 //!   the mirror from a replica; [`snapshot`]: the mirror and the usage of client accounts
 //!   on disk.
--- a/crates/gradedyke-turns/src/log/table.rs
+++ b/crates/gradedyke-turns/src/log/table.rs
@@ -184,8 +184,8 @@
 /// Returns the locations of the rows with the hash of `id`. `rows` must be sorted.
 fn find_rows(rows: &[TableRow], segment: Segment, id: &Id) -> Vec<Location> {
     let id_hash = hash_id(id.as_str());
-    let first = rows.partition_point(|e| e.id_hash < id_hash);
-    let matching = rows[first..].iter().take_while(|e| e.id_hash == id_hash);
+    let first = rows.partition_point(|r| r.id_hash < id_hash);
+    let matching = rows[first..].iter().take_while(|r| r.id_hash == id_hash);
     let location = |row: &TableRow| Location {
         segment,
         offset: row.offset,
--- a/crates/gradedyke-turns/src/membership/decide.rs
+++ b/crates/gradedyke-turns/src/membership/decide.rs
@@ -305,8 +305,7 @@
 
 /// Proposes to remove this replica if there are more members than needed, the others have
 /// all of its records, and it joined last among the members of the data centre with the
-/// most members. A
-/// surplus arises when a replaced member returns, and from rebalancing.
+/// most members. A surplus arises when a replaced member returns, and from rebalancing.
 fn propose_leave_if_surplus(
     config: &Config,
     observation: &Observation<'_>,
--- a/crates/gradedyke-turns/src/membership/distribution.rs
+++ b/crates/gradedyke-turns/src/membership/distribution.rs
@@ -2,7 +2,8 @@
 //!
 //! An outage can affect a whole data centre. If 2t + 1 members, with t the
 //! number of tolerated disk losses, are distributed evenly over three or more data
-//! centres, a quorum survives the loss of one. Any replica may fill a vacancy, but those whose data centre has the fewest members have priority.
+//! centres, a quorum survives the loss of one. Any replica may fill a vacancy, but
+//! those whose data centre has the fewest members have priority.
 
 use std::collections::BTreeMap;
 
--- a/crates/gradedyke-turns/src/mirror.rs
+++ b/crates/gradedyke-turns/src/mirror.rs
@@ -69,7 +69,7 @@
 pub struct Update {
     /// Random ID of the sending process's incarnation.
     pub boot: u64,
-    /// Sequence number of the last change knows_deletions; the next request starts after it.
+    /// Sequence number of the last change covered; the next request starts after it.
     pub next: u64,
     /// The changed items.
     pub items: Packed,
--- a/crates/gradedyke-turns/src/mirror/state.rs
+++ b/crates/gradedyke-turns/src/mirror/state.rs
@@ -87,7 +87,8 @@
     }
 
     /// Returns a page of the items that changed after the change `after` and have a higher
-    /// revision than `after_revision`. Pages are cached, because many followers ask for the same one.
+    /// revision than `after_revision`. Pages are cached, because many followers ask for the same
+    /// one.
     pub(super) fn page(&mut self, after: u64, after_revision: Revision) -> Page {
         let change = self.items.last_change();
         if self.pages.0 != change {
--- a/crates/gradedyke-turns/src/quorum.rs
+++ b/crates/gradedyke-turns/src/quorum.rs
@@ -68,8 +68,7 @@
     Busy,
     /// Too few replicas acknowledged, or too few have the record on disk.
     #[error(
-        "only {acknowledged} of {needed} required replicas acknowledged, or too few copies were \
-         stored; check that the replicas are running and their disks work"
+        "{acknowledged} of {needed} needed replicas acknowledged, or too few copies were stored; check the replicas and their disks"
     )]
     NoQuorum {
         /// Number of active replicas that acknowledged.
--- a/crates/gradedyke-turns/src/view.rs
+++ b/crates/gradedyke-turns/src/view.rs
@@ -2,8 +2,8 @@
 //!
 //! The view is a single value in the platform's key-value store. It is changed
 //! only by compare-and-swap. Why no record is lost in a change is described in
-//! [`crate::membership`]. Requests carry the version
-//! of the view they were sent under; a replica that knows a later one rejects them.
+//! [`crate::membership`]. Requests carry the version of the view they were sent
+//! under; a replica that knows a later one rejects them.
 
 use std::net::SocketAddr;
 
