--- a/crates/gradedyke-gateway/src/entry/mod.rs
+++ b/crates/gradedyke-gateway/src/entry/mod.rs
@@ -79,7 +79,7 @@
     pub fleet: Arc<Fleet>,
     /// Client of the keepers, which store turns and budgets on a majority of disks.
     pub quorum: Arc<Quorum>,
-    /// Requests of each client account that this entry admitted.
+    /// Limits the requests of each client account.
     pub limiter: Limiter,
     /// Estimates how many requests a program needs.
     pub demand: Demand,
