--- a/crates/gradedyke-load/src/decision.rs
+++ b/crates/gradedyke-load/src/decision.rs
@@ -1,6 +1,8 @@
-//! Processor time of one choice of a server, by the number of servers, and relative to
-//! the naive policy. One thread, no network; the least of several rounds, because
-//! other work on the machine only adds.
+//! Measures the CPU time of choosing a server, by the number of servers, and compares the
+//! policies `cost` and `least_loaded`.
+//!
+//! Uses one thread and no network. Reports the minimum of several rounds, because other work
+//! on the machine only makes a round slower.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -13,22 +15,24 @@
 use serde_json::{Value, json};
 use tokio::time::Instant;
 
-/// Numbers of servers: a small deployment, a grown one, and the one aimed at.
-const SERVERS: [usize; 3] = [12, 50, 3_600];
-/// Rounds, of which the least counts.
-const ROUNDS: u32 = 7;
-/// Choices of a round over all servers together.
-const CHECKED: usize = 400_000;
+/// Numbers of servers to measure with.
+const SERVER_COUNTS: [usize; 3] = [12, 50, 3_600];
+/// Number of rounds, of which the fastest is reported.
+const ROUND_COUNT: u32 = 7;
+/// Number of choices in a round times the number of servers, so that all rounds take a similar
+/// time.
+const CHOICES_TIMES_SERVERS: usize = 400_000;
 
 fn id(text: &str) -> eyre::Result<Id> {
-    Id::parse(text).ok_or_else(|| eyre::eyre!("{text} is no name"))
+    Id::parse(text).ok_or_else(|| eyre::eyre!("invalid ID: {text}"))
 }
 
-fn fleet(policy: &str, servers: usize) -> eyre::Result<Arc<Fleet>> {
+/// Creates a fleet with the given number of idle servers.
+fn new_fleet(policy: &str, servers: usize) -> eyre::Result<Arc<Fleet>> {
     let enabled = Enabled::default();
-    let chosen = placement::policies(enabled).remove(policy);
-    let chosen = chosen.ok_or_else(|| eyre::eyre!("no policy {policy}"))?;
-    let fleet = Fleet::new("here", None, chosen, enabled);
+    let placement = placement::policies(enabled).remove(policy);
+    let placement = placement.ok_or_else(|| eyre::eyre!("unknown policy: {policy}"))?;
+    let fleet = Fleet::new("here", None, placement, enabled);
     for number in 0..servers {
         let server = Server {
             id: id(&format!("i-{number:08x}"))?,
@@ -45,21 +49,21 @@
     Ok(fleet)
 }
 
-/// Microseconds for a choice.
+/// Measures the time to choose a server, in microseconds.
 fn choice_us(policy: &str, servers: usize, rounds: u32) -> eyre::Result<f64> {
     let start = Instant::now();
-    let fleet = fleet(policy, servers)?;
+    let fleet = new_fleet(policy, servers)?;
     let part = |name: &str, tokens| -> eyre::Result<Part> {
         Ok(Part {
             id: id(name)?,
             tokens,
         })
     };
-    let count = CHECKED / servers;
-    let mut least = f64::INFINITY;
+    let choices = CHOICES_TIMES_SERVERS / servers;
+    let mut min_us = f64::INFINITY;
     for round in 0..rounds {
-        let began = std::time::Instant::now();
-        for number in 0..count {
+        let started = std::time::Instant::now();
+        for number in 0..choices {
             let request = id(&format!("{round}-{number}"))?;
             let parts = [
                 part("rules", 500)?,
@@ -82,22 +86,22 @@
             };
             drop(fleet.choose(&query));
         }
-        let us = began.elapsed().as_secs_f64() * 1e6 / count as f64;
-        least = least.min(us);
+        let us = started.elapsed().as_secs_f64() * 1e6 / choices as f64;
+        min_us = min_us.min(us);
     }
-    Ok(least)
+    Ok(min_us)
 }
 
-/// Measures all of it; `short` with one round.
+/// Runs the experiment, with only one round if `short`.
 pub fn measure(short: bool) -> eyre::Result<Value> {
-    let rounds = if short { 1 } else { ROUNDS };
+    let rounds = if short { 1 } else { ROUND_COUNT };
     let mut rows = Vec::new();
-    for servers in SERVERS {
-        let naive = choice_us("least_loaded", servers, rounds)?;
-        let whole = choice_us("cost", servers, rounds)?;
+    for servers in SERVER_COUNTS {
+        let least_loaded_us = choice_us("least_loaded", servers, rounds)?;
+        let cost_us = choice_us("cost", servers, rounds)?;
         rows.push(json!({
-            "servers": servers, "least_loaded_us": naive, "cost_us": whole,
-            "ratio": whole / naive,
+            "servers": servers, "least_loaded_us": least_loaded_us, "cost_us": cost_us,
+            "ratio": cost_us / least_loaded_us,
         }));
     }
     Ok(Value::Array(rows))
--- a/crates/gradedyke-load/src/listing.rs
+++ b/crates/gradedyke-load/src/listing.rs
@@ -1,19 +1,21 @@
-//! What a first listing of the platform's service costs who tells it, who is told it and
-//! the network, by the number of its keys. One thread, no network; the least of several
-//! rounds, because other work on the machine only adds.
+//! Measures the CPU time and bytes to send a copy of the platform's key-value service to a
+//! process that has none, by the number of keys.
+//!
+//! Uses one thread and no network. Reports the minimum of several rounds, because other work
+//! on the machine only makes a round slower.
 
 use gradedyke_turns::message::{self, Reply};
 use gradedyke_turns::mirror::{Cursor, Item, Mirror};
 use serde_json::{Value, json};
 use tokio::time::Instant;
 
-/// Keys, ten for each instance of a deployment.
-const SIZES: [usize; 4] = [1_000, 3_000, 10_000, 20_000];
-/// Rounds, of which the least counts.
-const ROUNDS: u32 = 5;
+/// Numbers of keys to measure with.
+const KEY_COUNTS: [usize; 4] = [1_000, 3_000, 10_000, 20_000];
+/// Number of rounds, of which the fastest is reported.
+const ROUND_COUNT: u32 = 5;
 
-/// An entry such as backend servers write.
-fn item(number: usize) -> Item {
+/// Returns an item like those with which backend servers register.
+fn registration(number: usize) -> Item {
     let (a, b) = (number / 250 % 250, number % 250);
     let id = blake3::hash(&number.to_le_bytes()).to_hex();
     let value = json!({
@@ -30,35 +32,36 @@
     }
 }
 
-/// Microseconds at who tells and at who is told, and bytes and pages between them.
+/// CPU time of sender and receiver, and the size of the listing.
 #[derive(Clone, Copy)]
 struct Costs {
-    telling_us: f64,
-    hearing_us: f64,
+    sender_us: f64,
+    receiver_us: f64,
     bytes: usize,
     pages: usize,
 }
 
-fn follow(source: &Mirror) -> eyre::Result<Costs> {
+/// Transfers all items of `source` to a new mirror, and returns the costs.
+fn transfer(source: &Mirror) -> eyre::Result<Costs> {
     let mirror = Mirror::new(&[""]);
     let mut cursor = Cursor::default();
     let mut items = Vec::new();
     let mut costs = Costs {
-        telling_us: 0.0,
-        hearing_us: 0.0,
+        sender_us: 0.0,
+        receiver_us: 0.0,
         bytes: 0,
         pages: 0,
     };
     loop {
         let now = Instant::now();
-        let began = std::time::Instant::now();
+        let started = std::time::Instant::now();
         let reply = message::encode(&Reply::News(source.update_since(&cursor, now, now)));
-        costs.telling_us += began.elapsed().as_secs_f64() * 1e6;
+        costs.sender_us += started.elapsed().as_secs_f64() * 1e6;
         costs.bytes += reply.len();
         costs.pages += 1;
-        let began = std::time::Instant::now();
+        let started = std::time::Instant::now();
         let Some(Reply::News(update)) = message::decode(&reply) else {
-            eyre::bail!("the reply is not understood");
+            eyre::bail!("the reply is not an update");
         };
         items.append(&mut update.items.decode()?);
         (cursor.boot, cursor.change, cursor.listing) = (update.boot, update.next, update.more);
@@ -66,37 +69,38 @@
         if !more {
             mirror.apply_update(update, std::mem::take(&mut items), now, now);
         }
-        costs.hearing_us += began.elapsed().as_secs_f64() * 1e6;
+        costs.receiver_us += started.elapsed().as_secs_f64() * 1e6;
         if !more {
             return Ok(costs);
         }
     }
 }
 
+/// Measures the transfer of a listing with `keys` keys.
 fn measure_one(keys: usize, rounds: u32) -> eyre::Result<Value> {
     let source = Mirror::new(&[""]);
-    let items = (0..keys).map(item).collect();
+    let items = (0..keys).map(registration).collect();
     source.apply_listing("", items, keys as u64, Instant::now());
-    let first = follow(&source)?;
-    let mut least = first;
+    let first = transfer(&source)?;
+    let mut min = first;
     for _ in 0..rounds {
-        let next = follow(&source)?;
-        least.telling_us = least.telling_us.min(next.telling_us);
-        least.hearing_us = least.hearing_us.min(next.hearing_us);
+        let next = transfer(&source)?;
+        min.sender_us = min.sender_us.min(next.sender_us);
+        min.receiver_us = min.receiver_us.min(next.receiver_us);
     }
     Ok(json!({
-        "keys": keys, "bytes": least.bytes, "pages": least.pages,
-        "telling_the_first_us": first.telling_us.round(),
-        "telling_us": least.telling_us.round(), "hearing_us": least.hearing_us.round(),
+        "keys": keys, "bytes": min.bytes, "pages": min.pages,
+        "telling_the_first_us": first.sender_us.round(),
+        "telling_us": min.sender_us.round(), "hearing_us": min.receiver_us.round(),
     }))
 }
 
-/// Measures a listing at each size.
+/// Runs the experiment, with only the smallest listing and one round if `short`.
 pub fn measure(short: bool) -> eyre::Result<Value> {
-    let (sizes, rounds) = match short {
-        true => (&SIZES[..1], 1),
-        false => (&SIZES[..], ROUNDS),
+    let (key_counts, rounds) = match short {
+        true => (&KEY_COUNTS[..1], 1),
+        false => (&KEY_COUNTS[..], ROUND_COUNT),
     };
-    let rows = sizes.iter().map(|keys| measure_one(*keys, rounds));
+    let rows = key_counts.iter().map(|keys| measure_one(*keys, rounds));
     Ok(Value::Array(rows.collect::<eyre::Result<_>>()?))
 }
--- a/crates/gradedyke-load/src/main.rs
+++ b/crates/gradedyke-load/src/main.rs
@@ -1,17 +1,18 @@
-//! The load and experiment tool: drives the real daemons against the stand-ins
-//! and prints what it measured as one JSON object.
+//! Load and experiment tool. Runs `gradedyke` processes against stand-in backend servers and
+//! a stand-in platform, or measures parts of the library directly, and prints the results as
+//! JSON.
 //!
-//! Times on a shared machine are noise; every experiment measures what it
-//! compares side by side in one run and gives ratios beside the raw figures.
+//! Absolute times vary on a shared machine. An experiment therefore measures the variants that
+//! it compares in the same run.
 
 mod decision;
+mod instance;
 mod listing;
 mod memory;
 mod overhead;
 mod placement;
 mod recovery;
 mod relay;
-mod server;
 mod takeover;
 mod usage;
 
@@ -23,53 +24,53 @@
 const HELP: &str = "\
 usage: gradedyke-load list | run NAME [--short]
 
-Runs an experiment and prints one JSON object. --short does little, to try it.
+Runs an experiment and prints one JSON object. --short does less work, for a quick trial.
 Load goes to 127.0.0.0/8 only and ends by itself. Build it and gradedyke with
 --release first; the tool starts the gradedyke beside it.
 ";
 
-/// The experiments, with what each one tells.
+/// Names and descriptions of the experiments.
 const EXPERIMENTS: [(&str, &str); 9] = [
     (
         "decision",
-        "processor time of a choice of a server, by the number of servers",
+        "CPU time of choosing a server, by the number of servers",
     ),
     (
         "listing",
-        "what a first listing of the platform's service costs, by the number of its keys",
+        "cost of the initial listing of the platform's key-value service, by the number of keys",
     ),
     (
         "overhead",
-        "a call through entry and owner against the same straight to the engine",
+        "overhead of a call through entry and owner compared with a direct call to the engine",
     ),
     (
         "placement",
-        "policies and their mechanisms over loads and engines, in a model",
+        "simulation of placement policies and their mechanisms with various loads and engines",
     ),
     (
         "recovery",
-        "from the start of a keeper over a full disk to its first answers",
+        "time from the start of a keeper with records on its disk to its first replies",
     ),
     (
         "relay",
-        "ways to carry a token stream between two processes",
+        "protocols for a token stream between two processes",
     ),
     (
         "takeover",
-        "from the kill of an owner to the first served call of its programs",
+        "time from the kill of an owner to the end of the next call of each program",
     ),
     (
         "usage",
-        "what the use of client accounts costs an exchange, by the deployment's size",
+        "cost of sharing the usage of client accounts, by the size of the deployment",
     ),
     (
         "memory",
-        "memory and journal of an owner by programs and history",
+        "memory of an owner by the number of programs and the length of their history",
     ),
 ];
 
 fn main() -> ExitCode {
-    match command() {
+    match run_command() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("gradedyke-load: {error:#}");
@@ -78,20 +79,20 @@
     }
 }
 
-fn command() -> eyre::Result<()> {
+fn run_command() -> eyre::Result<()> {
     let mut args = pico_args::Arguments::from_env();
     let short = args.contains("--short");
     match args.subcommand()?.as_deref() {
         Some("list") => {
-            for (name, tells) in EXPERIMENTS {
-                println!("{name}: {tells}");
+            for (name, description) in EXPERIMENTS {
+                println!("{name}: {description}");
             }
             Ok(())
         }
         Some("run") => {
             let name: String = args.free_from_str()?;
             let runtime = tokio::runtime::Runtime::new()?;
-            let result = runtime.block_on(run(&name, short))?;
+            let result = runtime.block_on(run_experiment(&name, short))?;
             println!("{result:#}");
             Ok(())
         }
@@ -102,7 +103,7 @@
     }
 }
 
-async fn run(name: &str, short: bool) -> eyre::Result<Value> {
+async fn run_experiment(name: &str, short: bool) -> eyre::Result<Value> {
     match name {
         "overhead" => overhead::run(short).await,
         "decision" => decision::measure(short),
@@ -113,6 +114,8 @@
         "takeover" => takeover::run(short).await,
         "usage" => usage::measure(short),
         "memory" => memory::run(short).await,
-        other => Err(eyre!("no experiment {other}; see gradedyke-load list")),
+        other => Err(eyre!(
+            "unknown experiment {other}; `gradedyke-load list` prints their names"
+        )),
     }
 }
--- a/crates/gradedyke-load/src/memory.rs
+++ b/crates/gradedyke-load/src/memory.rs
@@ -1,5 +1,5 @@
-//! Memory of an owner by programs and by history: the slopes that
-//! docs/CAPACITY.md works from.
+//! Measures the memory of an owner by the number of programs and by the length of their
+//! history, for the estimates in `docs/CAPACITY.md`.
 
 use std::time::Duration;
 
@@ -7,83 +7,89 @@
 use gradedyke_world::{KESTREL, chat, user};
 use serde_json::{Value, json};
 
-use crate::overhead::{apply, instance, world};
-use crate::server::Server;
+use crate::instance::Instance;
+use crate::overhead::{apply_settings, instance_settings, start_world};
 
-/// Longest time for one call.
-const TIME: Duration = Duration::from_secs(120);
-/// Programs opened at a time.
-const SIDE_BY_SIDE: usize = 64;
-/// Bytes of history in one message of the second slope.
+/// Timeout of one call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(120);
+/// Number of programs that are opened concurrently.
+const OPEN_CONCURRENCY: usize = 64;
+/// Size of one message of the history, in bytes.
 const MESSAGE_BYTES: usize = 200_000;
-/// Seconds over which an idle instance is watched.
-const IDLE: Duration = Duration::from_secs(10);
+/// How long an idle instance is observed.
+const IDLE_PERIOD: Duration = Duration::from_secs(10);
 
-/// Measures programs without history, then history without further programs,
-/// then what an idle instance uses.
+/// Measures an idle instance, then programs without history, then one program with a growing
+/// history. Uses fewer programs and messages if `short`.
 pub async fn run(short: bool) -> eyre::Result<Value> {
     let folder = tempfile::tempdir()?;
-    let world = world().await?;
-    let mut settings = instance(1, world.platform_address, 1, 5_000);
-    // Journal on disk, so that the memory is the owner's.
+    let world = start_world().await?;
+    let mut settings = instance_settings(1, world.platform_address, 1, 5_000);
+    // Keeps the journal on disk, out of the measured memory.
     settings["data_folder"] = json!(folder.path().join("data"));
-    let mut server = Server::start(&settings, folder.path())?;
-    apply(&world).await?;
-    server.ready()?;
-    let calls = world.platform.calls().values().sum::<u64>();
-    let before = server.cpu()?;
-    tokio::time::sleep(IDLE).await;
-    let idle_cpu = (server.cpu()? - before) / IDLE.as_secs_f64();
-    let idle_calls = world.platform.calls().values().sum::<u64>() - calls;
-    let empty = server.memory()?;
-    let caller = Caller::new(KESTREL, TIME);
-    let sizes: &[usize] = if short {
+    let mut instance = Instance::start(&settings, folder.path())?;
+    apply_settings(&world).await?;
+    instance.wait_until_ready()?;
+    let calls_before = world.platform.calls().values().sum::<u64>();
+    let cpu_before = instance.cpu_seconds()?;
+    tokio::time::sleep(IDLE_PERIOD).await;
+    let idle_cores = (instance.cpu_seconds()? - cpu_before) / IDLE_PERIOD.as_secs_f64();
+    let idle_calls = world.platform.calls().values().sum::<u64>() - calls_before;
+    let empty_bytes = instance.resident_bytes()?;
+    let caller = Caller::new(KESTREL, CALL_TIMEOUT);
+    let program_counts: &[usize] = if short {
         &[1_000]
     } else {
         &[1_000, 10_000, 50_000]
     };
     let mut rows = Vec::new();
     let mut opened = 0;
-    for size in sizes {
-        open(&caller, server.caller, opened..*size).await?;
-        opened = *size;
-        let bytes = server.memory()? - empty;
-        let each = bytes / opened as u64;
-        rows.push(json!({ "programs": opened, "bytes": bytes, "bytes_each": each }));
+    for count in program_counts {
+        open_programs(&caller, instance.caller_address, opened..*count).await?;
+        opened = *count;
+        let bytes = instance.resident_bytes()? - empty_bytes;
+        let bytes_each = bytes / opened as u64;
+        rows.push(json!({ "programs": opened, "bytes": bytes, "bytes_each": bytes_each }));
     }
-    let history = history(&caller, &server, if short { 4 } else { 40 }).await?;
+    let history = measure_history(&caller, &instance, if short { 4 } else { 40 }).await?;
     Ok(json!({
         "experiment": "memory",
-        "empty_instance_bytes": empty,
-        "idle_cores": idle_cpu,
-        "idle_key_value_calls_per_second": idle_calls as f64 / IDLE.as_secs_f64(),
+        "empty_instance_bytes": empty_bytes,
+        "idle_cores": idle_cores,
+        "idle_key_value_calls_per_second": idle_calls as f64 / IDLE_PERIOD.as_secs_f64(),
         "programs": rows,
         "history": history,
     }))
 }
 
-async fn open(
+/// Opens programs with the given numbers.
+async fn open_programs(
     caller: &Caller,
     entry: std::net::SocketAddr,
     numbers: std::ops::Range<usize>,
 ) -> eyre::Result<()> {
     let numbers: Vec<usize> = numbers.collect();
-    for part in numbers.chunks(SIDE_BY_SIDE) {
-        let opening = part.iter().map(|number| async move {
-            let opened = format!("memory-{number}");
-            caller.open(entry, "minutes", None, None, &opened).await
+    for batch in numbers.chunks(OPEN_CONCURRENCY) {
+        let opening = batch.iter().map(|number| async move {
+            let request = format!("memory-{number}");
+            caller.open(entry, "minutes", None, None, &request).await
         });
-        for opened in futures_util::future::join_all(opening).await {
-            opened?;
+        for result in futures_util::future::join_all(opening).await {
+            result?;
         }
     }
     Ok(())
 }
 
-async fn history(caller: &Caller, server: &Server, messages: usize) -> eyre::Result<Value> {
-    let program = caller.open(server.caller, "minutes", None, None, "history");
+/// Sends large messages in one program, and compares the growth of memory with their size.
+async fn measure_history(
+    caller: &Caller,
+    instance: &Instance,
+    messages: usize,
+) -> eyre::Result<Value> {
+    let program = caller.open(instance.caller_address, "minutes", None, None, "history");
     let program = program.await?;
-    let before = server.memory()?;
+    let before = instance.resident_bytes()?;
     let text = "word ".repeat(MESSAGE_BYTES / 5);
     for number in 0..messages {
         let options = Options {
@@ -91,13 +97,15 @@
             ..Options::request(number.to_string())
         };
         let body = chat(&[user(&text)]);
-        caller.chat(server.caller, &program, &body, options).await?;
+        caller
+            .chat(instance.caller_address, &program, &body, options)
+            .await?;
     }
-    let grown = server.memory()?.saturating_sub(before);
+    let growth = instance.resident_bytes()?.saturating_sub(before);
     let bytes = messages * MESSAGE_BYTES;
     Ok(json!({
         "history_bytes": bytes,
-        "memory_bytes": grown,
-        "ratio": grown as f64 / bytes as f64,
+        "memory_bytes": growth,
+        "ratio": growth as f64 / bytes as f64,
     }))
 }
--- a/crates/gradedyke-load/src/overhead.rs
+++ b/crates/gradedyke-load/src/overhead.rs
@@ -1,5 +1,5 @@
-//! What a call costs through entry and owner, against the same call straight to
-//! the stand-in engine, by the same client in the same run.
+//! Compares calls through entry and owner with direct calls to the stand-in engine, made by
+//! the same process in the same run.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,19 +13,24 @@
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
 
-use crate::server::Server;
+use crate::instance::Instance;
 
-/// Longest time for one call.
-const TIME: Duration = Duration::from_secs(60);
-/// Calls of one program before the next one is opened.
-const TURNS: u64 = 10;
-/// Streams whose memory is measured.
-const OPEN: usize = 1_000;
+/// Timeout of one call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(60);
+/// Number of calls in one program.
+const TURNS_PER_PROGRAM: u64 = 10;
+/// Number of open streams whose memory is measured.
+const OPEN_STREAM_COUNT: usize = 1_000;
 /// Nanoseconds in a microsecond.
-const NANOS: u64 = 1_000;
+const NANOS_PER_MICRO: u64 = 1_000;
 
-/// Settings of an instance for measurements.
-pub fn instance(number: usize, platform: SocketAddr, copies: usize, lease_ms: u64) -> Value {
+/// Returns the settings of an instance with all roles.
+pub fn instance_settings(
+    number: usize,
+    platform: SocketAddr,
+    copies: usize,
+    lease_ms: u64,
+) -> Value {
     json!({
         "id": format!("load-{number}"),
         "deployment": "load",
@@ -39,11 +44,11 @@
     })
 }
 
-/// Puts a world's tree in force without an instance of its own.
-pub async fn apply(world: &World) -> eyre::Result<()> {
+/// Writes a world's settings tree to its platform.
+pub async fn apply_settings(world: &World) -> eyre::Result<()> {
     let kv = gradedyke_platform::etcd::Etcd::new(gradedyke_platform::etcd::Config {
         addresses: vec![world.platform_address],
-        time: TIME,
+        time: CALL_TIMEOUT,
     });
     let tree = gradedyke_base::settings::check::read("load", &world.tree.to_string());
     let tree = tree.map_err(|e| eyre::eyre!("{e:?}"))?;
@@ -51,8 +56,8 @@
     Ok(())
 }
 
-/// Stand-ins for measurements: engines that cost as little as they can.
-pub async fn world() -> eyre::Result<World> {
+/// Starts a stand-in platform and one engine that uses as little CPU time as possible.
+pub async fn start_world() -> eyre::Result<World> {
     let engine = engine::Config {
         batch: 4_096,
         cache_tokens: u64::MAX / 2,
@@ -69,39 +74,46 @@
     Ok(world)
 }
 
-/// Latencies of the calls of one run, and how long it took.
-struct Run {
+/// Latencies in nanoseconds of the calls of one run, and its duration.
+struct LoadResult {
     latencies: Histogram<u64>,
     seconds: f64,
 }
 
-impl Run {
-    fn micros(&self, quantile: f64) -> u64 {
-        self.latencies.value_at_quantile(quantile) / NANOS
+impl LoadResult {
+    /// Returns a quantile of the latencies in microseconds.
+    fn quantile_us(&self, quantile: f64) -> u64 {
+        self.latencies.value_at_quantile(quantile) / NANOS_PER_MICRO
     }
 
-    fn rate(&self) -> f64 {
+    /// Returns the number of calls per second.
+    fn calls_per_second(&self) -> f64 {
         self.latencies.len() as f64 / self.seconds
     }
 }
 
-/// Calls by `workers` at a time, each call after the one before, until `time`
-/// is over. `rate` bounds the calls a second of all together.
-async fn load<F, G>(workers: usize, time: Duration, rate: f64, call: F) -> eyre::Result<Run>
+/// Runs `workers` concurrent workers for `duration`, each of which makes one call at a time.
+/// `max_rate` limits the calls per second of all workers together.
+async fn generate_load<F, G>(
+    workers: usize,
+    duration: Duration,
+    max_rate: f64,
+    call: F,
+) -> eyre::Result<LoadResult>
 where
     F: Fn(usize, u64) -> G + Send + Sync + 'static,
     G: Future<Output = eyre::Result<()>> + Send,
 {
     let call = Arc::new(call);
-    let began = Instant::now();
-    let pause = Duration::from_secs_f64(workers as f64 / rate);
-    let running = (0..workers).map(|worker| {
+    let started = Instant::now();
+    let pause = Duration::from_secs_f64(workers as f64 / max_rate);
+    let tasks = (0..workers).map(|worker| {
         let call = call.clone();
         tokio::spawn(async move {
             let mut latencies = Histogram::<u64>::new(3)?;
             let mut due = Instant::now() + pause.mul_f64(worker as f64 / workers as f64);
             for number in 0.. {
-                if began.elapsed() >= time {
+                if started.elapsed() >= duration {
                     break;
                 }
                 if due > Instant::now() {
@@ -116,47 +128,51 @@
             eyre::Ok(latencies)
         })
     });
-    let running: Vec<_> = running.collect();
+    let tasks: Vec<_> = tasks.collect();
     let mut latencies = Histogram::<u64>::new(3)?;
-    for worker in running {
-        latencies.add(worker.await??)?;
+    for task in tasks {
+        latencies.add(task.await??)?;
     }
-    let seconds = began.elapsed().as_secs_f64();
-    Ok(Run { latencies, seconds })
+    let seconds = started.elapsed().as_secs_f64();
+    Ok(LoadResult { latencies, seconds })
 }
 
-/// A call straight to the engine.
-async fn direct(
+/// Makes a direct call to the engine.
+async fn call_directly(
     client: gradedyke_http::Client,
     engine: SocketAddr,
-    name: String,
+    request_id: String,
 ) -> eyre::Result<()> {
     let mut body = chat(&[user("Draft.")]);
     body["max_tokens"] = json!(4);
     let body = gradedyke_http::body::full(body.to_string());
     let path = "/v1/chat/completions";
     let mut request = gradedyke_http::client::build(http::Method::POST, engine, path, body)?;
-    request.headers_mut().insert("x-request-id", name.parse()?);
-    client.whole(engine, request, TIME).await?;
+    request
+        .headers_mut()
+        .insert("x-request-id", request_id.parse()?);
+    client.whole(engine, request, CALL_TIMEOUT).await?;
     Ok(())
 }
 
-/// A call through entry and owner, in a program of [`TURNS`] calls.
-async fn through(
+/// Makes a call through entry and owner. The worker opens a new program every
+/// [`TURNS_PER_PROGRAM`] calls.
+async fn call_through_entry(
     caller: Caller,
     entry: SocketAddr,
-    run: String,
+    tag: String,
     worker: usize,
     number: u64,
 ) -> eyre::Result<()> {
-    let opened = format!("{run}-{worker}-{}", number / TURNS);
-    // Opening is no part of a call, but a repeat of it is cheap; only the first
-    // call of a program pays for it.
+    let opening_request = format!("{tag}-{worker}-{}", number / TURNS_PER_PROGRAM);
+    // The program's ID follows from the request that opens it.
     let account = gradedyke_base::id::Account::parse("kestrel")?;
-    let request = gradedyke_base::id::Request::parse(&opened)?;
+    let request = gradedyke_base::id::Request::parse(&opening_request)?;
     let program = gradedyke_base::id::Program::opened(&account, &request).to_string();
-    if number.is_multiple_of(TURNS) {
-        caller.open(entry, "minutes", None, None, &opened).await?;
+    if number.is_multiple_of(TURNS_PER_PROGRAM) {
+        caller
+            .open(entry, "minutes", None, None, &opening_request)
+            .await?;
     }
     let options = Options {
         append: true,
@@ -165,40 +181,41 @@
     caller
         .chat(entry, &program, &chat(&[user("Draft.")]), options)
         .await?;
-    if number % TURNS == TURNS - 1 {
+    if number % TURNS_PER_PROGRAM == TURNS_PER_PROGRAM - 1 {
         caller.program(entry, &program, "end").await?;
     }
     Ok(())
 }
 
-/// Measures at 1, 64 and 1,000 calls at a time, and at half the full load.
+/// Runs the experiment with 1, 64 and 1,000 concurrent calls, then with half as many calls per
+/// second as the instance handles per core. Each measurement is shorter if `short`.
 pub async fn run(short: bool) -> eyre::Result<Value> {
-    let time = Duration::from_secs(if short { 1 } else { 6 });
+    let duration = Duration::from_secs(if short { 1 } else { 6 });
     let folder = tempfile::tempdir()?;
-    let world = world().await?;
-    let mut server = Server::start(
-        &instance(1, world.platform_address, 1, 5_000),
+    let world = start_world().await?;
+    let mut instance = Instance::start(
+        &instance_settings(1, world.platform_address, 1, 5_000),
         folder.path(),
     )?;
-    apply(&world).await?;
-    server.ready()?;
+    apply_settings(&world).await?;
+    instance.wait_until_ready()?;
     let engine = world.tree["backends"]["engine-1"]["address"].as_str();
-    let engine: SocketAddr = engine.ok_or_eyre("no engine")?.parse()?;
+    let engine: SocketAddr = engine.ok_or_eyre("the world has no engine")?.parse()?;
     let mut rows = Vec::new();
-    let mut full = 0.0_f64;
+    let mut max_per_core = 0.0_f64;
     for workers in [1, 64, 1_000] {
-        eprintln!("{workers} at a time");
-        let row = compare(&server, engine, workers, time, f64::MAX).await?;
-        full = full.max(row["calls_per_core_second"].as_f64().unwrap_or(0.0));
+        eprintln!("{workers} concurrent calls");
+        let row = compare(&instance, engine, workers, duration, f64::MAX).await?;
+        max_per_core = max_per_core.max(row["calls_per_core_second"].as_f64().unwrap_or(0.0));
         rows.push(row);
     }
     eprintln!("half load");
-    let half = compare(&server, engine, 64, time, full / 2.0).await?;
+    let half = compare(&instance, engine, 64, duration, max_per_core / 2.0).await?;
     eprintln!("open streams");
-    let bytes = bytes_per_stream(&server, &world).await?;
+    let bytes = bytes_per_stream(&instance, &world).await?;
     Ok(json!({
         "experiment": "overhead",
-        "turns_per_program": TURNS,
+        "turns_per_program": TURNS_PER_PROGRAM,
         "rows": rows,
         "half_load": half,
         "bytes_per_open_stream": bytes,
@@ -209,69 +226,86 @@
     }))
 }
 
+/// Measures direct calls and then calls through entry and owner, with the same concurrency and
+/// maximum rate.
 async fn compare(
-    server: &Server,
+    instance: &Instance,
     engine: SocketAddr,
     workers: usize,
-    time: Duration,
-    rate: f64,
+    duration: Duration,
+    max_rate: f64,
 ) -> eyre::Result<Value> {
     let tag = gradedyke_base::id::Request::fresh().to_string();
     let client = gradedyke_http::Client::new(&gradedyke_http::client::Config::default());
-    let name = tag.clone();
-    let straight = load(workers, time, rate, move |worker, number| {
-        direct(client.clone(), engine, format!("{name}-{worker}-{number}"))
+    let direct_tag = tag.clone();
+    let direct = generate_load(workers, duration, max_rate, move |worker, number| {
+        call_directly(
+            client.clone(),
+            engine,
+            format!("{direct_tag}-{worker}-{number}"),
+        )
     });
-    let straight = straight.await?;
-    let caller = Caller::new(KESTREL, TIME);
-    let entry = server.caller;
-    let before = server.cpu()?;
-    let relayed = load(workers, time, rate, move |worker, number| {
-        through(caller.clone(), entry, tag.clone(), worker, number)
+    let direct = direct.await?;
+    let caller = Caller::new(KESTREL, CALL_TIMEOUT);
+    let entry = instance.caller_address;
+    let cpu_before = instance.cpu_seconds()?;
+    let relayed = generate_load(workers, duration, max_rate, move |worker, number| {
+        call_through_entry(caller.clone(), entry, tag.clone(), worker, number)
     });
     let relayed = relayed.await?;
-    let cpu = server.cpu()? - before;
+    let cpu_seconds = instance.cpu_seconds()? - cpu_before;
     let calls = relayed.latencies.len() as f64;
     Ok(json!({
         "concurrent": workers,
-        "direct_p50_us": straight.micros(0.5),
-        "direct_p99_us": straight.micros(0.99),
-        "relayed_p50_us": relayed.micros(0.5),
-        "relayed_p99_us": relayed.micros(0.99),
-        "added_p50_us": relayed.micros(0.5) as i64 - straight.micros(0.5) as i64,
-        "added_p99_us": relayed.micros(0.99) as i64 - straight.micros(0.99) as i64,
-        "direct_calls_per_second": straight.rate().round(),
-        "relayed_calls_per_second": relayed.rate().round(),
-        "rate_ratio": relayed.rate() / straight.rate(),
-        "instance_cores": cpu / relayed.seconds,
-        "cpu_us_per_call": (cpu * 1e6 / calls).round(),
-        "calls_per_core_second": (calls / cpu).round(),
+        "direct_p50_us": direct.quantile_us(0.5),
+        "direct_p99_us": direct.quantile_us(0.99),
+        "relayed_p50_us": relayed.quantile_us(0.5),
+        "relayed_p99_us": relayed.quantile_us(0.99),
+        "added_p50_us": relayed.quantile_us(0.5) as i64 - direct.quantile_us(0.5) as i64,
+        "added_p99_us": relayed.quantile_us(0.99) as i64 - direct.quantile_us(0.99) as i64,
+        "direct_calls_per_second": direct.calls_per_second().round(),
+        "relayed_calls_per_second": relayed.calls_per_second().round(),
+        "rate_ratio": relayed.calls_per_second() / direct.calls_per_second(),
+        "instance_cores": cpu_seconds / relayed.seconds,
+        "cpu_us_per_call": (cpu_seconds * 1e6 / calls).round(),
+        "calls_per_core_second": (calls / cpu_seconds).round(),
     }))
 }
 
-/// Memory of the instance for each stream that is open and waits for tokens.
-async fn bytes_per_stream(server: &Server, world: &World) -> eyre::Result<u64> {
-    let caller = Caller::new(KESTREL, TIME);
+/// Measures the memory that the instance uses for each open stream that waits for tokens.
+async fn bytes_per_stream(instance: &Instance, world: &World) -> eyre::Result<u64> {
+    let caller = Caller::new(KESTREL, CALL_TIMEOUT);
     let mut programs = Vec::new();
-    for number in 0..OPEN {
-        let opened = format!("open-stream-{number}");
-        let opening = caller.open(server.caller, "minutes", None, None, &opened);
+    for number in 0..OPEN_STREAM_COUNT {
+        let opening_request = format!("open-stream-{number}");
+        let opening = caller.open(
+            instance.caller_address,
+            "minutes",
+            None,
+            None,
+            &opening_request,
+        );
         programs.push(opening.await?);
     }
-    let before = server.memory()?;
+    let bytes_before = instance.resident_bytes()?;
     world.engines[0].hold_at(Some(1));
     let mut streams = Vec::new();
     for program in &programs {
         let body = chat(&[user("Draft.")]);
-        let opening = caller.stream(server.caller, program, &body, Options::request("held"));
+        let opening = caller.stream(
+            instance.caller_address,
+            program,
+            &body,
+            Options::request("held"),
+        );
         let mut stream = opening.await?;
         stream.next().await?;
         streams.push(stream);
     }
-    let during = server.memory()?;
+    let bytes_with_streams = instance.resident_bytes()?;
     world.engines[0].hold_at(None);
     for stream in streams {
         stream.rest().await?;
     }
-    Ok(during.saturating_sub(before) / OPEN as u64)
+    Ok(bytes_with_streams.saturating_sub(bytes_before) / OPEN_STREAM_COUNT as u64)
 }
--- a/crates/gradedyke-load/src/recovery.rs
+++ b/crates/gradedyke-load/src/recovery.rs
@@ -1,6 +1,8 @@
-//! Time from the start of a keeper over a full disk to its first answers, by the
-//! number of records. One process, no network; the disk's files are in the
-//! machine's cache, so this is the processor's part of it.
+//! Measures the time from the start of a keeper with records on its disk to its first replies,
+//! by the number of records.
+//!
+//! Uses one process and no network. The files are in the page cache, so the time does not
+//! include reads from a physical disk.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -21,100 +23,106 @@
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
 
-/// Records on the disk: half a minute of a small deployment, of one with three
-/// hundred instances, and ten times that.
-const RECORDS: [usize; 3] = [10_000, 100_000, 1_000_000];
-/// Turns of a program, each with a reservation of its own.
-const TURNS: usize = 4;
-/// Bytes of a turn: 25 MB in 44,700 turns, as a keeper held after 34 s of 150
-/// programs a second.
-const BODY: usize = 560;
-/// Records appended at a time.
-const BATCH: usize = 4_096;
-/// Share of a core that a keeper has in the deployments of today.
-const CORE: f64 = 0.3;
+/// Numbers of records to measure with.
+const RECORD_COUNTS: [usize; 3] = [10_000, 100_000, 1_000_000];
+/// Number of turns in a program. Each turn has two records.
+const TURNS_PER_PROGRAM: usize = 4;
+/// Size of the input of a turn, in bytes.
+const TURN_INPUT_BYTES: usize = 560;
+/// Number of records that are appended concurrently.
+const APPEND_BATCH_LEN: usize = 4_096;
+/// CPU share of a keeper, in cores, for which a projected time is reported.
+const KEEPER_CORES: f64 = 0.3;
 
 fn id(text: &str) -> eyre::Result<Id> {
-    Id::parse(text).ok_or_else(|| eyre!("{text} is no name"))
+    Id::parse(text).ok_or_else(|| eyre!("invalid ID: {text}"))
 }
 
-fn program(number: usize) -> eyre::Result<Id> {
+/// Returns the ID of a program. IDs are spread evenly.
+fn program_id(number: usize) -> eyre::Result<Id> {
     id(&format!(
         "{:016x}",
         number.wrapping_mul(0x9e37_79b9_7f4a_7c15)
     ))
 }
 
-fn request(program: usize, turn: usize) -> eyre::Result<Id> {
-    let mixed = (program * TURNS + turn).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    id(&format!("{mixed:016x}"))
+/// Returns the ID of a program's request. IDs are spread evenly.
+fn request_id(program: usize, turn: usize) -> eyre::Result<Id> {
+    let hash = (program * TURNS_PER_PROGRAM + turn).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    id(&format!("{hash:016x}"))
 }
 
-/// The two records of a turn.
-fn records(number: usize, turn: usize) -> eyre::Result<[Record; 2]> {
-    let reserved = Reserved {
-        program: program(number)?,
-        request: request(number, turn)?,
+/// Returns the reservation and the turn record of a program's turn.
+fn turn_records(program: usize, turn: usize) -> eyre::Result<[Record; 2]> {
+    let reservation = Reserved {
+        program: program_id(program)?,
+        request: request_id(program, turn)?,
         tokens: 50,
         keep_ms: 60_000,
     };
     let parent = match turn {
         0 => None,
-        _ => Some(request(number, turn - 1)?),
+        _ => Some(request_id(program, turn - 1)?),
     };
-    let kept = Turn {
-        request: request(number, turn)?,
+    let turn_record = Turn {
+        request: request_id(program, turn)?,
         parent,
-        input: Bytes::from(vec![b'x'; BODY]),
+        input: Bytes::from(vec![b'x'; TURN_INPUT_BYTES]),
         output: Bytes::new(),
         server: id("i-0123456789")?,
-        program: Some(program(number)?),
+        program: Some(program_id(program)?),
         tokens: 30,
         keep_ms: 60_000,
     };
-    Ok([Record::Reserved(reserved), Record::Turn(kept)])
+    Ok([Record::Reserved(reservation), Record::Turn(turn_record)])
 }
 
-async fn fill(folder: &Path, count: usize) -> eyre::Result<usize> {
+/// Writes `count` records to a new disk in `folder`, and returns the number of programs.
+async fn write_records(folder: &Path, count: usize) -> eyre::Result<usize> {
     drop(Replica::open(
         folder,
         Mirror::new(&[]),
         CancellationToken::new(),
     )?);
     let log = Log::open(folder)?.0;
-    let programs = count / (2 * TURNS);
+    let programs = count / (2 * TURNS_PER_PROGRAM);
     let mut batch = Vec::new();
-    // Turn by turn, so that a program's records lie far apart, as in service.
-    for turn in 0..TURNS {
-        for number in 0..programs {
-            batch.extend(records(number, turn)?);
-            if batch.len() >= BATCH {
-                append(&log, &mut batch).await?;
+    // Interleaves the programs, as concurrent programs do in service.
+    for turn in 0..TURNS_PER_PROGRAM {
+        for program in 0..programs {
+            batch.extend(turn_records(program, turn)?);
+            if batch.len() >= APPEND_BATCH_LEN {
+                append_batch(&log, &mut batch).await?;
             }
         }
     }
-    append(&log, &mut batch).await?;
+    append_batch(&log, &mut batch).await?;
     Ok(programs)
 }
 
-async fn append(log: &Log, batch: &mut Vec<Record>) -> eyre::Result<()> {
-    let appended = join_all(batch.iter().map(|r| log.append(r))).await;
-    appended.into_iter().collect::<Result<Vec<_>, _>>()?;
+/// Appends the records of a batch to the log, and clears the batch.
+async fn append_batch(log: &Log, batch: &mut Vec<Record>) -> eyre::Result<()> {
+    let results = join_all(batch.iter().map(|r| log.append(r))).await;
+    results.into_iter().collect::<Result<Vec<_>, _>>()?;
     batch.clear();
     Ok(())
 }
 
-/// Asks for a turn, and tells whether the conversation it continues was told.
-async fn begin(dispatcher: &Dispatcher, program: Id, parent: Option<Id>) -> eyre::Result<bool> {
-    let reserve = Reserved {
+/// Begins a turn, and returns whether the reply contains the conversation that it continues.
+async fn begin_turn(
+    dispatcher: &Dispatcher,
+    program: Id,
+    parent: Option<Id>,
+) -> eyre::Result<bool> {
+    let reservation = Reserved {
         program,
         request: id("new")?,
         tokens: 50,
         keep_ms: 60_000,
     };
-    let begin = Request::Begin(Begin {
+    let request = Request::Begin(Begin {
         view: 0,
-        reserve: Some(reserve),
+        reserve: Some(reservation),
         parent,
         nearest: true,
         load: Report::default(),
@@ -123,48 +131,52 @@
         patience_ms: 1_000,
     });
     let reply = dispatcher
-        .handle(message::encode(&begin), Instant::now().into())
+        .handle(message::encode(&request), Instant::now().into())
         .await;
     match message::decode(&reply) {
         Some(Reply::Began { parent, .. }) => Ok(matches!(parent, Some(Found::Whole(_)))),
-        reply => Err(eyre!("not begun: {reply:?}")),
+        reply => Err(eyre!(
+            "unexpected reply to the request to begin a turn: {reply:?}"
+        )),
     }
 }
 
-fn ms(since: Instant) -> f64 {
+fn elapsed_ms(since: Instant) -> f64 {
     since.elapsed().as_secs_f64() * 1e3
 }
 
-async fn one(count: usize) -> eyre::Result<Value> {
+/// Measures with `count` records.
+async fn measure_one(count: usize) -> eyre::Result<Value> {
     let folder = tempfile::tempdir()?;
-    let programs = fill(folder.path(), count).await?;
-    let began = Instant::now();
+    let programs = write_records(folder.path(), count).await?;
+    let started = Instant::now();
     let stop = CancellationToken::new();
     let mirror = Mirror::new(&[]);
     let replica = Replica::open(folder.path(), mirror.clone(), stop)?;
-    let opened_ms = ms(began);
+    let opened_ms = elapsed_ms(started);
     let (_ready, receiver) = watch::channel(Some(replica));
     let dispatcher = Arc::new(Dispatcher::new(mirror, receiver));
-    begin(&dispatcher, id("unheard-of")?, None).await?;
-    let new_ms = ms(began);
-    let last = request(programs / 2, TURNS - 1)?;
-    let told = begin(&dispatcher, program(programs / 2)?, Some(last)).await?;
-    if !told {
-        return Err(eyre!("the conversation was not told"));
+    begin_turn(&dispatcher, id("unheard-of")?, None).await?;
+    let new_program_ms = elapsed_ms(started);
+    let last = request_id(programs / 2, TURNS_PER_PROGRAM - 1)?;
+    let has_conversation = begin_turn(&dispatcher, program_id(programs / 2)?, Some(last)).await?;
+    if !has_conversation {
+        return Err(eyre!("the reply contains no conversation"));
     }
-    let old_ms = ms(began);
+    let old_program_ms = elapsed_ms(started);
     Ok(json!({
-        "records": count, "opened_ms": opened_ms, "new_program_ms": new_ms,
-        "old_program_ms": old_ms, "old_program_ms_at_0.3_of_a_core": old_ms / CORE,
+        "records": count, "opened_ms": opened_ms, "new_program_ms": new_program_ms,
+        "old_program_ms": old_program_ms,
+        "old_program_ms_at_0.3_of_a_core": old_program_ms / KEEPER_CORES,
     }))
 }
 
-/// Measures all of it; `short` without the longest history.
+/// Runs the experiment, with only the smallest number of records if `short`.
 pub async fn run(short: bool) -> eyre::Result<Value> {
-    let most = if short { 1 } else { RECORDS.len() };
+    let sizes = if short { 1 } else { RECORD_COUNTS.len() };
     let mut rows = Vec::new();
-    for count in &RECORDS[..most] {
-        rows.push(one(*count).await?);
+    for count in &RECORD_COUNTS[..sizes] {
+        rows.push(measure_one(*count).await?);
     }
     Ok(Value::Array(rows))
 }
--- a/crates/gradedyke-load/src/relay.rs
+++ b/crates/gradedyke-load/src/relay.rs
@@ -1,10 +1,8 @@
-//! Ways to carry a token stream between two processes: the measurement behind
-//! the choice for the hop from owner to entry.
+//! Compares protocols for a token stream between two processes, such as from owner to entry.
 //!
-//! The same tokens go over loopback as a JSON-RPC subscription of jsonrpsee over
-//! WebSocket, and as length-delimited frames in the body of one HTTP reply, over
-//! HTTP/1.1 and over HTTP/2. Both ends run in this process; the processor time
-//! is that of both together.
+//! The same tokens are sent over loopback as a JSON-RPC subscription of jsonrpsee over
+//! WebSocket, and as length-delimited frames in the body of one HTTP response, over HTTP/1.1
+//! and over HTTP/2. Client and server run in this process, so the CPU time is that of both.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -23,27 +21,27 @@
 use serde_json::{Value, json};
 use tokio_util::sync::CancellationToken;
 
-use crate::server::cpu;
+use crate::instance::cpu_seconds;
 
-/// Streams at a time.
-const STREAMS: usize = 64;
-/// A token's text.
-const TOKEN: &str = "council ";
+/// Number of concurrent streams.
+const STREAM_COUNT: usize = 64;
+/// Text of each token.
+const TOKEN_TEXT: &str = "council ";
 
-/// Serves streams of frames.
-struct Frames {
+/// Responds to each request with a stream of frames.
+struct FrameHandler {
     tokens: usize,
 }
 
 #[async_trait]
-impl Handler for Frames {
+impl Handler for FrameHandler {
     async fn handle(&self, _: Request<Incoming>) -> Response<Body> {
         let (sender, body) = body::channel(2);
         let tokens = self.tokens;
         tokio::spawn(async move {
             for number in 0..tokens {
-                let offset = (number * TOKEN.len()) as u64;
-                let Ok(bytes) = Frame::Text(offset, TOKEN.to_owned()).encode() else {
+                let offset = (number * TOKEN_TEXT.len()) as u64;
+                let Ok(bytes) = Frame::Text(offset, TOKEN_TEXT.to_owned()).encode() else {
                     return;
                 };
                 if sender.send(Ok(bytes)).await.is_err() {
@@ -56,7 +54,8 @@
     }
 }
 
-async fn frames(tokens: usize, http2: bool) -> eyre::Result<(f64, f64)> {
+/// Measures frames in an HTTP response. Returns the values of [`measure`].
+async fn measure_frames(tokens: usize, http2: bool) -> eyre::Result<(f64, f64)> {
     let config = Config {
         protocol: Protocol::Both,
         ..Config::default()
@@ -64,7 +63,7 @@
     let server = Server::bind(loopback(), config).await?;
     let address = server.address()?;
     let stop = CancellationToken::new();
-    tokio::spawn(server.serve(Arc::new(Frames { tokens }), stop.clone()));
+    tokio::spawn(server.serve(Arc::new(FrameHandler { tokens }), stop.clone()));
     let config = client::Config {
         http2,
         ..client::Config::default()
@@ -76,16 +75,16 @@
             let request = client::build(Method::GET, address, "/", body::empty())?;
             let mut incoming = client.send(address, request).await?.into_body();
             let mut reader = Reader::new();
-            let mut got = 0;
+            let mut received = 0;
             while let Some(frame) = incoming.frame().await {
                 if let Ok(data) = frame?.into_data() {
                     reader.feed(&data);
                 }
                 while reader.next()?.is_some() {
-                    got += 1;
+                    received += 1;
                 }
             }
-            Ok(got)
+            Ok(received)
         }
     });
     let measured = measured.await?;
@@ -93,7 +92,8 @@
     Ok(measured)
 }
 
-async fn json_rpc(tokens: usize) -> eyre::Result<(f64, f64)> {
+/// Measures a JSON-RPC subscription. Returns the values of [`measure`].
+async fn measure_json_rpc(tokens: usize) -> eyre::Result<(f64, f64)> {
     let mut module = RpcModule::new(());
     module.register_subscription(
         "call",
@@ -102,8 +102,8 @@
         move |_, pending, _, _| async move {
             let sink = pending.accept().await?;
             for number in 0..tokens {
-                let offset = number * TOKEN.len();
-                let message = serde_json::value::to_raw_value(&(offset, TOKEN))?;
+                let offset = number * TOKEN_TEXT.len();
+                let message = serde_json::value::to_raw_value(&(offset, TOKEN_TEXT))?;
                 sink.send(message).await?;
                 tokio::task::yield_now().await;
             }
@@ -117,7 +117,7 @@
     let handle = server.start(module);
     let client = WsClientBuilder::default()
         .max_buffer_capacity_per_subscription(tokens + 1)
-        .max_concurrent_requests(STREAMS * 2)
+        .max_concurrent_requests(STREAM_COUNT * 2)
         .build(&url)
         .await?;
     let client = Arc::new(client);
@@ -126,15 +126,15 @@
         async move {
             let subscribing = client.subscribe("call", jsonrpsee::rpc_params![], "cancel");
             let mut subscription: Subscription<(usize, String)> = subscribing.await?;
-            let mut got = 0;
-            while got < tokens {
+            let mut received = 0;
+            while received < tokens {
                 let Some(token) = subscription.next().await else {
                     break;
                 };
                 token?;
-                got += 1;
+                received += 1;
             }
-            Ok(got)
+            Ok(received)
         }
     });
     let measured = measured.await?;
@@ -142,41 +142,43 @@
     Ok(measured)
 }
 
-/// Runs the streams beside each other; returns tokens a second and processor
-/// time for each token, in microseconds.
+/// Runs [`STREAM_COUNT`] concurrent streams. Returns the tokens per second, and the CPU time per
+/// token in microseconds.
 async fn measure<F, G>(stream: F) -> eyre::Result<(f64, f64)>
 where
     F: Fn() -> G,
     G: Future<Output = eyre::Result<usize>> + Send + 'static,
 {
-    let own = std::process::id();
-    let began = Instant::now();
-    let before = cpu(own)?;
-    let streams: Vec<_> = (0..STREAMS).map(|_| tokio::spawn(stream())).collect();
+    let pid = std::process::id();
+    let started = Instant::now();
+    let cpu_before = cpu_seconds(pid)?;
+    let streams: Vec<_> = (0..STREAM_COUNT).map(|_| tokio::spawn(stream())).collect();
     let mut tokens = 0;
     for stream in streams {
         tokens += tokio::time::timeout(Duration::from_secs(120), stream).await???;
     }
-    let spent = cpu(own)? - before;
-    let rate = tokens as f64 / began.elapsed().as_secs_f64();
-    Ok((rate, spent * 1e6 / tokens as f64))
+    let cpu_used = cpu_seconds(pid)? - cpu_before;
+    let rate = tokens as f64 / started.elapsed().as_secs_f64();
+    Ok((rate, cpu_used * 1e6 / tokens as f64))
 }
 
-/// Measures the three ways, in turns, three times over.
+/// Runs three rounds that measure each protocol. Sends fewer tokens if `short`.
 pub async fn run(short: bool) -> eyre::Result<Value> {
     let tokens = if short { 200 } else { 4_000 };
     let mut rounds = Vec::new();
     for _ in 0..3 {
-        let (rpc, rpc_cpu) = json_rpc(tokens).await?;
-        let (one, one_cpu) = frames(tokens, false).await?;
-        let (two, two_cpu) = frames(tokens, true).await?;
+        let (rpc, rpc_cpu) = measure_json_rpc(tokens).await?;
+        let (http1, http1_cpu) = measure_frames(tokens, false).await?;
+        let (http2, http2_cpu) = measure_frames(tokens, true).await?;
         rounds.push(json!({
             "json_rpc": { "tokens_per_second": rpc.round(), "cpu_us_per_token": rpc_cpu },
-            "http1_frames": { "tokens_per_second": one.round(), "cpu_us_per_token": one_cpu },
-            "http2_frames": { "tokens_per_second": two.round(), "cpu_us_per_token": two_cpu },
-            "http1_to_json_rpc": one / rpc,
-            "http2_to_json_rpc": two / rpc,
+            "http1_frames": { "tokens_per_second": http1.round(), "cpu_us_per_token": http1_cpu },
+            "http2_frames": { "tokens_per_second": http2.round(), "cpu_us_per_token": http2_cpu },
+            "http1_to_json_rpc": http1 / rpc,
+            "http2_to_json_rpc": http2 / rpc,
         }));
     }
-    Ok(json!({ "experiment": "relay", "streams": STREAMS, "tokens": tokens, "rounds": rounds }))
+    Ok(json!({
+        "experiment": "relay", "streams": STREAM_COUNT, "tokens": tokens, "rounds": rounds
+    }))
 }
--- a/crates/gradedyke-load/src/takeover.rs
+++ b/crates/gradedyke-load/src/takeover.rs
@@ -1,4 +1,4 @@
-//! From the kill of an owner to the first served call of its programs.
+//! Measures the time from the kill of an instance to the end of the next call of each program.
 
 use std::time::{Duration, Instant};
 
@@ -8,32 +8,31 @@
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
 
-use crate::overhead::{apply, instance, world};
-use crate::server::Server;
+use crate::instance::Instance;
+use crate::overhead::{apply_settings, instance_settings, start_world};
 
-/// Longest time for one call.
-const TIME: Duration = Duration::from_secs(60);
-/// Length of the leases, in milliseconds.
+/// Timeout of one call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(60);
+/// Duration of the leases, in milliseconds.
 const LEASE_MS: u64 = 2_000;
-/// Programs whose next call is issued at once after the kill.
-const PROGRAMS: usize = 200;
+/// Number of programs. Each makes a call immediately after the kill.
+const PROGRAM_COUNT: usize = 200;
 
-/// Kills one of three instances, several times over; each time a new one
-/// starts under a new name first.
+/// Runs the experiment with five kills, or one if `short`.
 pub async fn run(short: bool) -> eyre::Result<Value> {
     let kills = if short { 1 } else { 5 };
     let mut times = Histogram::<u64>::new(3)?;
     let mut failed = 0;
     for kill in 0..kills {
-        for (millis, served) in once(kill).await? {
-            times.record(millis)?;
-            failed += usize::from(!served);
+        for (elapsed_ms, succeeded) in kill_instance(kill).await? {
+            times.record(elapsed_ms)?;
+            failed += usize::from(!succeeded);
         }
     }
     Ok(json!({
         "experiment": "takeover",
         "kills": kills,
-        "programs": PROGRAMS,
+        "programs": PROGRAM_COUNT,
         "lease_ms": LEASE_MS,
         "calls": times.len(),
         "failed": failed,
@@ -44,32 +43,36 @@
     }))
 }
 
-async fn once(kill: usize) -> eyre::Result<Vec<(u64, bool)>> {
+/// Starts three instances and kills one of them. Returns for each program the time from the kill
+/// to the end of its next call in milliseconds, and whether the call succeeded.
+async fn kill_instance(kill: usize) -> eyre::Result<Vec<(u64, bool)>> {
     let folder = tempfile::tempdir()?;
-    let world = world().await?;
+    let world = start_world().await?;
     let start = |number| {
-        let settings = instance(number, world.platform_address, 3, LEASE_MS);
-        Server::start(&settings, folder.path())
+        let settings = instance_settings(number, world.platform_address, 3, LEASE_MS);
+        Instance::start(&settings, folder.path())
     };
-    let mut servers = (1..=3).map(start).collect::<eyre::Result<Vec<_>>>()?;
-    apply(&world).await?;
-    for server in &mut servers {
-        server.ready()?;
+    let mut instances = (1..=3).map(start).collect::<eyre::Result<Vec<_>>>()?;
+    apply_settings(&world).await?;
+    for instance in &mut instances {
+        instance.wait_until_ready()?;
     }
-    let caller = Caller::new(KESTREL, TIME);
-    let entry = servers[0].caller;
+    let caller = Caller::new(KESTREL, CALL_TIMEOUT);
+    let entry = instances[0].caller_address;
     let mut programs = Vec::new();
-    for number in 0..PROGRAMS {
-        let opened = format!("{kill}-{number}");
-        let program = caller.open(entry, "minutes", None, None, &opened).await?;
+    for number in 0..PROGRAM_COUNT {
+        let opening_request = format!("{kill}-{number}");
+        let program = caller
+            .open(entry, "minutes", None, None, &opening_request)
+            .await?;
         let body = chat(&[user("Draft.")]);
         caller
             .chat(entry, &program, &body, Options::request("first"))
             .await?;
         programs.push(program);
     }
-    servers.last_mut().ok_or_eyre("no server")?.kill()?;
-    let killed = Instant::now();
+    instances.last_mut().ok_or_eyre("no instance")?.kill()?;
+    let killed_at = Instant::now();
     let calls = programs.into_iter().map(|program| {
         let caller = caller.clone();
         tokio::spawn(async move {
@@ -79,9 +82,9 @@
             };
             let body = chat(&[user("Go on.")]);
             let call = caller.chat(entry, &program, &body, options);
-            let served = call.await.is_ok();
-            let millis = u64::try_from(killed.elapsed().as_millis()).unwrap_or(u64::MAX);
-            (millis, served)
+            let succeeded = call.await.is_ok();
+            let elapsed_ms = u64::try_from(killed_at.elapsed().as_millis()).unwrap_or(u64::MAX);
+            (elapsed_ms, succeeded)
         })
     });
     let calls: Vec<_> = calls.collect();
--- a/crates/gradedyke-load/src/usage.rs
+++ b/crates/gradedyke-load/src/usage.rs
@@ -1,6 +1,8 @@
-//! Processor time and bytes that the use of client accounts costs an exchange between an
-//! entry and a keeper, by the size of the deployment. One thread, no network; the least
-//! of several rounds, because other work on the machine only adds.
+//! Measures the CPU time and bytes for sharing the usage of a client account between an entry
+//! and a keeper, by the size of the deployment.
+//!
+//! Uses one thread and no network. Reports the minimum of several rounds, because other work
+//! on the machine only makes a round slower.
 
 use std::time::Duration;
 
@@ -12,20 +14,21 @@
 use serde_json::{Value, json};
 use tokio::time::Instant;
 
-/// Deployments: entries, accounts, and requests a second. The first is the users' of
-/// today, the last the one aimed at.
-const SIZES: [(u64, usize, u64); 3] = [(58, 76, 2_300), (300, 300, 6_000), (1_400, 1_100, 12_000)];
-/// Windows of allowances.
-const WINDOW: Duration = Duration::from_secs(5);
-/// Exchanges of a round.
-const EXCHANGES: u64 = 2_000;
-/// Rounds, of which the least counts.
-const ROUNDS: u32 = 7;
+/// Sizes of deployments: entries, client accounts, and requests per second.
+const DEPLOYMENT_SIZES: [(u64, usize, u64); 3] =
+    [(58, 76, 2_300), (300, 300, 6_000), (1_400, 1_100, 12_000)];
+/// Length of the window over which requests are counted against an allowance.
+const ALLOWANCE_WINDOW: Duration = Duration::from_secs(5);
+/// Number of exchanges between entry and keeper in a round.
+const EXCHANGES_PER_ROUND: u64 = 2_000;
+/// Number of rounds, of which the fastest is reported.
+const ROUND_COUNT: u32 = 7;
 
-fn accounts(count: usize) -> eyre::Result<Vec<Account>> {
+/// Creates client accounts with an allowance.
+fn new_accounts(count: usize) -> eyre::Result<Vec<Account>> {
     let account = |number| {
         let name = format!("account{number}");
-        let name = Id::parse(&name).ok_or_else(|| eyre::eyre!("{name} is no name"))?;
+        let name = Id::parse(&name).ok_or_else(|| eyre::eyre!("invalid ID: {name}"))?;
         let allowance = Allowance {
             per_second: 1_000.0,
             burst: 0.0,
@@ -40,8 +43,8 @@
     (0..count).map(account).collect()
 }
 
-/// An entry's request of an account: what it tells a keeper, and the sum that answers it.
-/// Returns the bytes of the report.
+/// Charges one request to a client account, reports it to a keeper, and records the keeper's
+/// sum over all entries. Returns the size of the encoded report in bytes.
 fn exchange(
     limiter: &Limiter,
     aggregator: &mut Aggregator,
@@ -59,44 +62,49 @@
     bytes
 }
 
+/// Measures a deployment of the given size.
 fn measure_one((entries, count, rate): (u64, usize, u64), rounds: u32) -> eyre::Result<Value> {
-    let accounts = accounts(count)?;
+    let accounts = new_accounts(count)?;
     let start = Instant::now();
-    let limiters = (0..entries).map(|n| Limiter::new(n, WINDOW, start));
+    let limiters = (0..entries).map(|n| Limiter::new(n, ALLOWANCE_WINDOW, start));
     let limiters: Vec<Limiter> = limiters.collect();
     let mut aggregator = Aggregator::default();
-    let mut least = f64::INFINITY;
+    let mut min_us = f64::INFINITY;
     let mut bytes = 0;
     let mut number = 0;
-    let mut play = |exchanges: u64, aggregator: &mut Aggregator| {
+    let mut run_exchanges = |exchanges: u64, aggregator: &mut Aggregator| {
         let mut bytes = 0;
         for _ in 0..exchanges {
             number += 1;
             let now = start + Duration::from_micros(number * 1_000_000 / rate);
-            // Accounts and entries in another order each time round.
+            // Varies the combination of entry and account.
             let limiter = &limiters[usize::try_from(number * 7 % entries).unwrap_or_default()];
             let account = &accounts[usize::try_from(number * 31).unwrap_or_default() % count];
             bytes += exchange(limiter, aggregator, account, now);
         }
         bytes
     };
-    // A whole window first.
-    play(rate * WINDOW.as_secs(), &mut aggregator);
+    // Fills one whole window before the measurement.
+    run_exchanges(rate * ALLOWANCE_WINDOW.as_secs(), &mut aggregator);
     for _ in 0..rounds {
-        let began = std::time::Instant::now();
-        bytes = play(EXCHANGES, &mut aggregator);
-        least = least.min(began.elapsed().as_secs_f64() * 1e6 / EXCHANGES as f64);
+        let started = std::time::Instant::now();
+        bytes = run_exchanges(EXCHANGES_PER_ROUND, &mut aggregator);
+        min_us = min_us.min(started.elapsed().as_secs_f64() * 1e6 / EXCHANGES_PER_ROUND as f64);
     }
     Ok(json!({
         "entries": entries, "accounts": count, "requests_per_s": rate,
-        "exchange_us": least, "report_bytes": bytes as f64 / EXCHANGES as f64,
+        "exchange_us": min_us, "report_bytes": bytes as f64 / EXCHANGES_PER_ROUND as f64,
     }))
 }
 
-/// Measures all of it; `short` with one round of the first size.
+/// Runs the experiment, with only one round of the smallest size if `short`.
 pub fn measure(short: bool) -> eyre::Result<Value> {
-    let (sizes, rounds) = if short { (1, 1) } else { (SIZES.len(), ROUNDS) };
-    let rows = SIZES.into_iter().take(sizes);
+    let (sizes, rounds) = if short {
+        (1, 1)
+    } else {
+        (DEPLOYMENT_SIZES.len(), ROUND_COUNT)
+    };
+    let rows = DEPLOYMENT_SIZES.into_iter().take(sizes);
     let rows: eyre::Result<Vec<Value>> = rows.map(|size| measure_one(size, rounds)).collect();
     Ok(Value::Array(rows?))
 }
--- a/crates/gradedyke-model/src/engine.rs
+++ b/crates/gradedyke-model/src/engine.rs
@@ -1,134 +1,137 @@
-//! A model engine: runs requests in steps, each of which makes a token for every
-//! request whose prompt is read, and reads a piece of the others'.
+//! A simulated model engine with continuous batching.
+//!
+//! It runs requests in steps. Each step generates one token for every request whose prompt is
+//! completely prefilled, and prefills a chunk of the other prompts.
 
 use std::collections::VecDeque;
 
 use gradedyke_gateway::prefix::{Cache, Part};
 use serde::Deserialize;
 
-/// What an engine can do.
+/// Performance characteristics of an engine.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Figures {
-    /// Requests it runs at a time.
+pub struct Spec {
+    /// Maximum number of requests that run at the same time.
     pub slots: u32,
-    /// Tokens its memory holds.
+    /// Capacity of the prefix cache in tokens.
     pub memory_tokens: u64,
-    /// Time of a step that reads nothing, in milliseconds.
+    /// Duration of a step without prefill, in milliseconds.
     pub step_ms: f64,
-    /// Tokens of prompts that it reads in a millisecond.
+    /// Prefill rate in tokens per millisecond.
     pub read_per_ms: f64,
-    /// Most tokens that it reads in a step.
+    /// Maximum number of prompt tokens prefilled in a step.
     pub chunk_tokens: u64,
 }
 
-/// A request at an engine.
+/// A request to an engine.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// The place of its program.
+    /// Index of the program that sends it.
     pub program: usize,
-    /// Its prompt.
+    /// The prompt.
     pub parts: Vec<Part>,
-    /// Tokens of its answer.
-    pub answer: u32,
+    /// Number of tokens to generate.
+    pub answer_tokens: u32,
 }
 
 #[derive(Clone, Debug)]
-struct Run {
+struct ActiveRequest {
     program: usize,
-    unread: u64,
-    left: u32,
-    begun: bool,
+    remaining_prefill: u64,
+    remaining_answer: u32,
+    has_started: bool,
 }
 
-/// What one step did.
+/// The result of one step.
 #[derive(Clone, Debug, Default)]
 pub struct Step {
-    /// How long it took, in milliseconds.
-    pub ms: f64,
-    /// Programs whose answer began.
-    pub began: Vec<usize>,
-    /// Programs whose answer ended.
-    pub ended: Vec<usize>,
+    /// Duration in milliseconds.
+    pub duration_ms: f64,
+    /// Programs whose answer got its first token.
+    pub started: Vec<usize>,
+    /// Programs whose answer is complete.
+    pub finished: Vec<usize>,
 }
 
-/// An engine.
+/// A simulated engine.
 #[derive(Clone, Debug)]
 pub struct Engine {
-    figures: Figures,
-    running: Vec<Run>,
-    waiting: VecDeque<Request>,
+    spec: Spec,
+    running: Vec<ActiveRequest>,
+    queue: VecDeque<Request>,
     cache: Cache,
-    /// Tokens of prompts that it has read.
-    pub read_tokens: u64,
-    /// Whether a step is under way.
-    pub stepping: bool,
+    /// Number of prompt tokens of all admitted requests that were not cached.
+    pub prefill_tokens: u64,
+    /// Whether a step is in progress.
+    pub is_stepping: bool,
 }
 
 impl Engine {
-    /// An engine with nothing to do and an empty memory.
-    pub fn new(figures: Figures) -> Self {
+    /// Creates an idle engine with an empty cache.
+    pub fn new(spec: Spec) -> Self {
         Self {
-            figures,
+            spec,
             running: Vec::new(),
-            waiting: VecDeque::new(),
+            queue: VecDeque::new(),
             cache: Cache::default(),
-            read_tokens: 0,
-            stepping: false,
+            prefill_tokens: 0,
+            is_stepping: false,
         }
     }
 
-    /// Takes a request in; it waits for a place.
-    pub fn send(&mut self, request: Request) {
-        self.waiting.push_back(request);
+    /// Queues a request until a slot is free.
+    pub fn enqueue(&mut self, request: Request) {
+        self.queue.push_back(request);
     }
 
+    /// Moves queued requests to the free slots.
     fn admit(&mut self) {
-        while self.running.len() < self.figures.slots as usize {
-            let Some(request) = self.waiting.pop_front() else {
+        while self.running.len() < self.spec.slots as usize {
+            let Some(request) = self.queue.pop_front() else {
                 return;
             };
-            // The last token of a prompt is always read.
-            let unread = self.cache.uncached_tokens(&request.parts).max(1);
-            let (answer, memory) = (u64::from(request.answer), self.figures.memory_tokens);
-            self.cache.record_prompt(&request.parts, answer, memory);
-            self.read_tokens += unread;
-            self.running.push(Run {
+            // At least one prompt token is prefilled, even if the whole prompt is cached.
+            let uncached = self.cache.uncached_tokens(&request.parts).max(1);
+            let (answer, capacity) = (u64::from(request.answer_tokens), self.spec.memory_tokens);
+            self.cache.record_prompt(&request.parts, answer, capacity);
+            self.prefill_tokens += uncached;
+            self.running.push(ActiveRequest {
                 program: request.program,
-                unread,
-                left: request.answer.max(1),
-                begun: false,
+                remaining_prefill: uncached,
+                remaining_answer: request.answer_tokens.max(1),
+                has_started: false,
             });
         }
     }
 
-    /// Runs one step; `None` when there is nothing to run.
+    /// Runs one step. Returns `None` if the engine has no requests.
     pub fn step(&mut self) -> Option<Step> {
         self.admit();
         if self.running.is_empty() {
             return None;
         }
         let mut step = Step::default();
-        let mut chunk = self.figures.chunk_tokens;
-        for run in &mut self.running {
-            if run.unread > 0 {
-                let piece = run.unread.min(chunk);
-                run.unread -= piece;
-                chunk -= piece;
+        let mut chunk_left = self.spec.chunk_tokens;
+        for request in &mut self.running {
+            if request.remaining_prefill > 0 {
+                let prefilled = request.remaining_prefill.min(chunk_left);
+                request.remaining_prefill -= prefilled;
+                chunk_left -= prefilled;
                 continue;
             }
-            run.left -= 1;
-            if !run.begun {
-                run.begun = true;
-                step.began.push(run.program);
+            request.remaining_answer -= 1;
+            if !request.has_started {
+                request.has_started = true;
+                step.started.push(request.program);
             }
-            if run.left == 0 {
-                step.ended.push(run.program);
+            if request.remaining_answer == 0 {
+                step.finished.push(request.program);
             }
         }
-        self.running.retain(|r| r.left > 0);
-        let read = (self.figures.chunk_tokens - chunk) as f64;
-        step.ms = self.figures.step_ms + read / self.figures.read_per_ms;
+        self.running.retain(|r| r.remaining_answer > 0);
+        let prefilled = (self.spec.chunk_tokens - chunk_left) as f64;
+        step.duration_ms = self.spec.step_ms + prefilled / self.spec.read_per_ms;
         Some(step)
     }
 }
--- a/crates/gradedyke-model/src/lib.rs
+++ b/crates/gradedyke-model/src/lib.rs
@@ -1,19 +1,19 @@
-//! A model of model engines, entries and agent programs in virtual time.
+//! A discrete-event simulation of model engines, entries and agent programs, for comparing
+//! placement policies.
 //!
-//! The entries' part is the real code: each has a [`Fleet`], which learns, weighs
-//! and chooses as in service, and they exchange load over the real [`Aggregator`], as
-//! late as in service. Modelled are the engines, which run requests in batches and
-//! read prompts between the tokens of others, and the programs that call them. A
-//! run needs no clock and no network, and the same seed gives the same run, so that
-//! policies can be compared over loads, speeds and sizes that no test machine has.
+//! The entries run the production code: each has a [`Fleet`], which chooses an engine for
+//! each turn, and they share their load through the production [`Aggregator`]. The engines,
+//! which batch requests and interleave prefill with generation, and the programs that call
+//! them are simulated. Time is virtual, there is no network, and runs with the same seed are
+//! identical.
 //!
-//! - [`engine`]: one engine.
-//! - [`program`]: what programs ask for.
-//! - [`world`]: all of it over time, and what came of it.
+//! - [`engine`]: simulates one engine.
+//! - [`program`]: generates the workload of agent programs.
+//! - [`simulation`]: runs engines, entries and programs over time and collects the results.
 //!
 //! [`Fleet`]: gradedyke_gateway::fleet::Fleet
 //! [`Aggregator`]: gradedyke_turns::load::Aggregator
 
 pub mod engine;
 pub mod program;
-pub mod world;
+pub mod simulation;
--- a/crates/gradedyke-model/tests/sweep.rs
+++ b/crates/gradedyke-model/tests/sweep.rs
@@ -1,47 +1,52 @@
-//! Every policy over the setups of a table, the naive one as reference.
+//! Simulates all placement policies with the setups in `testdata/placement/sweep.json`, and
+//! compares them with `least_loaded`.
 //!
-//! Each run has a burst from the fourth to the eighth second.
+//! Each run has a burst from second 4 to second 8.
 
 use gradedyke_gateway::mechanism::Mechanism;
 use gradedyke_gateway::placement;
-use gradedyke_model::world::{Outcome, Policy, Setup, run, setups};
+use gradedyke_model::simulation::{Outcome, Policy, Setup, run, setups};
 
 const SEED: u64 = 7;
 
-fn policy(name: &str, off: &[Mechanism]) -> Policy {
+fn policy(name: &str, disabled: &[Mechanism]) -> Policy {
     Policy {
         name: name.to_owned(),
-        off: off.to_vec(),
+        disabled: disabled.to_vec(),
     }
 }
 
-/// The setup whose name begins so.
-fn setup(name: &str) -> Setup {
+/// Returns the first setup whose name starts with `prefix`.
+fn setup(prefix: &str) -> Setup {
     let mut setups = setups().into_iter();
-    setups.find(|s| s.name.starts_with(name)).unwrap()
+    setups.find(|s| s.name.starts_with(prefix)).unwrap()
 }
 
-/// Answers that ended in the second half of the burst.
-fn ended(outcome: &Outcome) -> f64 {
-    outcome.ended[6..8].iter().map(|n| f64::from(*n)).sum()
+/// Returns the number of answers completed in the second half of the burst.
+fn completed_in_burst(outcome: &Outcome) -> f64 {
+    outcome.completed_answers[6..8]
+        .iter()
+        .map(|n| f64::from(*n))
+        .sum()
 }
 
 #[test]
-fn no_policy_is_worse_than_the_naive_one() {
+fn no_policy_is_worse_than_least_loaded() {
     for setup in setups() {
-        let naive = run(&setup, &policy("least_loaded", &[]), SEED);
+        let baseline = run(&setup, &policy("least_loaded", &[]), SEED);
         for name in placement::policies(Default::default()).into_keys() {
             let outcome = run(&setup, &policy(name, &[]), SEED);
-            let (time, reference) = (outcome.mean_ms(2..16), naive.mean_ms(2..16));
+            let (mean_ms, reference_ms) =
+                (outcome.mean_turn_ms(2..16), baseline.mean_turn_ms(2..16));
             assert!(
-                time <= reference,
-                "{name}, {}: {time} {reference}",
+                mean_ms <= reference_ms,
+                "{name}, {}: mean turn {mean_ms} ms, least_loaded {reference_ms} ms",
                 setup.name
             );
-            let (read, reference) = (outcome.read_tokens, naive.read_tokens);
+            let (prefilled, reference) = (outcome.prefill_tokens, baseline.prefill_tokens);
             assert!(
-                read <= reference,
-                "{name}, {}: {read} {reference}",
+                prefilled <= reference,
+                "{name}, {}: {prefilled} tokens prefilled, least_loaded {reference}",
                 setup.name
             );
         }
@@ -49,42 +54,47 @@
 }
 
 #[test]
-fn a_burst_beyond_what_engines_can_do_is_over_when_it_ends() {
+fn latency_recovers_after_an_overload_burst() {
     for name in ["ten", "fifty", "long"] {
         let outcome = run(&setup(name), &policy("cost", &[]), SEED);
-        let (before, after) = (outcome.mean_ms(2..4), outcome.mean_ms(11..13));
-        assert!(after < before * 1.25, "{name}: {before} {after}");
+        let (before, after) = (outcome.mean_turn_ms(2..4), outcome.mean_turn_ms(11..13));
+        assert!(
+            after < before * 1.25,
+            "{name}: mean turn {before} ms before the burst, {after} ms after it"
+        );
     }
 }
 
 #[test]
-fn who_weighs_only_the_own_delay_does_less_in_a_burst() {
-    let selfish = policy("cost", &[Mechanism::ReadingForOthers]);
+fn ignoring_the_delay_of_other_requests_lowers_burst_throughput() {
+    let own_delay_only = policy("cost", &[Mechanism::ReadingForOthers]);
     for name in ["ten", "fifty"] {
         let setup = setup(name);
-        let with = ended(&run(&setup, &policy("cost", &[]), SEED));
-        let without = ended(&run(&setup, &selfish, SEED));
-        assert!(with > without * 1.15, "{name}: {with} {without}");
+        let with = completed_in_burst(&run(&setup, &policy("cost", &[]), SEED));
+        let without = completed_in_burst(&run(&setup, &own_delay_only, SEED));
+        assert!(
+            with > without * 1.15,
+            "{name}: {with} answers with the mechanism, {without} without"
+        );
     }
 }
 
 #[test]
-fn who_weighs_all_of_many_engines_does_less_in_a_burst() {
-    // All entries see the same few idle engines. Answers in the burst's second half:
-    // 4,063 with a sample, 3,305 without.
+fn considering_all_of_many_engines_lowers_burst_throughput() {
+    // Without sampling, all entries choose the same few idle engines.
     let setup = setup("many");
-    let all = policy("cost", &[Mechanism::Sample]);
+    let no_sample = policy("cost", &[Mechanism::Sample]);
     let with = run(&setup, &policy("cost", &[]), SEED);
-    let without = run(&setup, &all, SEED);
-    assert!(ended(&with) > ended(&without) * 1.1);
-    assert!(with.mean_ms(4..8) < without.mean_ms(4..8) * 0.9);
+    let without = run(&setup, &no_sample, SEED);
+    assert!(completed_in_burst(&with) > completed_in_burst(&without) * 1.1);
+    assert!(with.mean_turn_ms(4..8) < without.mean_turn_ms(4..8) * 0.9);
 }
 
 #[test]
-fn the_same_seed_gives_the_same_run() {
+fn same_seed_gives_same_outcome() {
     let setup = setup("ten");
-    let one = run(&setup, &policy("cost", &[]), SEED);
-    let other = run(&setup, &policy("cost", &[]), SEED);
-    assert_eq!(one.ended, other.ended);
-    assert_eq!(one.read_tokens, other.read_tokens);
+    let first = run(&setup, &policy("cost", &[]), SEED);
+    let second = run(&setup, &policy("cost", &[]), SEED);
+    assert_eq!(first.completed_answers, second.completed_answers);
+    assert_eq!(first.prefill_tokens, second.prefill_tokens);
 }
