--- a/crates/gradedyke-backend/src/chat.rs
+++ b/crates/gradedyke-backend/src/chat.rs
@@ -30,7 +30,7 @@
     pub max_completion_tokens: Option<u64>,
     /// All other fields.
     #[serde(flatten)]
-    pub rest: Map<String, Value>,
+    pub other_fields: Map<String, Value>,
 }
 
 impl Request {
@@ -41,7 +41,7 @@
     /// Returns `bad_request` if there is no message, a message without a role, more
     /// than one choice or a token limit of 0, or if log probabilities are requested,
     /// which a resumed stream could not repeat.
-    pub fn check(&self) -> Result<(), Problem> {
+    pub fn validate(&self) -> Result<(), Problem> {
         let reject = |message: &str| Err(Problem::new(Kind::BadRequest, message));
         if self.messages.is_empty() {
             return reject("messages is empty; send one message at least");
@@ -49,20 +49,24 @@
         if self.messages.iter().any(|m| !m.contains_key("role")) {
             return reject("a message has no role; give each one a role");
         }
-        if self.rest.get("n").is_some_and(|n| n != 1) {
+        if self.other_fields.get("n").is_some_and(|n| n != 1) {
             return reject("n is not 1; issue a call for each choice");
         }
-        if self.rest.get("logprobs").is_some_and(|l| l != false) {
+        if self
+            .other_fields
+            .get("logprobs")
+            .is_some_and(|l| l != false)
+        {
             return reject("logprobs is not served; leave it out");
         }
-        if self.limit() == Some(0) {
+        if self.token_limit() == Some(0) {
             return reject("max_tokens is 0; use 1 or more");
         }
         Ok(())
     }
 
     /// Returns the maximum number of tokens to generate, if the caller set one.
-    pub fn limit(&self) -> Option<u64> {
+    pub fn token_limit(&self) -> Option<u64> {
         self.max_completion_tokens.or(self.max_tokens)
     }
 }
@@ -80,7 +84,7 @@
 /// b.insert("refusal".to_owned(), serde_json::Value::Null);
 /// assert!(same(&a, &b));
 /// ```
-pub fn same(a: &Message, b: &Message) -> bool {
+pub fn is_same_message(a: &Message, b: &Message) -> bool {
     let field = |m: &Message, name: &str| m.get(name).cloned().unwrap_or(Value::Null);
     COMPARED_FIELDS
         .iter()
--- a/crates/gradedyke-backend/src/engine.rs
+++ b/crates/gradedyke-backend/src/engine.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug)]
 pub struct Call {
     /// The ID of this attempt, used to cancel or resume it.
-    pub attempt: String,
+    pub attempt_id: String,
     /// The request with the whole conversation.
     pub request: Request,
     /// The keys of the conversation's prefixes.
@@ -96,7 +96,7 @@
 
 /// A streamed response. Dropping it closes the connection.
 #[async_trait]
-pub trait Chunks: Send {
+pub trait ChunkStream: Send {
     /// Waits for the next chunk; returns `None` at the end of the response.
     ///
     /// # Errors
@@ -113,14 +113,14 @@
     /// # Errors
     ///
     /// Any [`Error`].
-    async fn chat(&self, call: &Call) -> Result<Box<dyn Chunks>, Error>;
+    async fn chat(&self, call: &Call) -> Result<Box<dyn ChunkStream>, Error>;
 
     /// Streams the response of an attempt, starting at a byte offset of its text.
     ///
     /// # Errors
     ///
     /// Returns [`Error::Invalid`] if the engine no longer has the attempt.
-    async fn resume(&self, attempt: &str, offset: u64) -> Result<Box<dyn Chunks>, Error>;
+    async fn resume(&self, attempt: &str, offset: u64) -> Result<Box<dyn ChunkStream>, Error>;
 
     /// Cancels an attempt. Succeeds if there is no such attempt.
     ///
--- a/crates/gradedyke-backend/src/engine_http.rs
+++ b/crates/gradedyke-backend/src/engine_http.rs
@@ -19,7 +19,7 @@
 use serde_json::Value;
 
 use crate::chat::{self, Chunk};
-use crate::engine::{CacheEvent, Call, Chunks, Engine, Load, Order, Pin};
+use crate::engine::{CacheEvent, Call, ChunkStream, Engine, Load, Order, Pin};
 use crate::error::Error;
 use crate::prefix::Key;
 
@@ -84,35 +84,35 @@
         let none = None::<&()>;
         let response = self
             .client
-            .json(Method::GET, self.address, path, none, self.timeout);
+            .send_json(Method::GET, self.address, path, none, self.timeout);
         Ok(response.await?)
     }
 
     async fn post<T: Serialize>(&self, path: &str, value: &T) -> Result<Value, Error> {
         let response =
             self.client
-                .json(Method::POST, self.address, path, Some(value), self.timeout);
+                .send_json(Method::POST, self.address, path, Some(value), self.timeout);
         Ok(response.await?)
     }
 
     async fn delete(&self, path: &str) -> Result<(), Error> {
         let none = None::<&()>;
-        let response = self
-            .client
-            .json(Method::DELETE, self.address, path, none, self.timeout);
+        let response =
+            self.client
+                .send_json(Method::DELETE, self.address, path, none, self.timeout);
         let _: Value = response.await?;
         Ok(())
     }
 
-    async fn stream(&self, request: Request<body::Body>) -> Result<Box<dyn Chunks>, Error> {
+    async fn stream(&self, request: Request<body::Body>) -> Result<Box<dyn ChunkStream>, Error> {
         let response = self.client.send(self.address, request).await?;
         let status = response.status();
         if !status.is_success() {
-            let bytes = client::collect(self.address, response.into_body()).await?;
-            return Err(client::status(self.address, status, &bytes).into());
+            let bytes = client::read_body(self.address, response.into_body()).await?;
+            return Err(client::status_error(self.address, status, &bytes).into());
         }
         let events = BodyDataStream::new(response.into_body()).eventsource();
-        Ok(Box::new(ChunkStream {
+        Ok(Box::new(EventChunks {
             events: Box::pin(events),
         }))
     }
@@ -120,12 +120,12 @@
 
 type Events = dyn Stream<Item = Result<Event, EventStreamError<hyper::Error>>> + Send;
 
-struct ChunkStream {
+struct EventChunks {
     events: Pinned<Box<Events>>,
 }
 
 #[async_trait]
-impl Chunks for ChunkStream {
+impl ChunkStream for EventChunks {
     async fn next(&mut self) -> Result<Option<Chunk>, Error> {
         let interrupted = || Error::Broken("the stream ended before its end mark".to_owned());
         let event = self.events.next().await.ok_or_else(interrupted)?;
@@ -142,7 +142,7 @@
 
 #[async_trait]
 impl Engine for Http {
-    async fn chat(&self, call: &Call) -> Result<Box<dyn Chunks>, Error> {
+    async fn chat(&self, call: &Call) -> Result<Box<dyn ChunkStream>, Error> {
         let request_body = ExtendedRequest {
             request: &call.request,
             stream_options: StreamOptions {
@@ -154,16 +154,17 @@
         };
         let body = serde_json::to_vec(&request_body).map_err(|e| Error::NotSent(e.to_string()))?;
         let path = "/v1/chat/completions";
-        let mut request = client::build(Method::POST, self.address, path, body::full(body))?;
-        let attempt = HeaderValue::from_str(&call.attempt);
+        let mut request =
+            client::build_request(Method::POST, self.address, path, body::full(body))?;
+        let attempt = HeaderValue::from_str(&call.attempt_id);
         let attempt = attempt.map_err(|e| Error::NotSent(e.to_string()))?;
         request.headers_mut().insert(ATTEMPT_HEADER, attempt);
         self.stream(request).await
     }
 
-    async fn resume(&self, attempt: &str, offset: u64) -> Result<Box<dyn Chunks>, Error> {
+    async fn resume(&self, attempt: &str, offset: u64) -> Result<Box<dyn ChunkStream>, Error> {
         let path = format!("/control/requests/{attempt}?offset={offset}");
-        let request = client::build(Method::GET, self.address, &path, body::empty())?;
+        let request = client::build_request(Method::GET, self.address, &path, body::empty())?;
         self.stream(request).await
     }
 
--- a/crates/gradedyke-backend/src/error.rs
+++ b/crates/gradedyke-backend/src/error.rs
@@ -16,7 +16,7 @@
         /// The message of the backend server.
         message: String,
         /// The delay before a retry that the backend server asked for.
-        after: Option<Duration>,
+        retry_after: Option<Duration>,
     },
     /// The call is invalid; a retry at any backend server would fail.
     #[error("the backend server refuses the call ({status}: {message}); correct the call")]
@@ -36,7 +36,7 @@
 
 impl Error {
     /// Returns whether the call certainly did not run.
-    pub fn not_run(&self) -> bool {
+    pub fn is_not_run(&self) -> bool {
         !matches!(self, Error::Broken(_))
     }
 }
@@ -49,7 +49,9 @@
         let text = error.to_string();
         match error {
             client::Error::NotSent { .. } => Error::NotSent(text),
-            client::Error::Broken { .. } | client::Error::TimedOut { .. } => Error::Broken(text),
+            client::Error::ConnectionLost { .. } | client::Error::TimedOut { .. } => {
+                Error::Broken(text)
+            }
             client::Error::Status {
                 status,
                 message,
@@ -58,7 +60,7 @@
             } => match status.as_u16() {
                 TOO_MANY_REQUESTS_STATUS | UNAVAILABLE_STATUS => Error::Busy {
                     message,
-                    after: problem
+                    retry_after: problem
                         .and_then(|p| p.retry_after_ms)
                         .map(Duration::from_millis),
                 },
--- a/crates/gradedyke-backend/src/prefix.rs
+++ b/crates/gradedyke-backend/src/prefix.rs
@@ -79,7 +79,7 @@
     /// let chain = |name| Chain::over(&Account::parse(name).unwrap(), "m", std::slice::from_ref(&hi));
     /// assert_ne!(chain("kestrel").keys(), chain("jordan").keys());
     /// ```
-    pub fn over(account: &id::Account, model: &str, messages: &[Message]) -> Self {
+    pub fn from_messages(account: &id::Account, model: &str, messages: &[Message]) -> Self {
         let mut chain = Self::new(account, model);
         messages.iter().for_each(|m| chain.push(m));
         chain
--- a/crates/gradedyke-backend/src/service.rs
+++ b/crates/gradedyke-backend/src/service.rs
@@ -82,7 +82,7 @@
         // If the service closes an idle connection while a call is being sent, it is
         // unknown whether the call ran. A new connection for each call makes that unlikely.
         let config = client::Config {
-            keep: false,
+            reuse_connections: false,
             ..client::Config::default()
         };
         Self {
@@ -96,7 +96,7 @@
     async fn exchange(&self, request: http::Request<body::Body>) -> Result<Reply, Error> {
         let reply = self.client.send(self.address, request).await?;
         let (head, incoming) = reply.into_parts();
-        let bytes = client::collect(self.address, incoming).await?;
+        let bytes = client::read_body(self.address, incoming).await?;
         let content_type = head.headers.get(header::CONTENT_TYPE);
         Ok(Reply {
             status: head.status.as_u16(),
@@ -114,7 +114,7 @@
         let not_sent = |e: &dyn std::fmt::Display| Error::NotSent(e.to_string());
         let method = Method::from_bytes(call.method.as_bytes()).map_err(|e| not_sent(&e))?;
         let body = body::full(Bytes::from(call.body.clone()));
-        let mut request = client::build(method, self.address, &call.path, body)?;
+        let mut request = client::build_request(method, self.address, &call.path, body)?;
         let headers = request.headers_mut();
         headers.insert(
             IDEMPOTENCY_KEY_HEADER,
@@ -141,7 +141,7 @@
             });
         };
         let path = path.replace("{key}", key);
-        let request = client::build(Method::GET, self.address, &path, body::empty())?;
+        let request = client::build_request(Method::GET, self.address, &path, body::empty())?;
         let exchange = tokio::time::timeout(self.timeout, self.exchange(request));
         let reply = exchange
             .await
--- a/crates/gradedyke-backend/tests/contract.rs
+++ b/crates/gradedyke-backend/tests/contract.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use gradedyke_backend::chat::{Completion, Message};
-use gradedyke_backend::engine::{Action, Call, Chunks, Order, Pin};
+use gradedyke_backend::engine::{Action, Call, ChunkStream, Order, Pin};
 use gradedyke_backend::prefix::Chain;
 use gradedyke_backend::{Engine, Error, Service, engine_http, service};
 use gradedyke_base::id;
@@ -40,8 +40,8 @@
     let messages: Vec<_> = texts.iter().map(|t| message(t)).collect();
     let account = id::Account::parse("kestrel").unwrap();
     Call {
-        attempt: attempt.to_owned(),
-        chain: Chain::over(&account, "m", &messages),
+        attempt_id: attempt.to_owned(),
+        chain: Chain::from_messages(&account, "m", &messages),
         request: serde_json::from_value(
             json!({ "model": "m", "messages": messages, "stream": true, "max_tokens": 16 }),
         )
@@ -50,7 +50,7 @@
     }
 }
 
-async fn collect(mut chunks: Box<dyn Chunks>) -> Result<Completion, Error> {
+async fn collect(mut chunks: Box<dyn ChunkStream>) -> Result<Completion, Error> {
     let mut completion = Completion::default();
     while let Some(chunk) = chunks.next().await? {
         for choice in chunk.choices {
@@ -162,7 +162,7 @@
     let closed_port = SocketAddr::from(([127, 0, 0, 1], 1));
     let engine = engine_http::Http::new(closed_port, client, TIMEOUT);
     let error = engine.chat(&call("a", &["hello"])).await.err().unwrap();
-    assert!(error.not_run(), "{error}");
+    assert!(error.is_not_run(), "{error}");
 }
 
 #[tokio::test]
@@ -196,7 +196,7 @@
         let reply = service.call(&key, &call, timeout).await;
         match (&reply, status) {
             (Ok(reply), Some(status)) => assert_eq!(reply.status, status),
-            (Err(error), None) => assert!(!error.not_run(), "{mode:?}: {error}"),
+            (Err(error), None) => assert!(!error.is_not_run(), "{mode:?}: {error}"),
             _ => panic!("{mode:?}: {reply:?}"),
         }
         if ran {
--- a/crates/gradedyke-base/src/id.rs
+++ b/crates/gradedyke-base/src/id.rs
@@ -16,7 +16,7 @@
 /// A slot is the unit of ownership. The number is large enough to balance load
 /// over more than a thousand instances, and small enough that the map from slots
 /// to owners fits in a few values of the key-value store.
-pub const SLOTS: u16 = 16_384;
+pub const SLOT_COUNT: u16 = 16_384;
 
 /// Maximum length of a text identifier, in bytes.
 pub const MAX_ID_BYTES: usize = 128;
@@ -147,7 +147,7 @@
 
 impl Request {
     /// Generates a random identifier for a request that came without one.
-    pub fn fresh() -> Self {
+    pub fn generate() -> Self {
         Self(to_hex(&rand::random::<[u8; GENERATED_ID_BYTES]>()))
     }
 }
@@ -166,7 +166,7 @@
     /// let first = Program::opened(&account, &request);
     /// assert_eq!(first, Program::opened(&account, &request));
     /// ```
-    pub fn opened(account: &Account, request: &Request) -> Self {
+    pub fn from_request(account: &Account, request: &Request) -> Self {
         let mut hasher = blake3::Hasher::new();
         hasher.update(account.0.as_bytes());
         hasher.update(&[0]);
@@ -175,7 +175,7 @@
     }
 
     /// Returns the identifier of the sub-agent that `request` opens under this program.
-    pub fn child(&self, request: &Request) -> Self {
+    pub fn sub_agent(&self, request: &Request) -> Self {
         let hash = blake3::hash(request.0.as_bytes());
         let name = to_hex(&hash.as_bytes()[..4]);
         Self(format!("{}{CHILD_SEPARATOR}{name}", self.0))
@@ -206,7 +206,7 @@
     pub fn slot(&self) -> Slot {
         let hash = blake3::hash(self.root().as_bytes());
         let bytes = hash.as_bytes();
-        Slot(u16::from_le_bytes([bytes[0], bytes[1]]) % SLOTS)
+        Slot(u16::from_le_bytes([bytes[0], bytes[1]]) % SLOT_COUNT)
     }
 }
 
@@ -239,7 +239,7 @@
 ///
 /// A node's weight doesn't depend on the other nodes, so when a node leaves, only
 /// the keys assigned to it move.
-pub fn weight(key: &[u8], node: &str) -> u64 {
+pub fn rendezvous_weight(key: &[u8], node: &str) -> u64 {
     let mut hasher = blake3::Hasher::new();
     hasher.update(key);
     hasher.update(&[0]);
--- a/crates/gradedyke-base/src/problem.rs
+++ b/crates/gradedyke-base/src/problem.rs
@@ -76,7 +76,7 @@
     }
 
     /// Returns whether a request that failed with this kind certainly did not run.
-    pub fn not_run(self) -> bool {
+    pub fn is_not_run(self) -> bool {
         !matches!(
             self,
             Kind::BackendFailed
@@ -150,18 +150,18 @@
             kind,
             message: message.into(),
             retry_after_ms: None,
-            not_run: kind.not_run(),
+            not_run: kind.is_not_run(),
         }
     }
 
     /// Sets the delay before a retry.
-    pub fn retry_after(mut self, after: Duration) -> Self {
+    pub fn with_retry_after(mut self, after: Duration) -> Self {
         self.retry_after_ms = Some(u64::try_from(after.as_millis()).unwrap_or(u64::MAX));
         self
     }
 
     /// Marks the request as one that may have run.
-    pub fn may_have_run(mut self) -> Self {
+    pub fn with_unknown_outcome(mut self) -> Self {
         self.not_run = false;
         self
     }
@@ -175,7 +175,7 @@
     }
 
     /// Decodes an error from the body of a response; `None` if it isn't one.
-    pub fn from_body(body: &[u8]) -> Option<Self> {
+    pub fn parse_body(body: &[u8]) -> Option<Self> {
         let body: Body = serde_json::from_slice(body).ok()?;
         Some(body.error)
     }
--- a/crates/gradedyke-base/src/retry.rs
+++ b/crates/gradedyke-base/src/retry.rs
@@ -47,19 +47,19 @@
     /// let delays: Vec<Duration> = (0..3).map(|_| backoff.step(1.0)).collect();
     /// assert_eq!(delays, [second, second * 2, second * 2]);
     /// ```
-    pub fn endless(initial_delay: Duration, max_delay: Duration) -> Self {
+    pub fn unlimited(initial_delay: Duration, max_delay: Duration) -> Self {
         Self::new(initial_delay, max_delay, u32::MAX)
     }
 
     /// Returns the next delay, or `None` if no retries are left. `random` is a number
     /// from 0 to 1 that determines the jitter.
-    pub fn wait(&mut self, random: f64) -> Option<Duration> {
+    pub fn next_retry_delay(&mut self, random: f64) -> Option<Duration> {
         self.retries_left = self.retries_left.checked_sub(1)?;
-        Some(self.step(random))
+        Some(self.next_delay(random))
     }
 
     /// Returns the next delay, regardless of the number of retries left.
-    pub fn step(&mut self, random: f64) -> Duration {
+    pub fn next_delay(&mut self, random: f64) -> Duration {
         let delay = self.delay;
         self.delay = (self.delay * 2).min(self.max_delay);
         delay.mul_f64(0.5 + random.clamp(0.0, 1.0) / 2.0)
--- a/crates/gradedyke-base/src/settings/check.rs
+++ b/crates/gradedyke-base/src/settings/check.rs
@@ -6,7 +6,7 @@
 
 /// An invalid setting in a tree.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct Violation {
     /// The path of the setting.
     pub path: String,
     /// What is wrong and how to correct it.
@@ -30,7 +30,7 @@
 /// assert_eq!(errors[0].line, 2);
 /// ```
 pub fn read(file: &str, text: &str) -> Result<Tree, Vec<Error>> {
-    read_with(file, text, |_| Vec::new())
+    read_with_checks(file, text, |_| Vec::new())
 }
 
 /// Parses and validates a tree like [`read`], and also runs `extra_checks`, for
@@ -39,10 +39,10 @@
 /// # Errors
 ///
 /// Returns all errors found.
-pub fn read_with(
+pub fn read_with_checks(
     file: &str,
     text: &str,
-    extra_checks: impl Fn(&Tree) -> Vec<Fault>,
+    extra_checks: impl Fn(&Tree) -> Vec<Violation>,
 ) -> Result<Tree, Vec<Error>> {
     let source = Source::new(file, text);
     let tree: Tree = source.read().map_err(|e| vec![e])?;
@@ -51,12 +51,12 @@
     if violations.is_empty() {
         return Ok(tree);
     }
-    let to_error = |violation: Fault| source.error(&violation.path, &violation.message);
+    let to_error = |violation: Violation| source.error(&violation.path, &violation.message);
     Err(violations.into_iter().map(to_error).collect())
 }
 
 /// Returns all invalid settings of `tree`.
-pub fn violations(tree: &Tree) -> Vec<Fault> {
+pub fn violations(tree: &Tree) -> Vec<Violation> {
     let mut violations = Violations::default();
     violations.check_policy("defaults", &tree.defaults);
     violations.check_keys("operators", &tree.operators);
@@ -94,11 +94,11 @@
 }
 
 #[derive(Default)]
-struct Violations(Vec<Fault>);
+struct Violations(Vec<Violation>);
 
 impl Violations {
     fn add(&mut self, path: &str, message: &str) {
-        self.0.push(Fault {
+        self.0.push(Violation {
             path: path.to_owned(),
             message: message.to_owned(),
         });
--- a/crates/gradedyke-base/src/settings/instance.rs
+++ b/crates/gradedyke-base/src/settings/instance.rs
@@ -188,7 +188,7 @@
     }
 
     /// Returns whether the process has `role`.
-    pub fn runs(&self, role: Role) -> bool {
+    pub fn has_role(&self, role: Role) -> bool {
         self.roles.contains(&role)
     }
 }
--- a/crates/gradedyke-base/src/settings/tree.rs
+++ b/crates/gradedyke-base/src/settings/tree.rs
@@ -175,11 +175,11 @@
 /// Default maximum number of calls of a program.
 pub const DEFAULT_MAX_TURNS: u32 = 170;
 /// Default idle timeout of a program, in milliseconds.
-pub const IDLE_MS: u64 = 1_800_000;
+pub const DEFAULT_IDLE_TIMEOUT_MS: u64 = 1_800_000;
 /// Default timeout of a call, in milliseconds.
 pub const DEFAULT_CALL_TIMEOUT_MS: u64 = 300_000;
 /// Default routing policy.
-pub const ROUTING: &str = "prefix";
+pub const DEFAULT_ROUTING_POLICY: &str = "prefix";
 
 /// The effective settings of an agent program, inherited values included.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -212,10 +212,10 @@
             budget_tokens: DEFAULT_BUDGET_TOKENS,
             max_tokens: DEFAULT_MAX_TOKENS,
             max_turns: DEFAULT_MAX_TURNS,
-            idle_ms: IDLE_MS,
+            idle_ms: DEFAULT_IDLE_TIMEOUT_MS,
             call_ms: DEFAULT_CALL_TIMEOUT_MS,
             class: Class::default(),
-            routing: ROUTING.to_owned(),
+            routing: DEFAULT_ROUTING_POLICY.to_owned(),
         }
     }
 }
@@ -243,10 +243,11 @@
             budget_tokens: first_set(levels, |p| p.budget_tokens).unwrap_or(DEFAULT_BUDGET_TOKENS),
             max_tokens: first_set(levels, |p| p.max_tokens).unwrap_or(DEFAULT_MAX_TOKENS),
             max_turns: first_set(levels, |p| p.max_turns).unwrap_or(DEFAULT_MAX_TURNS),
-            idle_ms: first_set(levels, |p| p.idle_ms).unwrap_or(IDLE_MS),
+            idle_ms: first_set(levels, |p| p.idle_ms).unwrap_or(DEFAULT_IDLE_TIMEOUT_MS),
             call_ms: first_set(levels, |p| p.call_ms).unwrap_or(DEFAULT_CALL_TIMEOUT_MS),
             class: first_set(levels, |p| p.class).unwrap_or_default(),
-            routing: first_set(levels, |p| p.routing.clone()).unwrap_or_else(|| ROUTING.to_owned()),
+            routing: first_set(levels, |p| p.routing.clone())
+                .unwrap_or_else(|| DEFAULT_ROUTING_POLICY.to_owned()),
         })
     }
 
--- a/crates/gradedyke-cli/src/admin.rs
+++ b/crates/gradedyke-cli/src/admin.rs
@@ -49,7 +49,7 @@
         body_text: String,
         revision: Option<u64>,
     ) -> eyre::Result<T> {
-        let mut request = client::build(method, self.address, path, body::full(body_text))?;
+        let mut request = client::build_request(method, self.address, path, body::full(body_text))?;
         let headers = request.headers_mut();
         let bearer = HeaderValue::from_str(&format!("Bearer {}", self.key))?;
         headers.insert(header::AUTHORIZATION, bearer);
@@ -58,7 +58,7 @@
         }
         let (_, bytes) = self
             .client
-            .whole(self.address, request, REQUEST_TIMEOUT)
+            .send_and_read(self.address, request, REQUEST_TIMEOUT)
             .await?;
         Ok(serde_json::from_slice(&bytes)?)
     }
@@ -111,7 +111,7 @@
     let revision: Option<u64> = args.opt_value_from_str("--if-revision")?;
     let (file, text) = settings::read_file(args)?;
     expect_no_more_args(args)?;
-    if let Err(errors) = check::read_with(&file, &text, routing::faults) {
+    if let Err(errors) = check::read_with_checks(&file, &text, routing::faults) {
         let lines: Vec<String> = errors.iter().map(ToString::to_string).collect();
         return Err(Failure::Usage(lines.join("\n")));
     }
--- a/crates/gradedyke-cli/tests/processes.rs
+++ b/crates/gradedyke-cli/tests/processes.rs
@@ -137,7 +137,7 @@
     } else {
         Method::GET
     };
-    let response = client.json(method, address, path, body.as_ref(), TIMEOUT);
+    let response = client.send_json(method, address, path, body.as_ref(), TIMEOUT);
     response.await.unwrap()
 }
 
--- a/crates/gradedyke-client/src/lib.rs
+++ b/crates/gradedyke-client/src/lib.rs
@@ -92,7 +92,7 @@
         headers: &[(&'static str, String)],
         body: impl Into<Bytes>,
     ) -> Result<Request<body::Body>, Error> {
-        let mut request = client::build(method, entry, path, body::full(body))?;
+        let mut request = client::build_request(method, entry, path, body::full(body))?;
         let not_sent = |e: &dyn std::fmt::Display| Error::NotSent {
             address: entry,
             cause: e.to_string(),
@@ -120,8 +120,11 @@
             value => value.to_string(),
         };
         let request = self.request(method, entry, path, headers, body)?;
-        let (_, bytes) = self.http.whole(entry, request, self.timeout).await?;
-        serde_json::from_slice(&bytes).map_err(|e| Error::Broken {
+        let (_, bytes) = self
+            .http
+            .send_and_read(entry, request, self.timeout)
+            .await?;
+        serde_json::from_slice(&bytes).map_err(|e| Error::ConnectionLost {
             address: entry,
             cause: e.to_string(),
         })
@@ -258,7 +261,10 @@
         let path = format!("/v1/services/{path}");
         let headers = build_headers(program, options);
         let request = self.request(Method::POST, entry, &path, &headers, body.to_owned())?;
-        let (_, bytes) = self.http.whole(entry, request, self.timeout).await?;
+        let (_, bytes) = self
+            .http
+            .send_and_read(entry, request, self.timeout)
+            .await?;
         Ok(String::from_utf8_lossy(&bytes).into_owned())
     }
 
@@ -270,8 +276,8 @@
         let response = self.http.send(entry, request).await?;
         let status = response.status();
         if !status.is_success() {
-            let bytes = client::collect(entry, response.into_body()).await?;
-            return Err(client::status(entry, status, &bytes));
+            let bytes = client::read_body(entry, response.into_body()).await?;
+            return Err(client::status_error(entry, status, &bytes));
         }
         let headers = response.headers().clone();
         let events = BodyDataStream::new(response.into_body()).eventsource();
@@ -288,7 +294,7 @@
 
 fn build_headers(program: &str, options: Options) -> Vec<(&'static str, String)> {
     let request = options.request;
-    let request = request.unwrap_or_else(|| id::Request::fresh().to_string());
+    let request = request.unwrap_or_else(|| id::Request::generate().to_string());
     let mut headers = vec![
         (PROGRAM_HEADER, program.to_owned()),
         (REQUEST_HEADER, request),
@@ -333,7 +339,7 @@
     /// Returns an error if the stream was interrupted or the call failed.
     pub async fn next(&mut self) -> Result<Option<String>, Error> {
         loop {
-            let interrupted = |cause: String| Error::Broken {
+            let interrupted = |cause: String| Error::ConnectionLost {
                 address: self.entry,
                 cause,
             };
@@ -349,7 +355,11 @@
             }
             if event.event == "error" {
                 let status = http::StatusCode::BAD_GATEWAY;
-                return Err(client::status(self.entry, status, event.data.as_bytes()));
+                return Err(client::status_error(
+                    self.entry,
+                    status,
+                    event.data.as_bytes(),
+                ));
             }
             self.offset = event.id.parse().unwrap_or(self.offset);
             let chunk: Value = serde_json::from_str(&event.data).unwrap_or_default();
--- a/crates/gradedyke-gateway/src/entry/admission.rs
+++ b/crates/gradedyke-gateway/src/entry/admission.rs
@@ -91,7 +91,7 @@
             Decision::Unknown => {}
         }
         let deadline = call.deadline.min(now + QUORUM_RECOVERY_TIMEOUT);
-        let mut backoff = Backoff::endless(MIN_BACKOFF, MAX_BACKOFF);
+        let mut backoff = Backoff::unlimited(MIN_BACKOFF, MAX_BACKOFF);
         loop {
             metrics::counter!("gradedyke_usage_asked_total").increment(1);
             let (report, snapshot) = self.limiter.report(charge, Instant::now());
@@ -108,7 +108,7 @@
             if now + MIN_BACKOFF >= deadline {
                 return Err(Refusal::NoKeepers);
             }
-            tokio::time::sleep(backoff.step(rand::random())).await;
+            tokio::time::sleep(backoff.next_delay(rand::random())).await;
         }
     }
 }
--- a/crates/gradedyke-gateway/src/meter.rs
+++ b/crates/gradedyke-gateway/src/meter.rs
@@ -190,14 +190,14 @@
 #[async_trait]
 impl Handler for MetricsPage {
     async fn handle(&self, _: Request<Incoming>) -> Response<Body> {
-        reply::bytes_of(StatusCode::OK, "text/plain; version=0.0.4", render())
+        reply::with_bytes(StatusCode::OK, "text/plain; version=0.0.4", render())
     }
 }
 
 /// Serves the metrics page on `address` until `stop`.
 pub async fn serve(address: SocketAddr, stop: CancellationToken) {
     let config = Config {
-        connections: MAX_CONNECTIONS,
+        max_connections: MAX_CONNECTIONS,
         ..Config::default()
     };
     match Server::bind(address, config).await {
--- a/crates/gradedyke-gateway/tests/follow/service.rs
+++ b/crates/gradedyke-gateway/tests/follow/service.rs
@@ -6,7 +6,7 @@
 
 use async_trait::async_trait;
 use gradedyke_platform::kv::{
-    Entry, Error, Event, KeyValue, Lease, Listing, Revision, Swap, Swapped, Watch,
+    Entry, Error, Event, KeyValue, Lease, Listing, Outcome, Revision, Swap, Watch,
 };
 use gradedyke_turns::mirror::Mirror;
 use tokio::sync::watch;
@@ -119,7 +119,7 @@
             }
             Some(Outage::Silent) => {
                 tokio::time::sleep(CALL_TIMEOUT).await;
-                Err(Error::Unknown("call timed out".to_owned()))
+                Err(Error::OutcomeUnknown("call timed out".to_owned()))
             }
             Some(Outage::Refusing) => Err(Error::Unavailable("service unavailable".to_owned())),
         }
@@ -148,19 +148,19 @@
         })
     }
 
-    async fn swap(&self, _swap: Swap) -> Result<Swapped, Error> {
+    async fn swap(&self, _swap: Swap) -> Result<Outcome, Error> {
         unsupported()
     }
 
-    async fn grant(&self, _length: Duration) -> Result<Lease, Error> {
+    async fn grant_lease(&self, _length: Duration) -> Result<Lease, Error> {
         unsupported()
     }
 
-    async fn renew(&self, _lease: Lease) -> Result<(), Error> {
+    async fn renew_lease(&self, _lease: Lease) -> Result<(), Error> {
         unsupported()
     }
 
-    async fn revoke(&self, _lease: Lease) -> Result<(), Error> {
+    async fn revoke_lease(&self, _lease: Lease) -> Result<(), Error> {
         unsupported()
     }
 
--- a/crates/gradedyke-http/src/body.rs
+++ b/crates/gradedyke-http/src/body.rs
@@ -11,10 +11,10 @@
 use tokio::sync::mpsc;
 
 /// The error of a body.
-pub type Failure = Box<dyn std::error::Error + Send + Sync>;
+pub type Error = Box<dyn std::error::Error + Send + Sync>;
 
 /// A boxed body of any type.
-pub type Body = UnsyncBoxBody<Bytes, Failure>;
+pub type Body = UnsyncBoxBody<Bytes, Error>;
 
 /// Returns an empty body.
 pub fn empty() -> Body {
@@ -29,7 +29,7 @@
 }
 
 /// The sending side of a body made by [`channel`].
-pub type Sender = mpsc::Sender<Result<Bytes, Failure>>;
+pub type Sender = mpsc::Sender<Result<Bytes, Error>>;
 
 /// Returns a body fed through a channel that holds at most `capacity` chunks.
 ///
@@ -37,7 +37,7 @@
 /// connection, so that the reader can tell that the body is incomplete. The
 /// channel is closed when the body is no longer read.
 pub fn channel(capacity: usize) -> (Sender, Body) {
-    let (sender, mut receiver) = mpsc::channel::<Result<Bytes, Failure>>(capacity);
+    let (sender, mut receiver) = mpsc::channel::<Result<Bytes, Error>>(capacity);
     let chunks = poll_fn(move |cx| receiver.poll_recv(cx).map_ok(Frame::data));
     (sender, BodyExt::boxed_unsync(StreamBody::new(chunks)))
 }
@@ -50,7 +50,7 @@
 pub async fn collect<B>(body: B, limit: usize, timeout: Duration) -> Result<Bytes, Problem>
 where
     B: hyper::body::Body<Data = Bytes>,
-    B::Error: Into<Failure>,
+    B::Error: Into<Error>,
 {
     let whole = Limited::new(body, limit).collect();
     match tokio::time::timeout(timeout, whole).await {
--- a/crates/gradedyke-http/src/client.rs
+++ b/crates/gradedyke-http/src/client.rs
@@ -34,19 +34,19 @@
     /// The connection failed or the reply was invalid; the request may have been
     /// executed.
     #[error("{address} broke off ({cause}); see its log")]
-    Broken {
+    ConnectionLost {
         /// The address that was asked.
         address: SocketAddr,
         /// What failed.
         cause: String,
     },
     /// No reply arrived before the timeout; the request may have been executed.
-    #[error("{address} did not answer in {} ms; see whether it is overloaded", time.as_millis())]
+    #[error("{address} did not answer in {} ms; see whether it is overloaded", timeout.as_millis())]
     TimedOut {
         /// The address that was asked.
         address: SocketAddr,
         /// The timeout.
-        time: Duration,
+        timeout: Duration,
     },
     /// The server replied with an error status.
     #[error("{address} answered {status}: {message}")]
@@ -64,7 +64,7 @@
 
 impl Error {
     /// Whether the request was not sent, and so was certainly not executed.
-    pub fn not_sent(&self) -> bool {
+    pub fn is_not_sent(&self) -> bool {
         matches!(self, Error::NotSent { .. })
     }
 
@@ -81,20 +81,20 @@
 #[derive(Clone, Debug)]
 pub struct Config {
     /// Timeout for connecting.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// Whether to use HTTP/2 with prior knowledge, with many streams on one
     /// connection.
     pub http2: bool,
     /// Whether to keep connections open and reuse them for later requests.
-    pub keep: bool,
+    pub reuse_connections: bool,
 }
 
 impl Default for Config {
     fn default() -> Self {
         Self {
-            connect: Duration::from_secs(1),
+            connect_timeout: Duration::from_secs(1),
             http2: false,
-            keep: true,
+            reuse_connections: true,
         }
     }
 }
@@ -122,7 +122,7 @@
     /// Creates a client with the given configuration.
     pub fn new(config: &Config) -> Self {
         let mut connector = HttpConnector::new();
-        connector.set_connect_timeout(Some(config.connect));
+        connector.set_connect_timeout(Some(config.connect_timeout));
         connector.set_nodelay(true);
         let mut builder = Legacy::builder(TokioExecutor::new());
         builder
@@ -131,7 +131,7 @@
             .http2_only(config.http2)
             .http2_initial_stream_window_size(STREAM_WINDOW_BYTES)
             .http2_initial_connection_window_size(CONNECTION_WINDOW_BYTES);
-        if !config.keep {
+        if !config.reuse_connections {
             builder.pool_max_idle_per_host(0);
         }
         Self {
@@ -155,7 +155,7 @@
             if e.is_connect() {
                 Error::NotSent { address, cause }
             } else {
-                Error::Broken { address, cause }
+                Error::ConnectionLost { address, cause }
             }
         })
     }
@@ -165,7 +165,7 @@
     /// # Errors
     ///
     /// Any [`Error`]; a status other than 2xx gives [`Error::Status`].
-    pub async fn whole(
+    pub async fn send_and_read(
         &self,
         address: SocketAddr,
         request: Request<Body>,
@@ -174,19 +174,16 @@
         let exchange = async {
             let reply = self.send(address, request).await?;
             let (head, incoming) = reply.into_parts();
-            let bytes = collect(address, incoming).await?;
+            let bytes = read_body(address, incoming).await?;
             if head.status.is_success() {
                 Ok((head.headers, bytes))
             } else {
-                Err(status(address, head.status, &bytes))
+                Err(status_error(address, head.status, &bytes))
             }
         };
         match tokio::time::timeout(timeout, exchange).await {
             Ok(result) => result,
-            Err(_) => Err(Error::TimedOut {
-                address,
-                time: timeout,
-            }),
+            Err(_) => Err(Error::TimedOut { address, timeout }),
         }
     }
 
@@ -196,7 +193,7 @@
     /// # Errors
     ///
     /// Any [`Error`]; a status other than 2xx gives [`Error::Status`].
-    pub async fn json<T: Serialize, U: DeserializeOwned>(
+    pub async fn send_json<T: Serialize, U: DeserializeOwned>(
         &self,
         method: Method,
         address: SocketAddr,
@@ -211,10 +208,10 @@
             })?),
             None => body::empty(),
         };
-        let request = build(method, address, path, body)?;
-        let (_, bytes) = self.whole(address, request, timeout).await?;
+        let request = build_request(method, address, path, body)?;
+        let (_, bytes) = self.send_and_read(address, request, timeout).await?;
         let bytes: &[u8] = if bytes.is_empty() { b"null" } else { &bytes };
-        serde_json::from_slice(bytes).map_err(|e| Error::Broken {
+        serde_json::from_slice(bytes).map_err(|e| Error::ConnectionLost {
             address,
             cause: e.to_string(),
         })
@@ -226,7 +223,7 @@
 /// # Errors
 ///
 /// [`Error::NotSent`] if the path is not valid in a URI.
-pub fn build(
+pub fn build_request(
     method: Method,
     address: SocketAddr,
     path: &str,
@@ -248,9 +245,9 @@
 /// # Errors
 ///
 /// [`Error::Broken`] if the body ends early or is longer than [`MAX_REPLY_BYTES`].
-pub async fn collect(address: SocketAddr, incoming: Incoming) -> Result<Bytes, Error> {
+pub async fn read_body(address: SocketAddr, incoming: Incoming) -> Result<Bytes, Error> {
     let limited = http_body_util::Limited::new(incoming, MAX_REPLY_BYTES);
-    let collected = limited.collect().await.map_err(|e| Error::Broken {
+    let collected = limited.collect().await.map_err(|e| Error::ConnectionLost {
         address,
         cause: e.to_string(),
     })?;
@@ -258,8 +255,8 @@
 }
 
 /// Returns the error for a reply with an error status and the given body.
-pub fn status(address: SocketAddr, status: StatusCode, bytes: &[u8]) -> Error {
-    let problem = Problem::from_body(bytes).map(Box::new);
+pub fn status_error(address: SocketAddr, status: StatusCode, bytes: &[u8]) -> Error {
+    let problem = Problem::parse_body(bytes).map(Box::new);
     let message = match &problem {
         Some(problem) => problem.message.clone(),
         None => String::from_utf8_lossy(bytes)
--- a/crates/gradedyke-http/src/reply.rs
+++ b/crates/gradedyke-http/src/reply.rs
@@ -14,7 +14,7 @@
 /// Returns a JSON reply.
 pub fn json<T: Serialize>(status: StatusCode, value: &T) -> Response<Body> {
     match serde_json::to_vec(value) {
-        Ok(bytes) => bytes_of(status, "application/json", bytes),
+        Ok(bytes) => with_bytes(status, "application/json", bytes),
         Err(e) => problem(&Problem::new(
             Kind::Internal,
             format!("the reply could not be written ({e}); report this"),
@@ -23,7 +23,7 @@
 }
 
 /// Returns a reply with the given contents and content type.
-pub fn bytes_of(
+pub fn with_bytes(
     status: StatusCode,
     content_type: &'static str,
     bytes: impl Into<Bytes>,
@@ -40,7 +40,7 @@
 pub fn problem(problem: &Problem) -> Response<Body> {
     let status =
         StatusCode::from_u16(problem.kind.status()).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-    let mut reply = bytes_of(status, "application/json", problem.body());
+    let mut reply = with_bytes(status, "application/json", problem.body());
     if let Some(ms) = problem.retry_after_ms {
         let seconds = ms.div_ceil(MS_PER_SECOND);
         reply
--- a/crates/gradedyke-http/src/server.rs
+++ b/crates/gradedyke-http/src/server.rs
@@ -46,26 +46,26 @@
     /// The accepted protocols.
     pub protocol: Protocol,
     /// Timeout for reading a request's head.
-    pub head: Duration,
+    pub header_timeout: Duration,
     /// Maximum number of open connections; further ones wait to be accepted.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Time without a new request after which a connection is closed, once its
     /// requests in progress are completed. `None` for no limit.
-    pub idle: Option<Duration>,
+    pub idle_timeout: Option<Duration>,
     /// Maximum time for which data for a peer may stay unsent or unacknowledged
     /// (`TCP_USER_TIMEOUT`) before the connection is closed. It bounds the memory
     /// used for a peer that does not read. `None` for the operating system's default.
-    pub unread: Option<Duration>,
+    pub unread_timeout: Option<Duration>,
 }
 
 impl Default for Config {
     fn default() -> Self {
         Self {
             protocol: Protocol::Http1,
-            head: Duration::from_secs(5),
-            connections: 8_192,
-            idle: None,
-            unread: None,
+            header_timeout: Duration::from_secs(5),
+            max_connections: 8_192,
+            idle_timeout: None,
+            unread_timeout: None,
         }
     }
 }
@@ -107,7 +107,7 @@
     /// Serves until `stop` is cancelled, then completes the requests in progress.
     /// Dropping the future closes all connections immediately.
     pub async fn serve(self, handler: Arc<dyn Handler>, stop: CancellationToken) {
-        let permits = Arc::new(Semaphore::new(self.config.connections));
+        let permits = Arc::new(Semaphore::new(self.config.max_connections));
         let mut connections = JoinSet::new();
         loop {
             let accepted = tokio::select! {
@@ -177,8 +177,8 @@
 ) {
     // Streamed tokens are small writes that must not be delayed.
     let _ = stream.set_nodelay(true);
-    if config.unread.is_some()
-        && let Err(error) = SockRef::from(&stream).set_tcp_user_timeout(config.unread)
+    if config.unread_timeout.is_some()
+        && let Err(error) = SockRef::from(&stream).set_tcp_user_timeout(config.unread_timeout)
     {
         tracing::warn!(event = "unread_not_bounded", %error,
             remedy = "check whether the operating system supports TCP_USER_TIMEOUT");
@@ -193,7 +193,7 @@
     builder
         .http1()
         .timer(TokioTimer::new())
-        .header_read_timeout(config.head);
+        .header_read_timeout(config.header_timeout);
     builder
         .http2()
         .timer(TokioTimer::new())
@@ -205,7 +205,7 @@
     tokio::pin!(connection);
     let result = tokio::select! {
         result = connection.as_mut() => result,
-        () = wait_idle_or_stopped(requests, config.idle, &stop) => {
+        () = wait_idle_or_stopped(requests, config.idle_timeout, &stop) => {
             connection.as_mut().graceful_shutdown();
             connection.await
         }
--- a/crates/gradedyke-http/tests/idle.rs
+++ b/crates/gradedyke-http/tests/idle.rs
@@ -22,9 +22,9 @@
     }
 }
 
-async fn start(idle: Option<Duration>) -> SocketAddr {
+async fn start(idle_timeout: Option<Duration>) -> SocketAddr {
     let config = Config {
-        idle,
+        idle_timeout,
         ..Config::default()
     };
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
--- a/crates/gradedyke-http/tests/unread.rs
+++ b/crates/gradedyke-http/tests/unread.rs
@@ -62,7 +62,7 @@
 
 async fn start(unread: Duration) -> (SocketAddr, mpsc::UnboundedReceiver<Event>) {
     let config = Config {
-        unread: Some(unread),
+        unread_timeout: Some(unread),
         ..Config::default()
     };
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
--- a/crates/gradedyke-journal/src/log.rs
+++ b/crates/gradedyke-journal/src/log.rs
@@ -200,7 +200,7 @@
 
     /// The index of the last entry, including entries not yet stored by a
     /// majority.
-    pub fn last(&self) -> Index {
+    pub fn last_index(&self) -> Index {
         self.tail
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
--- a/crates/gradedyke-journal/src/rpc.rs
+++ b/crates/gradedyke-journal/src/rpc.rs
@@ -18,9 +18,9 @@
 use crate::keeper::{Error, Keeper};
 
 /// Path of the JSON-RPC endpoint on the peer listener.
-pub const PATH: &str = "/rpc";
+pub const RPC_PATH: &str = "/rpc";
 /// Maximum size of a request or response, in bytes. A full batch of appends fits.
-pub const MAX_MESSAGE: u32 = 64 << 20;
+pub const MAX_MESSAGE_BYTES: u32 = 64 << 20;
 /// JSON-RPC error code for a failure of the keeper's store.
 const STORE_FAILED_CODE: i32 = -32_001;
 
@@ -128,9 +128,9 @@
     pub fn new(address: SocketAddr, store: &str, timeout: Duration) -> Result<Self, Error> {
         let client = HttpClientBuilder::default()
             .request_timeout(timeout)
-            .max_request_size(MAX_MESSAGE)
-            .max_response_size(MAX_MESSAGE)
-            .build(format!("http://{address}{PATH}"))
+            .max_request_size(MAX_MESSAGE_BYTES)
+            .max_response_size(MAX_MESSAGE_BYTES)
+            .build(format!("http://{address}{RPC_PATH}"))
             .map_err(|e| Error::Unreachable(e.to_string()))?;
         Ok(Self {
             client,
--- a/crates/gradedyke-journal/src/store.rs
+++ b/crates/gradedyke-journal/src/store.rs
@@ -89,7 +89,7 @@
     /// # Errors
     ///
     /// The database cannot be created.
-    pub fn memory() -> Result<Self, Error> {
+    pub fn in_memory() -> Result<Self, Error> {
         let database = Database::builder()
             .set_cache_size(CACHE_BYTES)
             .create_with_backend(InMemoryBackend::new())
@@ -152,7 +152,7 @@
     if let Some(existing) = existing.map(|row| Arc::from(row.value())) {
         return Ok(existing);
     }
-    let fresh = id::Request::fresh();
+    let fresh = id::Request::generate();
     meta.insert(IDENTITY_KEY, fresh.as_str())
         .map_err(store_error)?;
     Ok(fresh.as_str().into())
--- a/crates/gradedyke-journal/tests/contract.rs
+++ b/crates/gradedyke-journal/tests/contract.rs
@@ -43,8 +43,8 @@
 async fn keepers() -> (Vec<Arc<dyn Keeper>>, ServerHandle, tempfile::TempDir) {
     let folder = tempfile::tempdir().unwrap();
     let disk = Store::open(folder.path()).unwrap();
-    let memory = Store::memory().unwrap();
-    let served = Arc::new(Store::memory().unwrap());
+    let memory = Store::in_memory().unwrap();
+    let served = Arc::new(Store::in_memory().unwrap());
     let server = Server::builder().build("127.0.0.1:0").await.unwrap();
     let address = server.local_addr().unwrap();
     let identity = served.identity().to_owned();
@@ -168,8 +168,8 @@
 
 #[tokio::test]
 async fn calls_meant_for_a_replaced_store_fail() {
-    let old = Store::memory().unwrap();
-    let replacement = Arc::new(Store::memory().unwrap());
+    let old = Store::in_memory().unwrap();
+    let replacement = Arc::new(Store::in_memory().unwrap());
     assert_ne!(old.identity(), replacement.identity());
     let server = Server::builder().build("127.0.0.1:0").await.unwrap();
     let address = server.local_addr().unwrap();
@@ -187,7 +187,7 @@
 
 #[tokio::test]
 async fn long_logs_are_read_in_pages() {
-    let store = Store::memory().unwrap();
+    let store = Store::in_memory().unwrap();
     let text = to_raw_value(&"x".repeat(1 << 20)).unwrap();
     let data: Arc<_> = text.into();
     let mut long_append = append(1, 0, 1, &[1; 6]);
--- a/crates/gradedyke-journal/tests/takeover.rs
+++ b/crates/gradedyke-journal/tests/takeover.rs
@@ -122,7 +122,7 @@
     fn new() -> Self {
         let keeper = |_| {
             Arc::new(FaultyKeeper {
-                store: Store::memory().unwrap(),
+                store: Store::in_memory().unwrap(),
                 is_unreachable: AtomicBool::new(false),
                 lose_next_answer: AtomicBool::new(false),
             })
--- a/crates/gradedyke-load/src/overhead.rs
+++ b/crates/gradedyke-load/src/overhead.rs
@@ -43,7 +43,7 @@
 pub async fn apply(world: &World) -> eyre::Result<()> {
     let kv = gradedyke_platform::etcd::Etcd::new(gradedyke_platform::etcd::Config {
         addresses: vec![world.platform_address],
-        time: TIME,
+        timeout: TIME,
     });
     let tree = gradedyke_base::settings::check::read("load", &world.tree.to_string());
     let tree = tree.map_err(|e| eyre::eyre!("{e:?}"))?;
@@ -135,9 +135,10 @@
     body["max_tokens"] = json!(4);
     let body = gradedyke_http::body::full(body.to_string());
     let path = "/v1/chat/completions";
-    let mut request = gradedyke_http::client::build(http::Method::POST, engine, path, body)?;
+    let mut request =
+        gradedyke_http::client::build_request(http::Method::POST, engine, path, body)?;
     request.headers_mut().insert("x-request-id", name.parse()?);
-    client.whole(engine, request, TIME).await?;
+    client.send_and_read(engine, request, TIME).await?;
     Ok(())
 }
 
@@ -154,7 +155,7 @@
     // call of a program pays for it.
     let account = gradedyke_base::id::Account::parse("kestrel")?;
     let request = gradedyke_base::id::Request::parse(&opened)?;
-    let program = gradedyke_base::id::Program::opened(&account, &request).to_string();
+    let program = gradedyke_base::id::Program::from_request(&account, &request).to_string();
     if number.is_multiple_of(TURNS) {
         caller.open(entry, "minutes", None, None, &opened).await?;
     }
@@ -216,7 +217,7 @@
     time: Duration,
     rate: f64,
 ) -> eyre::Result<Value> {
-    let tag = gradedyke_base::id::Request::fresh().to_string();
+    let tag = gradedyke_base::id::Request::generate().to_string();
     let client = gradedyke_http::Client::new(&gradedyke_http::client::Config::default());
     let name = tag.clone();
     let straight = load(workers, time, rate, move |worker, number| {
--- a/crates/gradedyke-load/src/relay.rs
+++ b/crates/gradedyke-load/src/relay.rs
@@ -73,7 +73,7 @@
     let measured = measure(|| {
         let client = client.clone();
         async move {
-            let request = client::build(Method::GET, address, "/", body::empty())?;
+            let request = client::build_request(Method::GET, address, "/", body::empty())?;
             let mut incoming = client.send(address, request).await?.into_body();
             let mut reader = Reader::new();
             let mut got = 0;
--- a/crates/gradedyke-peer/src/client.rs
+++ b/crates/gradedyke-peer/src/client.rs
@@ -42,7 +42,7 @@
     Unreachable(SocketAddr),
     /// The connection was lost; the call may have taken effect.
     #[error("the connection to {0} was lost; the call may have taken effect, retry it")]
-    Broken(SocketAddr),
+    ConnectionLost(SocketAddr),
     /// No reply arrived before the timeout; the call may have taken effect.
     #[error("{0} did not reply within {1:?}; the call may have taken effect, retry it")]
     TimedOut(SocketAddr, Duration),
@@ -142,7 +142,7 @@
     /// When the last reply to any call arrived, or when the client was created if
     /// there was none. A peer that replied recently is reachable, even if one call
     /// to it has timed out.
-    pub fn heard(&self) -> Instant {
+    pub fn last_reply_at(&self) -> Instant {
         self.last_reply.time()
     }
 
@@ -163,7 +163,9 @@
         let exchange = async {
             let sent = self.calls.send(call).await;
             sent.map_err(|_| Error::Unreachable(self.address))?;
-            answer.await.map_err(|_| Error::Broken(self.address))?
+            answer
+                .await
+                .map_err(|_| Error::ConnectionLost(self.address))?
         };
         match tokio::time::timeout_at(deadline, exchange).await {
             Ok(result) => result,
@@ -196,7 +198,8 @@
                     }
                     for (_, call) in pending {
                         // Sending fails if the caller has stopped waiting.
-                        let _: Result<(), _> = call.reply.send(Err(Error::Broken(self.address)));
+                        let _: Result<(), _> =
+                            call.reply.send(Err(Error::ConnectionLost(self.address)));
                     }
                 }
                 _ => {
--- a/crates/gradedyke-peer/tests/calls.rs
+++ b/crates/gradedyke-peer/tests/calls.rs
@@ -85,7 +85,7 @@
     stop.cancel();
     let lost = client.call("b".into(), LONG_TIMEOUT).await.unwrap_err();
     assert!(
-        matches!(lost, Error::Broken(_) | Error::Unreachable(_)),
+        matches!(lost, Error::ConnectionLost(_) | Error::Unreachable(_)),
         "{lost:?}"
     );
     // Nobody is listening now; the calls fail once a connect has failed.
--- a/crates/gradedyke-platform/src/etcd.rs
+++ b/crates/gradedyke-platform/src/etcd.rs
@@ -22,7 +22,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::kv::{
-    Entry, Error, Event, KeyValue, Lease, Listing, MAX_VALUE, Revision, Swap, Swapped, Watch,
+    Entry, Error, Event, KeyValue, Lease, Listing, MAX_VALUE_BYTES, Outcome, Revision, Swap, Watch,
 };
 
 /// The configuration of the adapter.
@@ -31,7 +31,7 @@
     /// Addresses of the service. After a failed call the next one is used.
     pub addresses: Vec<SocketAddr>,
     /// Timeout of a call; for a watch, the timeout for opening it.
-    pub time: Duration,
+    pub timeout: Duration,
 }
 
 /// A client of the key-value service.
@@ -205,11 +205,11 @@
 fn convert_error(error: &client::Error) -> Error {
     match error {
         client::Error::NotSent { .. } => Error::Unavailable(error.to_string()),
-        client::Error::Broken { .. } | client::Error::TimedOut { .. } => {
-            Error::Unknown(error.to_string())
+        client::Error::ConnectionLost { .. } | client::Error::TimedOut { .. } => {
+            Error::OutcomeUnknown(error.to_string())
         }
         client::Error::Status { message, .. } if message.contains("lease not found") => {
-            Error::LeaseGone
+            Error::LeaseExpired
         }
         // The gateway replies with 503 if it did not accept the call.
         client::Error::Status { status, .. } if status.as_u16() == 503 => {
@@ -252,7 +252,13 @@
         let address = self.address();
         let reply = self
             .client
-            .json(Method::POST, address, path, Some(request), self.config.time)
+            .send_json(
+                Method::POST,
+                address,
+                path,
+                Some(request),
+                self.config.timeout,
+            )
             .await;
         reply.map_err(|error| {
             self.address_index.fetch_add(1, Ordering::Relaxed);
@@ -292,9 +298,9 @@
         })
     }
 
-    async fn swap(&self, swap: Swap) -> Result<Swapped, Error> {
+    async fn swap(&self, swap: Swap) -> Result<Outcome, Error> {
         let size = swap.value.as_ref().map_or(0, Vec::len);
-        if size > MAX_VALUE {
+        if size > MAX_VALUE_BYTES {
             return Err(Error::TooLarge(size));
         }
         let key = STANDARD.encode(&swap.key);
@@ -315,24 +321,24 @@
                 key: key.clone(),
                 target: "MOD",
                 result: "EQUAL",
-                mod_revision: swap.expected.to_string(),
+                mod_revision: swap.expected_revision.to_string(),
             }],
             success: vec![write],
             failure: vec![Operation::Range(range())],
         };
         let reply: TxnReply = self.call("txn", "/v3/kv/txn", &request).await?;
         if reply.succeeded {
-            return Ok(Swapped::Done(parse_number(&reply.header.revision)));
+            return Ok(Outcome::Written(parse_number(&reply.header.revision)));
         }
         let found = reply
             .responses
             .first()
             .and_then(|response| response.response_range.as_ref())
             .and_then(|range| range.kvs.first());
-        Ok(Swapped::Conflict(found.map(decode_entry).transpose()?))
+        Ok(Outcome::Conflict(found.map(decode_entry).transpose()?))
     }
 
-    async fn grant(&self, ttl: Duration) -> Result<Lease, Error> {
+    async fn grant_lease(&self, ttl: Duration) -> Result<Lease, Error> {
         let seconds = ttl.as_millis().div_ceil(1_000);
         let request = LeaseRequest {
             id: "0".to_owned(),
@@ -345,7 +351,7 @@
         })
     }
 
-    async fn renew(&self, lease: Lease) -> Result<(), Error> {
+    async fn renew_lease(&self, lease: Lease) -> Result<(), Error> {
         let request = LeaseRequest {
             id: lease.0.to_string(),
             ttl: None,
@@ -353,12 +359,12 @@
         let path = "/v3/lease/keepalive";
         let reply: StreamMessage<LeaseReply> = self.call("renew", path, &request).await?;
         match parse_number(&reply.result.ttl) {
-            0 => Err(Error::LeaseGone),
+            0 => Err(Error::LeaseExpired),
             _ => Ok(()),
         }
     }
 
-    async fn revoke(&self, lease: Lease) -> Result<(), Error> {
+    async fn revoke_lease(&self, lease: Lease) -> Result<(), Error> {
         let request = LeaseRequest {
             id: lease.0.to_string(),
             ttl: None,
@@ -379,10 +385,10 @@
             },
         };
         let bytes = serde_json::to_vec(&request).map_err(|e| Error::Refused(e.to_string()))?;
-        let request = client::build(Method::POST, address, "/v3/watch", body::full(bytes))
+        let request = client::build_request(Method::POST, address, "/v3/watch", body::full(bytes))
             .map_err(|e| convert_error(&e))?;
         let opening = self.client.send(address, request);
-        let reply = tokio::time::timeout(self.config.time, opening)
+        let reply = tokio::time::timeout(self.config.timeout, opening)
             .await
             .map_err(|_| Error::Unavailable(format!("{address} did not open the watch in time")))?
             .map_err(|e| convert_error(&e))?;
--- a/crates/gradedyke-platform/src/instances.rs
+++ b/crates/gradedyke-platform/src/instances.rs
@@ -34,7 +34,7 @@
 
 /// The instance list.
 #[async_trait]
-pub trait Instances: Send + Sync {
+pub trait List: Send + Sync {
     /// Returns the instances of `service`.
     ///
     /// # Errors
@@ -118,12 +118,12 @@
 }
 
 #[async_trait]
-impl Instances for Consul {
+impl List for Consul {
     async fn list(&self, service: &str) -> Result<Vec<Instance>, client::Error> {
         let path = format!("/v1/health/service/{service}");
         let rows: Vec<Row> = self
             .client
-            .json(Method::GET, self.address, &path, None::<&()>, self.timeout)
+            .send_json(Method::GET, self.address, &path, None::<&()>, self.timeout)
             .await?;
         Ok(rows.into_iter().map(Instance::from).collect())
     }
--- a/crates/gradedyke-platform/src/kv.rs
+++ b/crates/gradedyke-platform/src/kv.rs
@@ -9,7 +9,7 @@
 use async_trait::async_trait;
 
 /// Maximum size of a value, in bytes.
-pub const MAX_VALUE: usize = 1 << 20;
+pub const MAX_VALUE_BYTES: usize = 1 << 20;
 
 /// A revision of the whole store, which increases with each write.
 pub type Revision = u64;
@@ -46,7 +46,7 @@
     /// The key.
     pub key: String,
     /// The revision that the key must have; 0 if the key must not exist.
-    pub expected: Revision,
+    pub expected_revision: Revision,
     /// The new value, or `None` to delete the key.
     pub value: Option<Vec<u8>>,
     /// The lease to which the key is attached, if any.
@@ -55,9 +55,9 @@
 
 /// The result of a compare-and-swap.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Swapped {
+pub enum Outcome {
     /// The write succeeded at this revision.
-    Done(Revision),
+    Written(Revision),
     /// The key had a different revision; this is its current entry, if it exists.
     Conflict(Option<Entry>),
 }
@@ -85,10 +85,10 @@
     /// The service did not answer. A write may have taken effect; read the key to
     /// find out.
     #[error("the key-value service did not answer ({0}); read the key back")]
-    Unknown(String),
+    OutcomeUnknown(String),
     /// The lease has expired or was revoked.
     #[error("the lease has lapsed; take a new one and act on nothing done under the old")]
-    LeaseGone,
+    LeaseExpired,
     /// The value is larger than [`MAX_VALUE`]; this is its size in bytes.
     #[error("the value has {0} bytes, over a megabyte; split it")]
     TooLarge(usize),
@@ -122,7 +122,7 @@
     /// # Errors
     ///
     /// Any [`Error`]; after [`Error::Unknown`] the write may have taken effect.
-    async fn swap(&self, swap: Swap) -> Result<Swapped, Error>;
+    async fn swap(&self, swap: Swap) -> Result<Outcome, Error>;
 
     /// Creates a lease that expires after `ttl`, rounded up to whole seconds.
     ///
@@ -130,21 +130,21 @@
     ///
     /// Any [`Error`]; after [`Error::Unknown`] a lease may have been created, which
     /// then expires by itself.
-    async fn grant(&self, ttl: Duration) -> Result<Lease, Error>;
+    async fn grant_lease(&self, ttl: Duration) -> Result<Lease, Error>;
 
     /// Renews a lease for its full time-to-live.
     ///
     /// # Errors
     ///
     /// Any [`Error`]; [`Error::LeaseGone`] if the lease has expired.
-    async fn renew(&self, lease: Lease) -> Result<(), Error>;
+    async fn renew_lease(&self, lease: Lease) -> Result<(), Error>;
 
     /// Revokes a lease and so deletes the keys attached to it.
     ///
     /// # Errors
     ///
     /// Any [`Error`]; after [`Error::Unknown`] the lease may have been revoked.
-    async fn revoke(&self, lease: Lease) -> Result<(), Error>;
+    async fn revoke_lease(&self, lease: Lease) -> Result<(), Error>;
 
     /// Watches the keys with the given prefix for changes from revision `from` on. If
     /// the service is long-polled, the first poll returns existing changes at once.
@@ -179,17 +179,20 @@
 /// # Errors
 ///
 /// Any [`Error`]; [`Error::Unknown`] if reading the key failed too.
-pub async fn settle(kv: &dyn KeyValue, swap: Swap) -> Result<Swapped, Error> {
+pub async fn swap_and_verify(kv: &dyn KeyValue, swap: Swap) -> Result<Outcome, Error> {
     let key = swap.key.clone();
     let value = swap.value.clone();
     let cause = match kv.swap(swap).await {
-        Err(Error::Unknown(cause)) => cause,
+        Err(Error::OutcomeUnknown(cause)) => cause,
         result => return result,
     };
-    let found = kv.get(&key).await.map_err(|_| Error::Unknown(cause))?;
+    let found = kv
+        .get(&key)
+        .await
+        .map_err(|_| Error::OutcomeUnknown(cause))?;
     Ok(match (found, value) {
-        (Some(entry), Some(value)) if entry.value == value => Swapped::Done(entry.revision),
-        (None, None) => Swapped::Done(0),
-        (found, _) => Swapped::Conflict(found),
+        (Some(entry), Some(value)) if entry.value == value => Outcome::Written(entry.revision),
+        (None, None) => Outcome::Written(0),
+        (found, _) => Outcome::Conflict(found),
     })
 }
--- a/crates/gradedyke-platform/src/weights.rs
+++ b/crates/gradedyke-platform/src/weights.rs
@@ -76,13 +76,13 @@
 impl WeightStore for HttpStore {
     async fn stat(&self, model: &str, version: &str) -> Result<WeightInfo, Error> {
         let path = format!("/weights/{model}/{version}");
-        let request = client::build(Method::HEAD, self.address, &path, body::empty())?;
+        let request = client::build_request(Method::HEAD, self.address, &path, body::empty())?;
         let sending = self.client.send(self.address, request);
         let reply = tokio::time::timeout(self.timeout, sending)
             .await
             .map_err(|_| client::Error::TimedOut {
                 address: self.address,
-                time: self.timeout,
+                timeout: self.timeout,
             })??;
         match reply.status() {
             StatusCode::NOT_FOUND => Err(Error::Missing),
@@ -95,7 +95,7 @@
                 let bytes = numeric_header(reply.headers(), header::CONTENT_LENGTH).unwrap_or(0);
                 Ok(WeightInfo { bytes })
             }
-            status => Err(client::status(self.address, status, b"").into()),
+            status => Err(client::status_error(self.address, status, b"").into()),
         }
     }
 }
--- a/crates/gradedyke-platform/tests/contract.rs
+++ b/crates/gradedyke-platform/tests/contract.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use gradedyke_platform::etcd::{Config, Etcd};
-use gradedyke_platform::instances::{Consul, Instances, State};
-use gradedyke_platform::kv::{self, Error, Event, KeyValue, MAX_VALUE, Swap, Swapped};
+use gradedyke_platform::instances::{Consul, List, State};
+use gradedyke_platform::kv::{self, Error, Event, KeyValue, MAX_VALUE_BYTES, Outcome, Swap};
 use gradedyke_platform::weights::{self, WeightStore};
 use gradedyke_standin::platform::{Listener, Platform};
 use serde_json::json;
@@ -31,24 +31,24 @@
 fn etcd(address: SocketAddr, timeout: Duration) -> Etcd {
     Etcd::new(Config {
         addresses: vec![address],
-        time: timeout,
+        timeout,
     })
 }
 
-fn put(key: &str, expected: u64, value: &str) -> Swap {
+fn put(key: &str, expected_revision: u64, value: &str) -> Swap {
     Swap {
         key: key.to_owned(),
-        expected,
+        expected_revision,
         value: Some(value.into()),
         lease: None,
     }
 }
 
 /// Returns the revision of a successful swap.
-fn expect_done(swapped: Result<Swapped, Error>) -> u64 {
+fn expect_done(swapped: Result<Outcome, Error>) -> u64 {
     match swapped.unwrap() {
-        Swapped::Done(revision) => revision,
-        Swapped::Conflict(found) => panic!("conflict with {found:?}"),
+        Outcome::Written(revision) => revision,
+        Outcome::Conflict(found) => panic!("conflict with {found:?}"),
     }
 }
 
@@ -61,8 +61,8 @@
     for (expected, succeeds) in [(0, false), (first + 7, false), (first, true)] {
         let swapped = kv.swap(put("a", expected, "two")).await.unwrap();
         match swapped {
-            Swapped::Done(_) => assert!(succeeds, "expected {expected}"),
-            Swapped::Conflict(found) => {
+            Outcome::Written(_) => assert!(succeeds, "expected {expected}"),
+            Outcome::Conflict(found) => {
                 assert!(!succeeds, "expected {expected}");
                 assert_eq!(found.unwrap().value, b"one");
             }
@@ -91,7 +91,7 @@
         let writers: Vec<_> = writers.collect();
         let mut winners = Vec::new();
         for writer in writers {
-            if let Swapped::Done(revision) = writer.await.unwrap() {
+            if let Outcome::Written(revision) = writer.await.unwrap() {
                 winners.push(revision);
             }
         }
@@ -108,20 +108,23 @@
     let kv = etcd(address, TIMEOUT);
     platform.faults.lose.store(1, Ordering::Relaxed);
     let unknown = kv.swap(put("a", 0, "mark-1")).await;
-    assert!(matches!(unknown, Err(Error::Unknown(_))), "{unknown:?}");
+    assert!(
+        matches!(unknown, Err(Error::OutcomeUnknown(_))),
+        "{unknown:?}"
+    );
     let written = kv.get("a").await.unwrap().unwrap();
     assert_eq!(written.value, b"mark-1");
 
     platform.faults.lose.store(1, Ordering::Relaxed);
-    let settled = kv::settle(&kv, put("a", written.revision, "mark-2")).await;
+    let settled = kv::swap_and_verify(&kv, put("a", written.revision, "mark-2")).await;
     let found = kv.get("a").await.unwrap().unwrap();
     assert_eq!(expect_done(settled), found.revision);
     assert_eq!(found.value, b"mark-2");
 
     // The value of another write is a conflict.
     platform.faults.lose.store(0, Ordering::Relaxed);
-    let late = kv::settle(&kv, put("a", written.revision, "mark-3")).await;
-    assert!(matches!(late, Ok(Swapped::Conflict(Some(_)))), "{late:?}");
+    let late = kv::swap_and_verify(&kv, put("a", written.revision, "mark-3")).await;
+    assert!(matches!(late, Ok(Outcome::Conflict(Some(_)))), "{late:?}");
 }
 
 #[tokio::test]
@@ -145,30 +148,30 @@
     let kv = etcd(address, Duration::from_millis(20));
     platform.faults.slow_ms.store(60_000, Ordering::Relaxed);
     let slow = kv.swap(put("a", 0, "one")).await;
-    assert!(matches!(slow, Err(Error::Unknown(_))), "{slow:?}");
+    assert!(matches!(slow, Err(Error::OutcomeUnknown(_))), "{slow:?}");
 }
 
 #[tokio::test]
 async fn keys_are_deleted_when_their_lease_expires() {
     let (platform, address) = start().await;
     let kv = etcd(address, TIMEOUT);
-    let lease = kv.grant(LEASE_TTL).await.unwrap();
+    let lease = kv.grant_lease(LEASE_TTL).await.unwrap();
     let leased = Swap {
         lease: Some(lease),
         ..put("a", 0, "one")
     };
     expect_done(kv.swap(leased.clone()).await);
-    kv.renew(lease).await.unwrap();
+    kv.renew_lease(lease).await.unwrap();
     let mut watch = kv.watch("a", 1).await.unwrap();
     assert!(matches!(&watch.next().await.unwrap()[0], Event::Put(e) if e.value == b"one"));
     platform.lapse();
     let deleted = watch.next().await.unwrap();
     assert!(matches!(&deleted[0], Event::Delete { key, .. } if key == "a"));
-    assert_eq!(kv.renew(lease).await, Err(Error::LeaseGone));
-    assert_eq!(kv.swap(leased).await, Err(Error::LeaseGone));
-    let other = kv.grant(LEASE_TTL).await.unwrap();
-    kv.revoke(other).await.unwrap();
-    assert_eq!(kv.renew(other).await, Err(Error::LeaseGone));
+    assert_eq!(kv.renew_lease(lease).await, Err(Error::LeaseExpired));
+    assert_eq!(kv.swap(leased).await, Err(Error::LeaseExpired));
+    let other = kv.grant_lease(LEASE_TTL).await.unwrap();
+    kv.revoke_lease(other).await.unwrap();
+    assert_eq!(kv.renew_lease(other).await, Err(Error::LeaseExpired));
 }
 
 #[tokio::test]
@@ -219,13 +222,16 @@
     let (platform, address) = start().await;
     let kv = etcd(address, TIMEOUT);
     let large = Swap {
-        value: Some(vec![0; MAX_VALUE + 1]),
+        value: Some(vec![0; MAX_VALUE_BYTES + 1]),
         ..put("a", 0, "")
     };
-    assert_eq!(kv.swap(large).await, Err(Error::TooLarge(MAX_VALUE + 1)));
+    assert_eq!(
+        kv.swap(large).await,
+        Err(Error::TooLarge(MAX_VALUE_BYTES + 1))
+    );
     assert!(platform.calls().is_empty());
     let largest = Swap {
-        value: Some(vec![0; MAX_VALUE]),
+        value: Some(vec![0; MAX_VALUE_BYTES]),
         ..put("a", 0, "")
     };
     expect_done(kv.swap(largest).await);
--- a/crates/gradedyke-standin/src/platform.rs
+++ b/crates/gradedyke-standin/src/platform.rs
@@ -127,7 +127,7 @@
 
 fn lease_not_found() -> Response<Body> {
     let bytes = br#"{"code":5,"message":"etcdserver: requested lease not found"}"#;
-    reply::bytes_of(StatusCode::NOT_FOUND, "application/json", &bytes[..])
+    reply::with_bytes(StatusCode::NOT_FOUND, "application/json", &bytes[..])
 }
 
 impl Platform {
--- a/crates/gradedyke-standin/src/service.rs
+++ b/crates/gradedyke-standin/src/service.rs
@@ -140,13 +140,13 @@
                     self.set(mode);
                     reply::json(StatusCode::OK, &mode)
                 }
-                Err(e) => reply::bytes_of(StatusCode::BAD_REQUEST, "text/plain", e.to_string()),
+                Err(e) => reply::with_bytes(StatusCode::BAD_REQUEST, "text/plain", e.to_string()),
             };
         }
         let mode = self.lock().mode;
         if let Mode::Fail(status) = mode {
             let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
-            return reply::bytes_of(status, "text/plain", "failed on request of a test");
+            return reply::with_bytes(status, "text/plain", "failed on request of a test");
         }
         let response = self.execute(Run { key, path, body });
         match mode {
@@ -155,6 +155,6 @@
             Mode::Late(ms) => tokio::time::sleep(Duration::from_millis(ms)).await,
             Mode::Well | Mode::Fail(_) => {}
         }
-        reply::bytes_of(StatusCode::OK, "application/json", response)
+        reply::with_bytes(StatusCode::OK, "application/json", response)
     }
 }
--- a/crates/gradedyke-turns/src/detour.rs
+++ b/crates/gradedyke-turns/src/detour.rs
@@ -192,8 +192,12 @@
             return self.direct.is_down();
         }
         tokio::time::sleep(RELAY_DELAY).await;
-        let answered_count = self.all.iter().filter(|c| c.heard() >= started).count();
-        answered_count < self.quorum && self.direct.heard() < started
+        let answered_count = self
+            .all
+            .iter()
+            .filter(|c| c.last_reply_at() >= started)
+            .count();
+        answered_count < self.quorum && self.direct.last_reply_at() < started
     }
 
     /// Calls through neighbours, one after the other, if needed.
--- a/crates/gradedyke-turns/src/membership/mod.rs
+++ b/crates/gradedyke-turns/src/membership/mod.rs
@@ -21,7 +21,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use gradedyke_platform::kv::{self, KeyValue, Swap, Swapped};
+use gradedyke_platform::kv::{self, KeyValue, Outcome, Swap};
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 use tokio::time::Instant;
@@ -236,8 +236,8 @@
         while self.tasks.try_join_next().is_some() {}
     }
 
-    /// Tries to replace the view at revision `expected` with `view`.
-    async fn propose(&self, view: View, expected: u64) {
+    /// Tries to replace the view at revision `expected_revision` with `view`.
+    async fn propose(&self, view: View, expected_revision: u64) {
         let value = match serde_json::to_vec(&view) {
             Ok(value) => value,
             Err(error) => {
@@ -247,14 +247,14 @@
         };
         let swap = Swap {
             key: view::VIEW_KEY.to_owned(),
-            expected,
+            expected_revision,
             value: Some(value.clone()),
             lease: None,
         };
         let members: Vec<_> = view.members.iter().map(format_member).collect();
         let members = members.join(",");
-        match kv::settle(&*self.kv, swap).await {
-            Ok(Swapped::Done(revision)) => {
+        match kv::swap_and_verify(&*self.kv, swap).await {
+            Ok(Outcome::Written(revision)) => {
                 tracing::info!(
                     event = "view_changed",
                     version = view.version,
@@ -269,8 +269,12 @@
                 self.replica.mirror().apply(vec![item], Instant::now());
                 self.replica.update_view(&view);
             }
-            Ok(Swapped::Conflict(held)) => {
-                tracing::info!(event = "view_conflict", version = view.version, expected);
+            Ok(Outcome::Conflict(held)) => {
+                tracing::info!(
+                    event = "view_conflict",
+                    version = view.version,
+                    expected = expected_revision
+                );
                 // Without this, the next attempt could conflict again before the current
                 // value arrives by itself.
                 let items = held.map(mirror::Item::from).into_iter().collect();
@@ -307,16 +311,16 @@
 
 /// Overwrites a key, unless another writer changes it at the same time.
 async fn write(kv: &dyn KeyValue, key: String, value: Vec<u8>) -> Result<(), kv::Error> {
-    let expected = kv.get(&key).await?.map_or(0, |e| e.revision);
+    let expected_revision = kv.get(&key).await?.map_or(0, |e| e.revision);
     let swap = Swap {
         key,
-        expected,
+        expected_revision,
         value: Some(value),
         lease: None,
     };
-    match kv::settle(kv, swap).await? {
-        Swapped::Done(_) => Ok(()),
-        Swapped::Conflict(_) => Err(kv::Error::Refused(
+    match kv::swap_and_verify(kv, swap).await? {
+        Outcome::Written(_) => Ok(()),
+        Outcome::Conflict(_) => Err(kv::Error::Refused(
             "the key was changed concurrently".to_owned(),
         )),
     }
--- a/crates/gradedyke-turns/src/mirror/follow.rs
+++ b/crates/gradedyke-turns/src/mirror/follow.rs
@@ -56,7 +56,7 @@
     fn new(timing: Timing) -> Self {
         Self {
             timing,
-            backoff: Backoff::endless(timing.initial_max_delay, timing.max_delay),
+            backoff: Backoff::unlimited(timing.initial_max_delay, timing.max_delay),
             next_if_high: None,
             next_if_low: None,
         }
@@ -69,7 +69,7 @@
     /// Records the failure of a read that started at `started`. The delay counts from there,
     /// so a call that timed out may be repeated at once.
     fn record_failure(&mut self, started: Instant) {
-        let delay = self.backoff.step(rand::random());
+        let delay = self.backoff.next_delay(rand::random());
         let low_need_delay = self
             .timing
             .low_need_max_delay
--- a/crates/gradedyke-turns/src/quorum/begin.rs
+++ b/crates/gradedyke-turns/src/quorum/begin.rs
@@ -56,7 +56,7 @@
     ) -> Result<BeginResponse, Error> {
         let try_deadline = params.deadline.min(Instant::now() + params.try_timeout);
         let mut has_retried_busy = false;
-        let mut backoff = Backoff::endless(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
+        let mut backoff = Backoff::unlimited(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
         loop {
             let view = self.view();
             let started = Instant::now();
@@ -78,7 +78,7 @@
             let is_unreachable = is_starting || !self.is_majority_reachable();
             let should_retry = no_quorum && is_unreachable && self.mark_quorum_lost(now);
             if should_retry && now + MIN_RETRY_DELAY < params.deadline {
-                tokio::time::sleep(backoff.step(rand::random())).await;
+                tokio::time::sleep(backoff.next_delay(rand::random())).await;
                 continue;
             }
             if !no_quorum {
--- a/crates/gradedyke-turns/src/quorum/keep.rs
+++ b/crates/gradedyke-turns/src/quorum/keep.rs
@@ -32,7 +32,7 @@
         usage: Option<&usage::Report>,
         deadline: Instant,
     ) -> Result<Option<Total>, Error> {
-        let mut backoff = Backoff::endless(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
+        let mut backoff = Backoff::unlimited(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
         loop {
             let view = self.view();
             let request = message::encode(&Request::Keep {
@@ -43,7 +43,7 @@
             metrics::counter!("gradedyke_kept_tries_total").increment(1);
             match self.send_to_quorum(&view, request, deadline).await {
                 Some(Err(_)) if Instant::now() < deadline => {
-                    tokio::time::sleep(backoff.step(rand::random())).await;
+                    tokio::time::sleep(backoff.next_delay(rand::random())).await;
                 }
                 Some(result) => return result,
                 None => {}
--- a/crates/gradedyke-turns/src/quorum/settle.rs
+++ b/crates/gradedyke-turns/src/quorum/settle.rs
@@ -113,7 +113,7 @@
 
     /// Sends all pending settlements; returns when none is left.
     async fn send_pending(self: Arc<Self>) {
-        let mut backoff = Backoff::endless(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
+        let mut backoff = Backoff::unlimited(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
         loop {
             let batch = self.lock_queue().next_batch(Instant::now());
             if batch.is_empty() {
@@ -121,10 +121,10 @@
             }
             if self.send_batch(&batch).await.is_ok() {
                 self.lock_queue().remove_sent(&batch);
-                backoff = Backoff::endless(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
+                backoff = Backoff::unlimited(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
                 continue;
             }
-            tokio::time::sleep(backoff.step(rand::random())).await;
+            tokio::time::sleep(backoff.next_delay(rand::random())).await;
         }
     }
 
--- a/crates/gradedyke/src/admin/mod.rs
+++ b/crates/gradedyke/src/admin/mod.rs
@@ -72,7 +72,7 @@
     /// Answers a readiness check. While not ready, says why.
     fn readiness(&self) -> Response<Body> {
         if self.kernel.is_ready() {
-            return reply::bytes_of(StatusCode::OK, "text/plain", "ready\n");
+            return reply::with_bytes(StatusCode::OK, "text/plain", "ready\n");
         }
         let reason = match (self.kernel.drain.is_cancelled(), self.kernel.map.loaded()) {
             (true, _) => "draining",
@@ -83,7 +83,7 @@
             _ => "no settings are in force; apply some with gradedyke settings apply",
         };
         let problem = Problem::new(Kind::Unavailable, reason);
-        reply::problem(&problem.retry_after(Duration::from_secs(1)))
+        reply::problem(&problem.with_retry_after(Duration::from_secs(1)))
     }
 }
 
@@ -91,11 +91,13 @@
 impl Handler for AdminHandler {
     async fn handle(&self, request: Request<Incoming>) -> Response<Body> {
         match (request.method(), request.uri().path()) {
-            (&Method::GET, "/healthz") => reply::bytes_of(StatusCode::OK, "text/plain", "lives\n"),
+            (&Method::GET, "/healthz") => {
+                reply::with_bytes(StatusCode::OK, "text/plain", "lives\n")
+            }
             (&Method::GET, "/readyz") => self.readiness(),
             (&Method::GET, "/metrics") => {
                 let content_type = "text/plain; version=0.0.4";
-                reply::bytes_of(StatusCode::OK, content_type, kernel::render_metrics())
+                reply::with_bytes(StatusCode::OK, content_type, kernel::render_metrics())
             }
             (_, path) => match &self.operator_handler {
                 Some(handler) => handler.handle(request).await,
@@ -193,16 +195,17 @@
             return Err(Problem::new(Kind::BadRequest, message));
         };
         let text = String::from_utf8_lossy(&bytes);
-        let tree = check::read_with("settings", &text, routing::faults).map_err(|errors| {
-            let lines: Vec<String> = errors.iter().map(ToString::to_string).collect();
-            Problem::new(Kind::BadRequest, lines.join("\n"))
-        })?;
+        let tree =
+            check::read_with_checks("settings", &text, routing::faults).map_err(|errors| {
+                let lines: Vec<String> = errors.iter().map(ToString::to_string).collect();
+                Problem::new(Kind::BadRequest, lines.join("\n"))
+            })?;
         let applied = current::apply(&*self.kernel.kv, tree, base_revision).await;
         let snapshot = applied.map_err(|error| match error {
             current::Error::Conflict(_) => Problem::new(Kind::Conflict, error.to_string()),
             other => Problem::new(Kind::Unavailable, other.to_string())
-                .may_have_run()
-                .retry_after(Duration::from_secs(1)),
+                .with_unknown_outcome()
+                .with_retry_after(Duration::from_secs(1)),
         })?;
         tracing::info!(event = "settings_applied", revision = snapshot.revision);
         self.kernel.current.update(snapshot.clone());
--- a/crates/gradedyke/src/current.rs
+++ b/crates/gradedyke/src/current.rs
@@ -8,7 +8,7 @@
 
 use arc_swap::ArcSwap;
 use gradedyke_base::settings::tree::Tree;
-use gradedyke_platform::kv::{self, Event, KeyValue, Revision, Swap, Swapped};
+use gradedyke_platform::kv::{self, Event, KeyValue, Outcome, Revision, Swap};
 use serde::{Deserialize, Serialize};
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
@@ -156,19 +156,19 @@
     }
     let snapshot = Snapshot {
         revision: base_revision + 1,
-        mark: gradedyke_base::id::Request::fresh().to_string(),
+        mark: gradedyke_base::id::Request::generate().to_string(),
         tree,
     };
     let value = serde_json::to_vec(&snapshot).map_err(|e| Error::Malformed(e.to_string()))?;
     let swap = Swap {
         key: SETTINGS_KEY.to_owned(),
-        expected: key_revision,
+        expected_revision: key_revision,
         value: Some(value),
         lease: None,
     };
-    match kv::settle(kv, swap).await? {
-        Swapped::Done(_) => Ok(snapshot),
-        Swapped::Conflict(found) => {
+    match kv::swap_and_verify(kv, swap).await? {
+        Outcome::Written(_) => Ok(snapshot),
+        Outcome::Conflict(found) => {
             let found = found.and_then(|e| serde_json::from_slice::<Snapshot>(&e.value).ok());
             Err(Error::Conflict(found.map_or(0, |s| s.revision)))
         }
--- a/crates/gradedyke/src/entry/admission.rs
+++ b/crates/gradedyke/src/entry/admission.rs
@@ -49,7 +49,7 @@
                 "{limit} calls of your client account are in progress here, its limit; send it \
                  again when some have ended"
             );
-            Problem::new(Kind::Overloaded, message).retry_after(RETRY_AFTER)
+            Problem::new(Kind::Overloaded, message).with_retry_after(RETRY_AFTER)
         })
     }
 
--- a/crates/gradedyke/src/entry/api.rs
+++ b/crates/gradedyke/src/entry/api.rs
@@ -197,7 +197,7 @@
     fn request_id(&self) -> Result<id::Request, Problem> {
         match self.header(REQUEST_HEADER)? {
             Some(text) => id::Request::parse(text),
-            None => Ok(id::Request::fresh()),
+            None => Ok(id::Request::generate()),
         }
     }
 
@@ -216,9 +216,9 @@
         let open: Open = reply::parse(&self.body)?;
         let request = self.request_id()?;
         let program = match parent {
-            None => id::Program::opened(&self.account, &request),
+            None => id::Program::from_request(&self.account, &request),
             Some(parent) => {
-                let child = id::Program::parse(parent)?.child(&request);
+                let child = id::Program::parse(parent)?.sub_agent(&request);
                 // A child's id contains its parent's and may exceed the maximum length.
                 id::Program::parse(child.as_str()).map_err(|_| {
                     let message = "sub-agents are nested too deep; open this one further up";
@@ -298,7 +298,7 @@
     async fn chat(&self) -> Result<Response<Body>, Problem> {
         let program = self.program_id()?;
         let request: chat::Request = reply::parse(&self.body)?;
-        request.check()?;
+        request.validate()?;
         let history = match self.header(HISTORY_HEADER)? {
             None | Some("whole") => History::Whole,
             Some("append") => History::Append,
@@ -308,7 +308,7 @@
             }
         };
         let stream = request.stream;
-        let options = request.rest.get("stream_options");
+        let options = request.other_fields.get("stream_options");
         let usage = options.and_then(|o| o.get("include_usage"));
         let include_usage = usage.is_some_and(|u| u == true);
         let work = Work::Chat { request, history };
--- a/crates/gradedyke/src/entry/mod.rs
+++ b/crates/gradedyke/src/entry/mod.rs
@@ -50,9 +50,9 @@
     /// Creates the entry role of a process from the process's shared state.
     pub fn new(kernel: &Kernel) -> Self {
         let config = client::Config {
-            connect: CONNECT_TIMEOUT,
+            connect_timeout: CONNECT_TIMEOUT,
             http2: false,
-            keep: true,
+            reuse_connections: true,
         };
         Self {
             members: kernel.members.clone(),
--- a/crates/gradedyke/src/entry/questions.rs
+++ b/crates/gradedyke/src/entry/questions.rs
@@ -8,7 +8,7 @@
 
 use gradedyke_base::id::Slot;
 use gradedyke_base::problem::{Kind, Problem};
-use gradedyke_journal::rpc::{MAX_MESSAGE, PATH};
+use gradedyke_journal::rpc::{MAX_MESSAGE_BYTES, RPC_PATH};
 use jsonrpsee::core::client;
 use jsonrpsee::http_client::{HttpClient, HttpClientBuilder};
 use tokio::time::Instant;
@@ -36,9 +36,9 @@
         }
         let built = HttpClientBuilder::default()
             .request_timeout(REQUEST_TIMEOUT)
-            .max_request_size(MAX_MESSAGE)
-            .max_response_size(MAX_MESSAGE)
-            .build(format!("http://{address}{PATH}"));
+            .max_request_size(MAX_MESSAGE_BYTES)
+            .max_response_size(MAX_MESSAGE_BYTES)
+            .build(format!("http://{address}{RPC_PATH}"));
         let client = built.ok()?;
         clients.insert(address, client.clone());
         Some(client)
@@ -76,10 +76,10 @@
                     },
                 }
             }
-            let delay = backoff.wait(rand::random());
+            let delay = backoff.next_retry_delay(rand::random());
             match delay {
                 Some(delay) if Instant::now() + delay < deadline => tokio::time::sleep(delay).await,
-                _ => return Err(super::relay::owner_unavailable().may_have_run()),
+                _ => return Err(super::relay::owner_unavailable().with_unknown_outcome()),
             }
         }
     }
--- a/crates/gradedyke/src/entry/relay.rs
+++ b/crates/gradedyke/src/entry/relay.rs
@@ -39,7 +39,7 @@
 /// The error for a program whose owner cannot be reached in time.
 pub(super) fn owner_unavailable() -> Problem {
     let message = "the program's owner is not reached; send the request again with the same id";
-    Problem::new(Kind::Unavailable, message).retry_after(RETRY_AFTER)
+    Problem::new(Kind::Unavailable, message).with_retry_after(RETRY_AFTER)
 }
 
 /// A part of an answer.
@@ -98,10 +98,10 @@
             if self.send_call().await? {
                 continue;
             }
-            let delay = backoff.wait(rand::random());
+            let delay = backoff.next_retry_delay(rand::random());
             match delay {
                 Some(delay) if Instant::now() + delay < deadline => tokio::time::sleep(delay).await,
-                _ if self.maybe_sent => return Err(owner_unavailable().may_have_run()),
+                _ if self.maybe_sent => return Err(owner_unavailable().with_unknown_outcome()),
                 _ => return Err(owner_unavailable()),
             }
         }
@@ -151,7 +151,8 @@
             self.call.seen = Some(self.text_hash.finalize().to_hex().to_string());
         }
         let bytes = serde_json::to_vec(&self.call).map_err(internal_error)?;
-        let request = client::build(Method::POST, owner.peer, CALLS_PATH, body::full(bytes));
+        let request =
+            client::build_request(Method::POST, owner.peer, CALLS_PATH, body::full(bytes));
         let sending = self
             .entry
             .client
@@ -159,7 +160,7 @@
         let reply = match sending.await {
             Ok(reply) => reply,
             Err(error) => {
-                self.maybe_sent |= !error.not_sent();
+                self.maybe_sent |= !error.is_not_sent();
                 tracing::debug!(event = "owner_not_reached", owner = %owner.id, %error);
                 return Ok(false);
             }
@@ -195,8 +196,8 @@
     address: std::net::SocketAddr,
     reply: http::Response<Incoming>,
 ) -> Result<bool, Problem> {
-    let bytes = client::collect(address, reply.into_body()).await;
-    let problem = bytes.ok().and_then(|b| Problem::from_body(&b));
+    let bytes = client::read_body(address, reply.into_body()).await;
+    let problem = bytes.ok().and_then(|b| Problem::parse_body(&b));
     match problem {
         Some(problem) if problem.kind != Kind::Moving => Err(problem),
         _ => Ok(false),
--- a/crates/gradedyke/src/keeper.rs
+++ b/crates/gradedyke/src/keeper.rs
@@ -15,7 +15,7 @@
         mount: |kernel: &Arc<Kernel>, mounts: &mut Mounts| {
             let store = match &kernel.settings.data_folder {
                 Some(folder) => Store::open(folder)?,
-                None => Store::memory()?,
+                None => Store::in_memory()?,
             };
             let identity = store.identity().to_owned();
             let keeper = Arc::new(store);
--- a/crates/gradedyke/src/kernel/mod.rs
+++ b/crates/gradedyke/src/kernel/mod.rs
@@ -16,7 +16,7 @@
 use gradedyke_base::settings::instance::{Instance, Role};
 use gradedyke_http::Handler;
 use gradedyke_journal::Journal;
-use gradedyke_platform::instances::Instances;
+use gradedyke_platform::instances::List;
 use gradedyke_platform::kv::KeyValue;
 use jsonrpsee::Methods;
 use tokio_util::sync::CancellationToken;
@@ -36,7 +36,7 @@
     /// The key-value service.
     pub kv: Arc<dyn KeyValue>,
     /// The platform's instance list, if the deployment has one.
-    pub instances: Option<Arc<dyn Instances>>,
+    pub instances: Option<Arc<dyn List>>,
     /// The members of the system.
     pub members: Arc<Members>,
     /// Which instance owns which slot.
@@ -119,5 +119,5 @@
 /// Returns the registered roles that `settings` name.
 fn enabled_plugins(settings: &Instance) -> Vec<&'static Plugin> {
     let plugins = inventory::iter::<Plugin>.into_iter();
-    plugins.filter(|p| settings.runs(p.role)).collect()
+    plugins.filter(|p| settings.has_role(p.role)).collect()
 }
--- a/crates/gradedyke/src/kernel/peers.rs
+++ b/crates/gradedyke/src/kernel/peers.rs
@@ -6,7 +6,7 @@
 use gradedyke_base::id;
 use gradedyke_base::problem::{Kind, Problem};
 use gradedyke_http::{Body, Handler, reply};
-use gradedyke_journal::rpc::{MAX_MESSAGE, PATH};
+use gradedyke_journal::rpc::{MAX_MESSAGE_BYTES, RPC_PATH};
 use http::{Request, Response, StatusCode};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
@@ -36,8 +36,8 @@
         stop: StopHandle,
     ) -> Self {
         let config = ServerConfig::builder()
-            .max_request_body_size(MAX_MESSAGE)
-            .max_response_body_size(MAX_MESSAGE)
+            .max_request_body_size(MAX_MESSAGE_BYTES)
+            .max_response_body_size(MAX_MESSAGE_BYTES)
             .max_connections(u32::MAX)
             .http_only()
             .build();
@@ -68,7 +68,7 @@
 impl Handler for PeerHandler {
     async fn handle(&self, request: Request<Incoming>) -> Response<Body> {
         let path = request.uri().path();
-        if path == PATH {
+        if path == RPC_PATH {
             return self.rpc(request).await;
         }
         if let Some(name) = path.strip_prefix(LIVENESS_PATH) {
--- a/crates/gradedyke/src/kernel/process.rs
+++ b/crates/gradedyke/src/kernel/process.rs
@@ -10,7 +10,7 @@
 use gradedyke_http::{Handler, Server};
 use gradedyke_journal::Journal;
 use gradedyke_platform::etcd::{self, Etcd};
-use gradedyke_platform::instances::{Consul, Instances};
+use gradedyke_platform::instances::{Consul, List};
 use gradedyke_platform::kv::KeyValue;
 use jsonrpsee::server::stop_channel;
 use tokio::task::JoinSet;
@@ -64,8 +64,8 @@
         let limits = &settings.limits;
         let public_config = Config {
             protocol: Protocol::Http1,
-            head: Duration::from_millis(limits.head_ms),
-            connections: limits.connections,
+            header_timeout: Duration::from_millis(limits.head_ms),
+            max_connections: limits.connections,
             ..Config::default()
         };
         let peer_config = Config {
@@ -77,7 +77,7 @@
             server.wrap_err_with(|| format!("cannot listen on {address}; free it or change listen"))
         };
         let caller = match settings.listen.caller {
-            Some(address) if settings.runs(Role::Entry) => {
+            Some(address) if settings.has_role(Role::Entry) => {
                 Some(bind(address, public_config.clone()).await?)
             }
             _ => None,
@@ -124,11 +124,11 @@
     pub async fn start(settings: Instance) -> eyre::Result<Self> {
         let kv = Etcd::new(etcd::Config {
             addresses: settings.platform.key_value.clone(),
-            time: PLATFORM_TIMEOUT,
+            timeout: PLATFORM_TIMEOUT,
         });
         let instances = settings.platform.instances;
         let instances =
-            instances.map(|a| Arc::new(Consul::new(a, PLATFORM_TIMEOUT)) as Arc<dyn Instances>);
+            instances.map(|a| Arc::new(Consul::new(a, PLATFORM_TIMEOUT)) as Arc<dyn List>);
         Self::start_with_platform(settings, Arc::new(kv), instances).await
     }
 
@@ -140,7 +140,7 @@
     pub async fn start_with_platform(
         settings: Instance,
         kv: Arc<dyn KeyValue>,
-        instances: Option<Arc<dyn Instances>>,
+        instances: Option<Arc<dyn List>>,
     ) -> eyre::Result<Self> {
         metering::install();
         let listeners = Listeners::bind(&settings).await?;
--- a/crates/gradedyke/src/membership.rs
+++ b/crates/gradedyke/src/membership.rs
@@ -13,7 +13,7 @@
 
 use gradedyke_base::id;
 use gradedyke_base::settings::instance::Role;
-use gradedyke_platform::kv::{Error, Event, KeyValue, Lease, Swap, Swapped};
+use gradedyke_platform::kv::{Error, Event, KeyValue, Lease, Outcome, Swap};
 use serde::{Deserialize, Serialize};
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
@@ -138,7 +138,7 @@
         }
         if let Some(lease) = lease {
             // If this fails, the lease expires by itself.
-            let _ = kv.revoke(lease).await;
+            let _ = kv.revoke_lease(lease).await;
         }
     }
 
@@ -150,7 +150,7 @@
         ttl: Duration,
         current_lease: &mut Option<Lease>,
     ) -> Result<(), Error> {
-        let lease = kv.grant(ttl).await?;
+        let lease = kv.grant_lease(ttl).await?;
         *current_lease = Some(lease);
         let mut own = self.own.subscribe();
         loop {
@@ -171,8 +171,8 @@
     /// Renews the lease. Fails only if the lease has expired; other failures are
     /// logged, because a later renewal may still succeed in time.
     async fn renew(&self, kv: &dyn KeyValue, lease: Lease) -> Result<(), Error> {
-        match kv.renew(lease).await {
-            Err(Error::LeaseGone) => Err(Error::LeaseGone),
+        match kv.renew_lease(lease).await {
+            Err(Error::LeaseExpired) => Err(Error::LeaseExpired),
             Err(error) => {
                 tracing::warn!(event = "lease_not_renewed", %error);
                 Ok(())
@@ -190,19 +190,19 @@
     ) -> Result<(), Error> {
         let key = format!("{PREFIX}{}", member.id);
         let value = serde_json::to_vec(member).map_err(|e| Error::Refused(e.to_string()))?;
-        let mut expected = 0;
+        let mut expected_revision = 0;
         loop {
             let swap = Swap {
                 key: key.clone(),
-                expected,
+                expected_revision,
                 value: Some(value.clone()),
                 lease: Some(lease),
             };
             // Only this instance writes this key, so an existing value is its
             // own earlier registration and can be replaced.
             match kv.swap(swap).await? {
-                Swapped::Done(_) => return Ok(()),
-                Swapped::Conflict(found) => expected = found.map_or(0, |e| e.revision),
+                Outcome::Written(_) => return Ok(()),
+                Outcome::Conflict(found) => expected_revision = found.map_or(0, |e| e.revision),
             }
         }
     }
--- a/crates/gradedyke/src/owner/accept.rs
+++ b/crates/gradedyke/src/owner/accept.rs
@@ -163,7 +163,7 @@
         }
         match work {
             Work::Chat { request, .. } => {
-                request.check()?;
+                request.validate()?;
                 check_allowed("model", &request.model, &settings.models)?;
             }
             Work::Service { service, .. } => check_allowed("service", service, &settings.services)?,
@@ -194,7 +194,7 @@
     let mut work = work.clone();
     if let Work::Chat { request, .. } = &mut work {
         request.stream = false;
-        request.rest.remove("stream_options");
+        request.other_fields.remove("stream_options");
     }
     let bytes = serde_json::to_vec(&work).map_err(|e| {
         let message = format!("the call cannot be written ({e}); report this");
--- a/crates/gradedyke/src/owner/attempt.rs
+++ b/crates/gradedyke/src/owner/attempt.rs
@@ -5,7 +5,7 @@
 
 use gradedyke_backend::Error;
 use gradedyke_backend::chat::{Chunk, Completion, Usage};
-use gradedyke_backend::engine::{Call, Chunks};
+use gradedyke_backend::engine::{Call, ChunkStream};
 use gradedyke_base::retry::Backoff;
 use tokio::time::Instant;
 
@@ -50,7 +50,7 @@
         context.answer.restart();
         match read_stream(context, chunks, 0).await {
             Ok(result) => result,
-            Err(_) => resume(context, choice, &call.attempt, MAX_RESUMES).await,
+            Err(_) => resume(context, choice, &call.attempt_id, MAX_RESUMES).await,
         }
     };
     let result = tokio::select! {
@@ -110,7 +110,7 @@
 /// byte offset `position`.
 async fn read_stream(
     context: &Context,
-    mut chunks: Box<dyn Chunks>,
+    mut chunks: Box<dyn ChunkStream>,
     mut position: usize,
 ) -> Result<AttemptResult, Error> {
     let mut completion = Completion::default();
@@ -162,7 +162,7 @@
     tokio::spawn(async move {
         let mut backoff = Backoff::new(MIN_CANCEL_BACKOFF, MAX_CANCEL_BACKOFF, MAX_CANCEL_RETRIES);
         while engine.cancel(&attempt_id).await.is_err() {
-            let Some(wait) = backoff.wait(rand::random()) else {
+            let Some(wait) = backoff.next_retry_delay(rand::random()) else {
                 return;
             };
             tokio::select! {
--- a/crates/gradedyke/src/owner/chat.rs
+++ b/crates/gradedyke/src/owner/chat.rs
@@ -53,7 +53,7 @@
     request: &chat::Request,
     history: History,
 ) -> Result<Finished, Abort> {
-    let max_tokens = request.limit().unwrap_or(context.settings.max_tokens);
+    let max_tokens = request.token_limit().unwrap_or(context.settings.max_tokens);
     let conversation =
         context
             .session
@@ -69,7 +69,7 @@
         },
         fingerprint: context.answer.fingerprint.clone(),
         backend: first.as_ref().map(|choice| choice.id.clone()),
-        attempt: prepared.call.attempt.clone(),
+        attempt: prepared.call.attempt_id.clone(),
         reserved: prepared.reserved,
     };
     if let Err(abort) = context.append_intent(intent).await {
@@ -87,7 +87,7 @@
     request: &chat::Request,
     intent: &Intent,
 ) -> Result<Finished, Abort> {
-    let max_tokens = request.limit().unwrap_or(context.settings.max_tokens);
+    let max_tokens = request.token_limit().unwrap_or(context.settings.max_tokens);
     let history = context.session.read(context.key, |p| p.history.clone());
     let mut messages: Vec<Message> = history.unwrap_or_default();
     messages.extend(request.messages.iter().cloned());
@@ -121,21 +121,21 @@
     conversation: &Conversation,
 ) -> PreparedCall {
     let account = &context.session.account;
-    let chain = Chain::over(account, &request.model, &conversation.messages);
+    let chain = Chain::from_messages(account, &request.model, &conversation.messages);
     let tokens = conversation.messages.iter().map(estimate_tokens).collect();
     let mut sent = request.clone();
     sent.messages.clone_from(&conversation.messages);
     sent.stream = true;
     sent.max_completion_tokens = None;
     sent.max_tokens = Some(conversation.max_tokens);
-    sent.rest.remove("stream_options");
+    sent.other_fields.remove("stream_options");
     let priority = match context.settings.class {
         Class::Staff => 0,
         Class::Batch => BATCH_PRIORITY,
     };
     PreparedCall {
         call: Call {
-            attempt: attempt_id(context, 0),
+            attempt_id: attempt_id(context, 0),
             request: sent,
             chain,
             priority,
@@ -213,7 +213,7 @@
         };
         tracing::warn!(event = "attempt_failed", program = %context.program,
             request = %context.request, number, error = %failed);
-        let Some(wait) = backoff.wait(rand::random()) else {
+        let Some(wait) = backoff.next_retry_delay(rand::random()) else {
             return fail_unavailable(context, &prepared, &failed, lost_tokens).await;
         };
         tokio::select! {
@@ -226,7 +226,7 @@
             }
         }
         number += 1;
-        prepared.call.attempt = attempt_id(context, number);
+        prepared.call.attempt_id = attempt_id(context, number);
         let now = Instant::now();
         choice = choose(context, &prepared, &avoid, now).or_else(|| {
             // All have failed once and any may have recovered: start over.
@@ -266,13 +266,13 @@
         }
         AttemptResult::NotRun(error) => Ok(NextStep::Retry(error)),
         AttemptResult::Lost(error) => {
-            attempt::cancel(context, chosen, &prepared.call.attempt);
+            attempt::cancel(context, chosen, &prepared.call.attempt_id);
             *lost_tokens += prepared.reserved;
             let end = charge_lost_attempt(context, prepared, *lost_tokens);
             Ok(end.map_or(NextStep::Retry(error), NextStep::Finish))
         }
         AttemptResult::Diverged => {
-            attempt::cancel(context, chosen, &prepared.call.attempt);
+            attempt::cancel(context, chosen, &prepared.call.attempt_id);
             *lost_tokens += prepared.reserved;
             context.session.settle(prepared.reserved, prepared.reserved);
             let message = "the engine failed in the middle of the answer and another one answers \
@@ -304,7 +304,7 @@
     }
     match context.session.reserve(prepared.reserved) {
         Ok(()) => None,
-        Err(problem) => Some(failure(problem.may_have_run(), lost_tokens)),
+        Err(problem) => Some(failure(problem.with_unknown_outcome(), lost_tokens)),
     }
 }
 
@@ -353,7 +353,7 @@
 ) -> Result<Finished, Abort> {
     context.session.settle(prepared.reserved, 0);
     if lost_tokens > 0 {
-        return Ok(failure(problem.may_have_run(), lost_tokens));
+        return Ok(failure(problem.with_unknown_outcome(), lost_tokens));
     }
     Err(context.withdraw(problem).await)
 }
@@ -370,7 +370,7 @@
         0 => Kind::Unavailable,
         _ => Kind::BackendFailed,
     };
-    let problem = Problem::new(kind, message).retry_after(RETRY_AFTER);
+    let problem = Problem::new(kind, message).with_retry_after(RETRY_AFTER);
     release_reservation(context, prepared, problem, lost_tokens).await
 }
 
--- a/crates/gradedyke/src/owner/holding.rs
+++ b/crates/gradedyke/src/owner/holding.rs
@@ -135,7 +135,7 @@
     /// `None` while there are sessions or nothing new to trim. The last entry
     /// stays, so that a lagging keeper finds where to continue.
     pub fn take_trim_index(&self) -> Option<u64> {
-        let last = self.log.last();
+        let last = self.log.last_index();
         let empty = lock(&self.sessions).is_empty();
         let before = self.trimmed_before.load(Ordering::Relaxed);
         (empty && last > before + 1).then(|| {
--- a/crates/gradedyke/src/owner/mod.rs
+++ b/crates/gradedyke/src/owner/mod.rs
@@ -135,7 +135,7 @@
 /// Returns the error for a slot whose owner is changing.
 pub fn slot_moving() -> Problem {
     let message = "the program's owner is changing; send the request again with the same id";
-    Problem::new(Kind::Moving, message).retry_after(MOVING_RETRY_AFTER)
+    Problem::new(Kind::Moving, message).with_retry_after(MOVING_RETRY_AFTER)
 }
 
 inventory::submit! {
--- a/crates/gradedyke/src/owner/poll.rs
+++ b/crates/gradedyke/src/owner/poll.rs
@@ -7,7 +7,7 @@
 
 use gradedyke_backend::Engine;
 use gradedyke_base::id;
-use gradedyke_platform::instances::{Instances, State};
+use gradedyke_platform::instances::{List, State};
 use tokio_util::sync::CancellationToken;
 
 use super::Owner;
@@ -26,7 +26,7 @@
 
 /// Runs a polling task for each engine in the current settings until the process
 /// stops.
-pub(super) async fn run(owner: Arc<Owner>, instances: Option<Arc<dyn Instances>>) {
+pub(super) async fn run(owner: Arc<Owner>, instances: Option<Arc<dyn List>>) {
     if let Some(instances) = instances {
         tokio::spawn(watch_instance_list(owner.clone(), instances));
     }
@@ -107,7 +107,7 @@
     }
 }
 
-async fn watch_instance_list(owner: Arc<Owner>, instances: Arc<dyn Instances>) {
+async fn watch_instance_list(owner: Arc<Owner>, instances: Arc<dyn List>) {
     loop {
         match instances.list(BACKEND_SERVICE).await {
             Ok(list) => {
--- a/crates/gradedyke/src/owner/run.rs
+++ b/crates/gradedyke/src/owner/run.rs
@@ -5,7 +5,7 @@
 
 use gradedyke_base::id;
 use gradedyke_base::problem::{Kind, Problem};
-use gradedyke_base::settings::tree::{Effective, ROUTING};
+use gradedyke_base::settings::tree::{DEFAULT_ROUTING_POLICY, Effective};
 use tokio::time::Instant;
 
 use super::answer::{Answer, End};
@@ -94,7 +94,7 @@
         Err(Abort::NotRun(problem)) => {
             context.session.settle(intent.reserved, intent.reserved);
             return Ok(Finished {
-                outcome: Outcome::Failed(problem.may_have_run()),
+                outcome: Outcome::Failed(problem.with_unknown_outcome()),
                 spent: intent.reserved,
             });
         }
@@ -125,7 +125,7 @@
                 let message = "the calls before this one took too long, it was not run; send it \
                                again when they have ended";
                 let problem = Problem::new(Kind::Unavailable, message);
-                return Err(Abort::NotRun(problem.retry_after(Duration::from_secs(1))));
+                return Err(Abort::NotRun(problem.with_retry_after(Duration::from_secs(1))));
             }
         }
         let ended = self.session.read(self.key, |p| p.ended.is_some());
@@ -143,7 +143,7 @@
     ) -> Option<ServerKey> {
         let policies = &self.owner.policies;
         let configured = policies.get(self.settings.routing.as_str());
-        let policy = configured.or_else(|| policies.get(ROUTING))?;
+        let policy = configured.or_else(|| policies.get(DEFAULT_ROUTING_POLICY))?;
         let index = policy.choose(call_info, candidates)?;
         candidates.get(index).map(|candidate| candidate.key)
     }
--- a/crates/gradedyke/src/owner/session.rs
+++ b/crates/gradedyke/src/owner/session.rs
@@ -387,7 +387,11 @@
     if history == History::Append {
         return Ok(sent.to_vec());
     }
-    let agrees = known.len() <= sent.len() && known.iter().zip(sent).all(|(a, b)| chat::same(a, b));
+    let agrees = known.len() <= sent.len()
+        && known
+            .iter()
+            .zip(sent)
+            .all(|(a, b)| chat::is_same_message(a, b));
     if !agrees {
         let message = "the messages do not go on from the program's history; read it with GET \
                        /v1/programs/{id}/history, or send only what is new with the header \
--- a/crates/gradedyke/src/owner/sweep.rs
+++ b/crates/gradedyke/src/owner/sweep.rs
@@ -55,7 +55,10 @@
         let programs = session.programs();
         let root = programs.first().map(|(key, ..)| *key);
         let effective = root.and_then(|key| self.effective_settings(session, key).ok());
-        let ms = effective.map_or(gradedyke_base::settings::tree::IDLE_MS, |e| e.idle_ms);
+        let ms = effective.map_or(
+            gradedyke_base::settings::tree::DEFAULT_IDLE_TIMEOUT_MS,
+            |e| e.idle_ms,
+        );
         Duration::from_millis(ms)
     }
 
--- a/crates/gradedyke/src/owner/tool.rs
+++ b/crates/gradedyke/src/owner/tool.rs
@@ -111,7 +111,7 @@
             }
             None => Error::NotSent(format!("no backend server offers {name} now")),
         };
-        if !failed.not_run() {
+        if !failed.is_not_run() {
             may_have_run = true;
             if !repeatable {
                 return Ok(determine_outcome(context, choice.as_ref(), &failed.to_string()).await);
@@ -120,7 +120,10 @@
         tracing::warn!(event = "attempt_failed", program = %context.program,
             request = %context.request, error = %failed);
         let give_up = context.answer.cancel.is_cancelled() || Instant::now() >= context.deadline();
-        let Some(wait) = backoff.wait(rand::random()).filter(|_| !give_up) else {
+        let Some(wait) = backoff
+            .next_retry_delay(rand::random())
+            .filter(|_| !give_up)
+        else {
             return fail_unavailable(context, &failed, may_have_run).await;
         };
         tokio::select! {
@@ -180,7 +183,7 @@
             Err(Error::Invalid { .. }) => return None,
             Ok(None) | Err(_) => {}
         }
-        tokio::time::sleep(backoff.wait(rand::random())?).await;
+        tokio::time::sleep(backoff.next_retry_delay(rand::random())?).await;
     }
 }
 
@@ -195,9 +198,9 @@
 ) -> Result<Finished, Abort> {
     let message = format!("no backend server ran the call ({error}); send it again later");
     if may_have_run {
-        let problem = Problem::new(Kind::BackendFailed, message).retry_after(RETRY_AFTER);
+        let problem = Problem::new(Kind::BackendFailed, message).with_retry_after(RETRY_AFTER);
         return Ok(finished(Outcome::Failed(problem)));
     }
-    let problem = Problem::new(Kind::Unavailable, message).retry_after(RETRY_AFTER);
+    let problem = Problem::new(Kind::Unavailable, message).with_retry_after(RETRY_AFTER);
     Err(context.withdraw(problem).await)
 }
--- a/crates/gradedyke/src/ownership/assign.rs
+++ b/crates/gradedyke/src/ownership/assign.rs
@@ -38,7 +38,7 @@
 
 /// Returns the member with the highest rendezvous weight for `key`.
 pub fn highest_weight<'a>(key: &[u8], members: &[&'a Member]) -> Option<&'a Member> {
-    let weight = |m: &&&Member| id::weight(key, m.id.as_str());
+    let weight = |m: &&&Member| id::rendezvous_weight(key, m.id.as_str());
     members.iter().max_by_key(weight).copied()
 }
 
@@ -63,7 +63,7 @@
     let is_eligible = |m: &&Member| m.store.is_some() && !m.draining;
     let key = shard.to_le_bytes();
     let mut remaining: Vec<&Member> = members.values().filter(is_eligible).collect();
-    remaining.sort_by_key(|m| std::cmp::Reverse(id::weight(&key, m.id.as_str())));
+    remaining.sort_by_key(|m| std::cmp::Reverse(id::rendezvous_weight(&key, m.id.as_str())));
     let mut chosen: Vec<&Member> = Vec::new();
     while chosen.len() < copies && !remaining.is_empty() {
         let has_data_centre = |m: &Member| chosen.iter().any(|c| c.data_centre == m.data_centre);
@@ -119,7 +119,7 @@
     /// Creates an assigner that gives each shard `copies` keepers.
     pub fn new(kv: Arc<dyn KeyValue>, members: Arc<Members>, map: Arc<Map>, copies: usize) -> Self {
         let config = client::Config {
-            connect: PROBE_TIMEOUT,
+            connect_timeout: PROBE_TIMEOUT,
             ..client::Config::default()
         };
         Self {
@@ -217,7 +217,7 @@
         let path = format!("/lives/{}", member.id);
         let answer: Result<bool, _> = self
             .client
-            .json(Method::GET, member.peer, &path, no_body, PROBE_TIMEOUT)
+            .send_json(Method::GET, member.peer, &path, no_body, PROBE_TIMEOUT)
             .await;
         answer.unwrap_or(false)
     }
--- a/crates/gradedyke/src/ownership/map.rs
+++ b/crates/gradedyke/src/ownership/map.rs
@@ -2,8 +2,8 @@
 
 use std::sync::Arc;
 
-use gradedyke_base::id::{self, Epoch, SLOTS, Slot};
-use gradedyke_platform::kv::{self, Event, KeyValue, Revision, Swap, Swapped};
+use gradedyke_base::id::{self, Epoch, SLOT_COUNT, Slot};
+use gradedyke_platform::kv::{self, Event, KeyValue, Outcome, Revision, Swap};
 use serde::{Deserialize, Serialize};
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
@@ -17,7 +17,7 @@
 /// Fewer make a full read cheaper; more make conflicting writes rarer.
 pub const SHARDS: u16 = 64;
 /// Number of slots in one value.
-pub const SLOTS_PER_SHARD: u16 = SLOTS / SHARDS;
+pub const SLOTS_PER_SHARD: u16 = SLOT_COUNT / SHARDS;
 
 /// A part of the slot map, as stored in the key-value service.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -85,7 +85,7 @@
             keepers: self.keepers.clone(),
             owners: owners.0,
             slots,
-            mark: id::Request::fresh().to_string(),
+            mark: id::Request::generate().to_string(),
         }
     }
 }
@@ -189,16 +189,16 @@
         let value = serde_json::to_vec(&shard).map_err(|e| kv::Error::Refused(e.to_string()))?;
         let swap = Swap {
             key: shard_key(number),
-            expected: known.revision,
+            expected_revision: known.revision,
             value: Some(value),
             lease: None,
         };
-        match kv::settle(kv, swap).await? {
-            Swapped::Done(revision) => {
+        match kv::swap_and_verify(kv, swap).await? {
+            Outcome::Written(revision) => {
                 self.update(number, revision, shard);
                 Ok(true)
             }
-            Swapped::Conflict(found) => {
+            Outcome::Conflict(found) => {
                 if let Some(entry) = found {
                     self.apply_entry(&entry.key, entry.revision, &entry.value);
                 }
--- a/crates/gradedyke/src/routing/mod.rs
+++ b/crates/gradedyke/src/routing/mod.rs
@@ -16,7 +16,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use gradedyke_base::settings::check::Fault;
+use gradedyke_base::settings::check::Violation;
 use gradedyke_base::settings::tree::Tree;
 use tokio::time::Instant;
 
@@ -73,7 +73,7 @@
 /// tree.defaults.routing = Some("fastest".to_owned());
 /// assert_eq!(gradedyke::routing::faults(&tree)[0].path, "defaults.routing");
 /// ```
-pub fn faults(tree: &Tree) -> Vec<Fault> {
+pub fn faults(tree: &Tree) -> Vec<Violation> {
     let mut policy_settings = vec![("defaults".to_owned(), &tree.defaults)];
     for (name, account) in &tree.accounts {
         policy_settings.push((format!("accounts.{name}.policy"), &account.policy));
@@ -87,7 +87,7 @@
     let unknown = policy_settings.into_iter().filter_map(|(path, policy)| {
         let routing = policy.routing.as_deref()?;
         let is_registered = policies.contains_key(routing);
-        (!is_registered).then(|| Fault {
+        (!is_registered).then(|| Violation {
             path: format!("{path}.routing"),
             message: format!(
                 "no routing policy {routing}; use one of {}",
--- a/crates/gradedyke/tests/differential.rs
+++ b/crates/gradedyke/tests/differential.rs
@@ -7,7 +7,7 @@
 mod support;
 
 use gradedyke_backend::chat::Message;
-use gradedyke_backend::engine::{Call, Chunks};
+use gradedyke_backend::engine::{Call, ChunkStream};
 use gradedyke_backend::prefix::Chain;
 use gradedyke_backend::{Engine, Service, engine_http, service};
 use gradedyke_base::id;
@@ -98,15 +98,15 @@
         let messages: Vec<Message> = serde_json::from_value(json!(history)).unwrap();
         let account = id::Account::parse("naive").unwrap();
         let call = Call {
-            attempt: attempt.to_owned(),
-            chain: Chain::over(&account, MODEL, &messages),
+            attempt_id: attempt.to_owned(),
+            chain: Chain::from_messages(&account, MODEL, &messages),
             request: serde_json::from_value(json!({
                 "model": MODEL, "messages": messages, "stream": true, "max_tokens": tokens,
             }))
             .unwrap(),
             priority: 0,
         };
-        let mut chunks: Box<dyn Chunks> = self.engine.chat(&call).await.unwrap();
+        let mut chunks: Box<dyn ChunkStream> = self.engine.chat(&call).await.unwrap();
         let (mut text, mut spent) = (String::new(), 0);
         while let Some(chunk) = chunks.next().await.unwrap() {
             for choice in chunk.choices {
--- a/crates/gradedyke/tests/fleet.rs
+++ b/crates/gradedyke/tests/fleet.rs
@@ -39,7 +39,7 @@
 fn chain() -> Chain {
     let message = serde_json::from_value(json!({ "role": "user", "content": "hi" })).unwrap();
     let account = id::Account::parse("kestrel").unwrap();
-    Chain::over(&account, MODEL, &[message])
+    Chain::from_messages(&account, MODEL, &[message])
 }
 
 /// Returns the routing candidates for that conversation.
--- a/crates/gradedyke/tests/refusals.rs
+++ b/crates/gradedyke/tests/refusals.rs
@@ -30,7 +30,8 @@
     let client = gradedyke_http::Client::new(&gradedyke_http::client::Config::default());
     let body = gradedyke_http::body::full(case.body.clone());
     let method = case.method.clone();
-    let mut request = gradedyke_http::client::build(method, address, &case.path, body).unwrap();
+    let mut request =
+        gradedyke_http::client::build_request(method, address, &case.path, body).unwrap();
     let headers = request.headers_mut();
     if let Some(key) = case.key {
         let value = format!("Bearer {key}").parse().unwrap();
@@ -41,7 +42,7 @@
     }
     let reply = client.send(address, request).await.unwrap();
     let status = reply.status();
-    let bytes = gradedyke_http::client::collect(address, reply.into_body()).await;
+    let bytes = gradedyke_http::client::read_body(address, reply.into_body()).await;
     (status, bytes.unwrap().to_vec())
 }
 
@@ -200,7 +201,7 @@
         let mut messages = std::collections::BTreeMap::new();
         for case in caller_cases(&own, &foreign) {
             let (status, body) = send(address, &case).await;
-            let problem = Problem::from_body(&body);
+            let problem = Problem::parse_body(&body);
             let problem = problem.unwrap_or_else(|| panic!("{}: {body:?}", case.name));
             assert_eq!(problem.kind, case.expected, "{}: {problem}", case.name);
             assert_eq!(status.as_u16(), problem.kind.status(), "{}", case.name);
@@ -335,7 +336,7 @@
         ];
         for case in cases {
             let (status, body) = send(address, &case).await;
-            let problem = Problem::from_body(&body).unwrap();
+            let problem = Problem::parse_body(&body).unwrap();
             assert_eq!(problem.kind, case.expected, "{}: {problem}", case.name);
             assert_eq!(status.as_u16(), problem.kind.status(), "{}", case.name);
         }
