--- a/crates/gradedyke-backend/src/engine_http.rs
+++ b/crates/gradedyke-backend/src/engine_http.rs
@@ -127,16 +127,16 @@
 #[async_trait]
 impl ChunkStream for EventChunks {
     async fn next(&mut self) -> Result<Option<Chunk>, Error> {
-        let interrupted = || Error::Broken("the stream ended before its end mark".to_owned());
+        let interrupted = || Error::Interrupted("the stream ended before its end mark".to_owned());
         let event = self.events.next().await.ok_or_else(interrupted)?;
-        let event = event.map_err(|e| Error::Broken(e.to_string()))?;
+        let event = event.map_err(|e| Error::Interrupted(e.to_string()))?;
         if event.data == DONE_DATA {
             return Ok(None);
         }
         let chunk = serde_json::from_str(&event.data);
         chunk
             .map(Some)
-            .map_err(|e| Error::Broken(format!("a chunk makes no sense: {e}")))
+            .map_err(|e| Error::Interrupted(format!("a chunk makes no sense: {e}")))
     }
 }
 
@@ -198,7 +198,7 @@
             .post("/control/cache/export", &ExportRequest { key })
             .await?;
         let exported: ExportResponse =
-            serde_json::from_value(response).map_err(|e| Error::Broken(e.to_string()))?;
+            serde_json::from_value(response).map_err(|e| Error::Interrupted(e.to_string()))?;
         Ok(exported.handle)
     }
 
--- a/crates/gradedyke-backend/src/error.rs
+++ b/crates/gradedyke-backend/src/error.rs
@@ -31,13 +31,13 @@
     Fenced(u64),
     /// The call was sent, then interrupted: it may have run.
     #[error("the call broke off ({0}); it may have run")]
-    Broken(String),
+    Interrupted(String),
 }
 
 impl Error {
     /// Returns whether the call certainly did not run.
     pub fn is_not_run(&self) -> bool {
-        !matches!(self, Error::Broken(_))
+        !matches!(self, Error::Interrupted(_))
     }
 }
 
@@ -50,7 +50,7 @@
         match error {
             client::Error::NotSent { .. } => Error::NotSent(text),
             client::Error::ConnectionLost { .. } | client::Error::TimedOut { .. } => {
-                Error::Broken(text)
+                Error::Interrupted(text)
             }
             client::Error::Status {
                 status,
@@ -65,7 +65,7 @@
                         .map(Duration::from_millis),
                 },
                 status @ 400..=499 => Error::Invalid { status, message },
-                _ => Error::Broken(text),
+                _ => Error::Interrupted(text),
             },
         }
     }
--- a/crates/gradedyke-backend/src/service.rs
+++ b/crates/gradedyke-backend/src/service.rs
@@ -126,7 +126,7 @@
         }
         match tokio::time::timeout(timeout, self.exchange(request)).await {
             Ok(result) => result,
-            Err(_) => Err(Error::Broken(format!(
+            Err(_) => Err(Error::Interrupted(format!(
                 "no answer within {} ms",
                 timeout.as_millis()
             ))),
@@ -145,12 +145,14 @@
         let exchange = tokio::time::timeout(self.timeout, self.exchange(request));
         let reply = exchange
             .await
-            .map_err(|_| Error::Broken("the outcome was not told in time".to_owned()))??;
+            .map_err(|_| Error::Interrupted("the outcome was not told in time".to_owned()))??;
         match reply.status {
             NOT_FOUND_STATUS => Ok(None),
             200..=299 => match serde_json::from_str(&reply.body) {
                 Ok(outcome) => Ok(Some(outcome)),
-                Err(e) => Err(Error::Broken(format!("the outcome makes no sense: {e}"))),
+                Err(e) => Err(Error::Interrupted(format!(
+                    "the outcome makes no sense: {e}"
+                ))),
             },
             status => Err(Error::Invalid {
                 status,
--- a/crates/gradedyke-backend/tests/contract.rs
+++ b/crates/gradedyke-backend/tests/contract.rs
@@ -98,7 +98,7 @@
     chunks.next().await.unwrap().unwrap();
     engine.cancel("a").await.unwrap();
     engine.cancel("a").await.unwrap();
-    assert!(matches!(collect(chunks).await, Err(Error::Broken(_))));
+    assert!(matches!(collect(chunks).await, Err(Error::Interrupted(_))));
 }
 
 #[tokio::test]
--- a/crates/gradedyke-cli/src/admin.rs
+++ b/crates/gradedyke-cli/src/admin.rs
@@ -111,7 +111,7 @@
     let revision: Option<u64> = args.opt_value_from_str("--if-revision")?;
     let (file, text) = settings::read_file(args)?;
     expect_no_more_args(args)?;
-    if let Err(errors) = check::read_with_checks(&file, &text, routing::faults) {
+    if let Err(errors) = check::read_with_checks(&file, &text, routing::check_policies) {
         let lines: Vec<String> = errors.iter().map(ToString::to_string).collect();
         return Err(Failure::Usage(lines.join("\n")));
     }
--- a/crates/gradedyke-cli/src/run.rs
+++ b/crates/gradedyke-cli/src/run.rs
@@ -37,7 +37,7 @@
         addresses.peer, addresses.admin
     );
     let ready = async {
-        process.ready().await;
+        process.wait_ready().await;
         println!("ready=true");
         std::future::pending::<()>().await;
     };
--- a/crates/gradedyke-cli/src/settings.rs
+++ b/crates/gradedyke-cli/src/settings.rs
@@ -32,7 +32,7 @@
     } else if is_instance {
         Instance::read(&file, &text).err().into_iter().collect()
     } else {
-        check::read_with_checks(&file, &text, routing::faults)
+        check::read_with_checks(&file, &text, routing::check_policies)
             .err()
             .unwrap_or_default()
     };
--- a/crates/gradedyke-gateway/src/entry/relay.rs
+++ b/crates/gradedyke-gateway/src/entry/relay.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use gradedyke_http::body::{Error, Sender};
+use gradedyke_http::body::Sender;
 use gradedyke_http::{Body, body};
 use gradedyke_turns::record::{Record, Turn};
 use http::{Response, StatusCode};
@@ -155,7 +155,7 @@
         self.reservation.settle(&self.entry, self.tokens);
         // The error aborts the connection, so that the caller can tell that the response is
         // incomplete.
-        let failure: Error = format!("the stream ended early: {name}").into();
+        let failure: body::Error = format!("the stream ended early: {name}").into();
         let _ = self.sender.send(Err(failure)).await;
     }
 
--- a/crates/gradedyke-world/src/lib.rs
+++ b/crates/gradedyke-world/src/lib.rs
@@ -143,7 +143,7 @@
         }
         world.apply().await?;
         for process in world.processes.iter().flatten() {
-            process.ready().await;
+            process.wait_ready().await;
         }
         Ok(world)
     }
@@ -195,7 +195,7 @@
         let (active, _) = current::read(&**kv).await?;
         let applied = current::apply(&**kv, tree, active.revision).await?;
         for process in self.processes.iter().flatten() {
-            let mut revision = process.kernel().current.subscribe();
+            let mut revision = process.kernel().active_settings.subscribe();
             revision.wait_for(|r| *r >= applied.revision).await?;
         }
         Ok(applied.revision)
--- a/crates/gradedyke/src/admin/mod.rs
+++ b/crates/gradedyke/src/admin/mod.rs
@@ -74,10 +74,13 @@
         if self.kernel.is_ready() {
             return reply::with_bytes(StatusCode::OK, "text/plain", "ready\n");
         }
-        let reason = match (self.kernel.drain.is_cancelled(), self.kernel.map.loaded()) {
+        let reason = match (
+            self.kernel.draining.is_cancelled(),
+            self.kernel.slot_map.is_loaded(),
+        ) {
             (true, _) => "draining",
             (_, false) => "the key-value service has not been read yet",
-            _ if !self.kernel.map.assigned() => {
+            _ if !self.kernel.slot_map.is_assigned() => {
                 "programs have no owners yet; see whether enough keepers run"
             }
             _ => "no settings are in force; apply some with gradedyke settings apply",
@@ -127,9 +130,10 @@
         let path = request.uri().path().to_owned();
         match (request.method(), path.as_str()) {
             (&Method::GET, "/admin/v1/status") => Ok(reply::json(StatusCode::OK, &self.status())),
-            (&Method::GET, "/admin/v1/settings") => {
-                Ok(reply::json(StatusCode::OK, &*self.kernel.current.get()))
-            }
+            (&Method::GET, "/admin/v1/settings") => Ok(reply::json(
+                StatusCode::OK,
+                &*self.kernel.active_settings.get(),
+            )),
             (&Method::PUT, "/admin/v1/settings") => self.apply(request).await,
             (method, "/admin/v1/status" | "/admin/v1/settings") => {
                 let message = format!("{path} does not take {method}; see docs/API.md");
@@ -145,7 +149,7 @@
     fn authorize(&self, headers: &HeaderMap) -> Result<(), Problem> {
         let key = bearer_key(headers).unwrap_or_default();
         let local_hash = self.kernel.settings.operator_hash.as_deref();
-        let settings = self.kernel.current.get();
+        let settings = self.kernel.active_settings.get();
         if settings.tree.is_operator(key) || local_hash == Some(hash_key(key).as_str()) {
             return Ok(());
         }
@@ -158,20 +162,20 @@
     fn status(&self) -> Status {
         let kernel = &self.kernel;
         let own = kernel.members.own();
-        let view = kernel.map.view();
+        let view = kernel.slot_map.view();
         let slot_counts = view.iter().map(|version| {
             let slots = 0..u16::try_from(version.shard.slots.len()).unwrap_or(0);
             let holders = slots.filter_map(|slot| version.shard.holder(slot));
             holders.filter(|holder| holder.owner == own.id).count()
         });
-        let keeps = match (own.runs(Role::Keeper), own.disk) {
+        let keeps = match (own.has_role(Role::Keeper), own.disk) {
             (false, _) => "none",
             (true, false) => "memory",
             (true, true) => "disk",
         };
         Status {
             deployment: kernel.settings.deployment.clone(),
-            revision: kernel.current.get().revision,
+            revision: kernel.active_settings.get().revision,
             ready: kernel.is_ready(),
             slots: slot_counts.sum(),
             keeps: keeps.to_owned(),
@@ -195,11 +199,12 @@
             return Err(Problem::new(Kind::BadRequest, message));
         };
         let text = String::from_utf8_lossy(&bytes);
-        let tree =
-            check::read_with_checks("settings", &text, routing::faults).map_err(|errors| {
+        let tree = check::read_with_checks("settings", &text, routing::check_policies).map_err(
+            |errors| {
                 let lines: Vec<String> = errors.iter().map(ToString::to_string).collect();
                 Problem::new(Kind::BadRequest, lines.join("\n"))
-            })?;
+            },
+        )?;
         let applied = current::apply(&*self.kernel.kv, tree, base_revision).await;
         let snapshot = applied.map_err(|error| match error {
             current::Error::Conflict(_) => Problem::new(Kind::Conflict, error.to_string()),
@@ -208,7 +213,7 @@
                 .with_retry_after(Duration::from_secs(1)),
         })?;
         tracing::info!(event = "settings_applied", revision = snapshot.revision);
-        self.kernel.current.update(snapshot.clone());
+        self.kernel.active_settings.update(snapshot.clone());
         Ok(reply::json(StatusCode::OK, &snapshot))
     }
 }
--- a/crates/gradedyke/src/current.rs
+++ b/crates/gradedyke/src/current.rs
@@ -98,7 +98,7 @@
 
     /// Watches the settings key until `stop` is cancelled.
     pub async fn follow(self: Arc<Self>, kv: Arc<dyn KeyValue>, stop: CancellationToken) {
-        watching::keep("settings", stop, || self.watch(&*kv)).await;
+        watching::run_until_stopped("settings", stop, || self.watch(&*kv)).await;
     }
 
     /// Reads the settings and applies changes until the watch fails.
--- a/crates/gradedyke/src/entry/api.rs
+++ b/crates/gradedyke/src/entry/api.rs
@@ -30,8 +30,8 @@
 use super::relay::{Part, Relay};
 use super::render::{self, Renderer};
 use crate::owner::rpc::{ApiClient, Info, Opening};
-use crate::program::record::Why;
-use crate::wire::{Call, History, Outcome, Work};
+use crate::program::record::Reason;
+use crate::wire::{Call, History, Operation, Outcome};
 
 /// Request header: the id of the call's program.
 pub const PROGRAM_HEADER: &str = "gradedyke-program";
@@ -146,11 +146,13 @@
                 self.require_method(&Method::POST)?.open(Some(id)).await
             }
             ["v1", "programs", id, "end"] => {
-                self.require_method(&Method::POST)?.end(id, Why::Done).await
+                self.require_method(&Method::POST)?
+                    .end(id, Reason::Done)
+                    .await
             }
             ["v1", "programs", id, "cancel"] => {
                 self.require_method(&Method::POST)?
-                    .end(id, Why::Cancelled)
+                    .end(id, Reason::Cancelled)
                     .await
             }
             ["v1", "programs", id, "requests", request] => {
@@ -264,7 +266,7 @@
     }
 
     /// Ends a program for the given reason.
-    async fn end(&self, id: &str, why: Why) -> Result<Response<Body>, Problem> {
+    async fn end(&self, id: &str, why: Reason) -> Result<Response<Body>, Problem> {
         let program = id::Program::parse(id)?;
         let send = |client| {
             let (account, program) = (self.account.clone(), program.clone());
@@ -311,7 +313,7 @@
         let options = request.other_fields.get("stream_options");
         let usage = options.and_then(|o| o.get("include_usage"));
         let include_usage = usage.is_some_and(|u| u == true);
-        let work = Work::Chat { request, history };
+        let work = Operation::Chat { request, history };
         self.submit(program, work, stream, include_usage).await
     }
 
@@ -342,7 +344,7 @@
             content_type: content_type.map(str::to_owned),
             body: text,
         };
-        let work = Work::Service {
+        let work = Operation::Service {
             service: name.to_owned(),
             call,
             repeatable,
@@ -354,7 +356,7 @@
     async fn submit(
         &self,
         program: id::Program,
-        work: Work,
+        work: Operation,
         stream: bool,
         include_usage: bool,
     ) -> Result<Response<Body>, Problem> {
@@ -370,8 +372,8 @@
             sequence,
             work: Some(work),
             offset: self.number_header(LAST_EVENT_ID_HEADER)?.unwrap_or(0),
-            seen: None,
-            whole: !stream,
+            text_hash: None,
+            outcome_only: !stream,
         };
         self.relay(call, include_usage).await
     }
@@ -386,8 +388,8 @@
             sequence: None,
             work: None,
             offset: self.number_header(LAST_EVENT_ID_HEADER)?.unwrap_or(0),
-            seen: None,
-            whole: !accept.contains("text/event-stream"),
+            text_hash: None,
+            outcome_only: !accept.contains("text/event-stream"),
         };
         self.relay(call, true).await
     }
@@ -400,7 +402,7 @@
         let created = now.map_or(0, |d| d.as_secs());
         let renderer = Renderer::new(&call.request, created);
         let request = call.request.clone();
-        let whole = call.whole;
+        let whole = call.outcome_only;
         let mut relay = Relay::new(self.entry.clone(), call);
         let first = relay.next().await?;
         let mut response = match first {
--- a/crates/gradedyke/src/entry/mod.rs
+++ b/crates/gradedyke/src/entry/mod.rs
@@ -56,8 +56,8 @@
         };
         Self {
             members: kernel.members.clone(),
-            slot_map: kernel.map.clone(),
-            active_settings: kernel.current.clone(),
+            slot_map: kernel.slot_map.clone(),
+            active_settings: kernel.active_settings.clone(),
             limits: kernel.settings.limits.clone(),
             keys: keys::Keys::default(),
             admission: admission::Admission::default(),
--- a/crates/gradedyke/src/entry/questions.rs
+++ b/crates/gradedyke/src/entry/questions.rs
@@ -69,7 +69,7 @@
             if let Some(client) = address.and_then(|a| self.rpc_clients.client(a)) {
                 match send(client).await {
                     Ok(response) => return Ok(response),
-                    Err(error) => match rpc::problem(error) {
+                    Err(error) => match rpc::into_problem(error) {
                         Ok(problem) if problem.kind == Kind::Moving => {}
                         Ok(problem) => return Err(problem),
                         Err(error) => tracing::debug!(event = "owner_not_asked", %slot, %error),
--- a/crates/gradedyke/src/entry/relay.rs
+++ b/crates/gradedyke/src/entry/relay.rs
@@ -18,7 +18,7 @@
 use tokio::time::Instant;
 
 use super::Entry;
-use crate::wire::{CALLS_PATH, Call, Frame, MODEL, Outcome, Reader};
+use crate::wire::{CALLS_PATH, Call, Frame, MODEL_HEADER, Outcome, Reader};
 
 /// How long an entry tries to reach the owner of a program. Leaves time for the
 /// lease of a failed owner to expire and for another instance to take over.
@@ -148,7 +148,7 @@
             return Ok(false);
         };
         if self.text_hash.count() > 0 {
-            self.call.seen = Some(self.text_hash.finalize().to_hex().to_string());
+            self.call.text_hash = Some(self.text_hash.finalize().to_hex().to_string());
         }
         let bytes = serde_json::to_vec(&self.call).map_err(internal_error)?;
         let request =
@@ -169,7 +169,10 @@
             return read_rejection(owner.peer, reply).await;
         }
         self.maybe_sent = true;
-        let model = reply.headers().get(MODEL).and_then(|v| v.to_str().ok());
+        let model = reply
+            .headers()
+            .get(MODEL_HEADER)
+            .and_then(|v| v.to_str().ok());
         if let Some(model) = model.filter(|m| !m.is_empty()) {
             model.clone_into(&mut self.model);
         }
--- a/crates/gradedyke/src/keeper.rs
+++ b/crates/gradedyke/src/keeper.rs
@@ -21,7 +21,7 @@
             let keeper = Arc::new(store);
             kernel.members.set_store(&identity);
             kernel.keepers.set_own(&identity, keeper.clone());
-            mounts.methods(Service::new(keeper, &identity).into_rpc())
+            mounts.add_rpc_methods(Service::new(keeper, &identity).into_rpc())
         },
     }
 }
--- a/crates/gradedyke/src/kernel/mod.rs
+++ b/crates/gradedyke/src/kernel/mod.rs
@@ -36,19 +36,19 @@
     /// The key-value service.
     pub kv: Arc<dyn KeyValue>,
     /// The platform's instance list, if the deployment has one.
-    pub instances: Option<Arc<dyn List>>,
+    pub instance_list: Option<Arc<dyn List>>,
     /// The members of the system.
     pub members: Arc<Members>,
     /// Which instance owns which slot.
-    pub map: Arc<Map>,
+    pub slot_map: Arc<Map>,
     /// The active operator settings.
-    pub current: Arc<Current>,
+    pub active_settings: Arc<Current>,
     /// The keepers by name.
     pub keepers: Arc<KeeperDirectory>,
     /// The journal.
     pub journal: Arc<Journal>,
     /// Cancelled when the process starts to drain.
-    pub drain: CancellationToken,
+    pub draining: CancellationToken,
     /// Cancelled when the process stops.
     pub stop: CancellationToken,
 }
@@ -56,8 +56,8 @@
 impl Kernel {
     /// Whether callers may send requests to this process.
     pub fn is_ready(&self) -> bool {
-        let settings = self.current.get();
-        settings.revision > 0 && self.map.assigned() && !self.drain.is_cancelled()
+        let settings = self.active_settings.get();
+        settings.revision > 0 && self.slot_map.is_assigned() && !self.draining.is_cancelled()
     }
 }
 
@@ -80,13 +80,13 @@
     /// # Errors
     ///
     /// A method of the same name is already mounted.
-    pub fn methods(&mut self, methods: impl Into<Methods>) -> eyre::Result<()> {
+    pub fn add_rpc_methods(&mut self, methods: impl Into<Methods>) -> eyre::Result<()> {
         self.methods.merge(methods)?;
         Ok(())
     }
 
     /// Mounts the handler of calls from entries.
-    pub fn calls(&mut self, handler: Arc<dyn Handler>) {
+    pub fn set_call_handler(&mut self, handler: Arc<dyn Handler>) {
         self.call_handler = Some(handler);
     }
 
--- a/crates/gradedyke/src/kernel/process.rs
+++ b/crates/gradedyke/src/kernel/process.rs
@@ -126,10 +126,10 @@
             addresses: settings.platform.key_value.clone(),
             timeout: PLATFORM_TIMEOUT,
         });
-        let instances = settings.platform.instances;
-        let instances =
-            instances.map(|a| Arc::new(Consul::new(a, PLATFORM_TIMEOUT)) as Arc<dyn List>);
-        Self::start_with_platform(settings, Arc::new(kv), instances).await
+        let address = settings.platform.instances;
+        let instance_list =
+            address.map(|a| Arc::new(Consul::new(a, PLATFORM_TIMEOUT)) as Arc<dyn List>);
+        Self::start_with_platform(settings, Arc::new(kv), instance_list).await
     }
 
     /// Starts a process that uses the given platform services.
@@ -140,7 +140,7 @@
     pub async fn start_with_platform(
         settings: Instance,
         kv: Arc<dyn KeyValue>,
-        instances: Option<Arc<dyn List>>,
+        instance_list: Option<Arc<dyn List>>,
     ) -> eyre::Result<Self> {
         metering::install();
         let listeners = Listeners::bind(&settings).await?;
@@ -152,12 +152,12 @@
             journal: Journal::new(keepers.clone(), stop.clone()),
             settings,
             kv,
-            instances,
+            instance_list,
             members,
-            map: Arc::default(),
-            current: Arc::default(),
+            slot_map: Arc::default(),
+            active_settings: Arc::default(),
             keepers,
-            drain: CancellationToken::new(),
+            draining: CancellationToken::new(),
             stop,
         });
         let mut mounts = Mounts::default();
@@ -219,16 +219,16 @@
         let Kernel {
             kv,
             members,
-            map,
-            current,
+            slot_map,
+            active_settings,
             stop,
             settings,
             ..
         } = &*kernel;
         let lease_ttl = Duration::from_millis(settings.lease_ms);
         let tasks = &mut self.tasks;
-        tasks.spawn(current.clone().follow(kv.clone(), stop.clone()));
-        tasks.spawn(map.clone().follow(kv.clone(), stop.clone()));
+        tasks.spawn(active_settings.clone().follow(kv.clone(), stop.clone()));
+        tasks.spawn(slot_map.clone().follow(kv.clone(), stop.clone()));
         tasks.spawn(members.clone().follow(kv.clone(), stop.clone()));
         tasks.spawn(
             members
@@ -248,7 +248,7 @@
     }
 
     /// Waits until callers may send requests to this process.
-    pub async fn ready(&self) {
+    pub async fn wait_ready(&self) {
         while !self.kernel.is_ready() {
             tokio::time::sleep(READY_POLL_INTERVAL).await;
         }
@@ -263,7 +263,7 @@
         let timeout = Duration::from_millis(limits.drain_ms);
         let leave_delay = Duration::from_millis(limits.leave_ms);
         tracing::info!(event = "draining", instance = %self.kernel.settings.id);
-        self.kernel.drain.cancel();
+        self.kernel.draining.cancel();
         self.kernel.members.set_draining();
         let draining = async {
             tokio::time::sleep(leave_delay).await;
--- a/crates/gradedyke/src/membership.rs
+++ b/crates/gradedyke/src/membership.rs
@@ -21,7 +21,7 @@
 use crate::watching;
 
 /// Key prefix of the members' registrations.
-pub const PREFIX: &str = "gradedyke/members/";
+pub const MEMBER_KEY_PREFIX: &str = "gradedyke/members/";
 /// Delay before a failed registration is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 /// Number of times that a lease is renewed within its time to live.
@@ -59,7 +59,7 @@
     }
 
     /// Whether the process runs `role`.
-    pub fn runs(&self, role: Role) -> bool {
+    pub fn has_role(&self, role: Role) -> bool {
         self.roles.contains(&role)
     }
 }
@@ -188,7 +188,7 @@
         lease: Lease,
         member: &Member,
     ) -> Result<(), Error> {
-        let key = format!("{PREFIX}{}", member.id);
+        let key = format!("{MEMBER_KEY_PREFIX}{}", member.id);
         let value = serde_json::to_vec(member).map_err(|e| Error::Refused(e.to_string()))?;
         let mut expected_revision = 0;
         loop {
@@ -209,19 +209,19 @@
 
     /// Watches the members until `stop` is cancelled.
     pub async fn follow(self: Arc<Self>, kv: Arc<dyn KeyValue>, stop: CancellationToken) {
-        watching::keep("members", stop, || self.watch(&*kv)).await;
+        watching::run_until_stopped("members", stop, || self.watch(&*kv)).await;
     }
 
     /// Reads the members and applies changes until the watch fails.
     async fn watch(&self, kv: &dyn KeyValue) -> Result<(), Error> {
-        let listing = kv.list(PREFIX).await?;
+        let listing = kv.list(MEMBER_KEY_PREFIX).await?;
         let members = listing
             .entries
             .iter()
             .filter_map(|e| parse_member(&e.value));
         let view: BTreeMap<_, _> = members.map(|m| (m.id.clone(), m)).collect();
         self.set_view(view);
-        let mut watch = kv.watch(PREFIX, listing.revision + 1).await?;
+        let mut watch = kv.watch(MEMBER_KEY_PREFIX, listing.revision + 1).await?;
         loop {
             let events = watch.next().await?;
             let mut view = BTreeMap::clone(&self.view());
@@ -258,7 +258,7 @@
             }
         }
         Event::Delete { key, .. } => {
-            let name = key.strip_prefix(PREFIX).unwrap_or(&key);
+            let name = key.strip_prefix(MEMBER_KEY_PREFIX).unwrap_or(&key);
             view.retain(|id, _| id.as_str() != name);
         }
     }
--- a/crates/gradedyke/src/owner/accept.rs
+++ b/crates/gradedyke/src/owner/accept.rs
@@ -20,7 +20,7 @@
 use super::session::{Session, Submission};
 use super::{Owner, slot_moving};
 use crate::program::state::ProgramKey;
-use crate::wire::{Call, Frame, MAX_FRAME, MODEL, Outcome, Work};
+use crate::wire::{Call, Frame, MAX_FRAME_BYTES, MODEL_HEADER, Operation, Outcome};
 
 /// Timeout for receiving the body of a call from an entry.
 const BODY_TIMEOUT: Duration = Duration::from_secs(30);
@@ -39,16 +39,16 @@
     }
 
     async fn handle_call(&self, request: Request<Incoming>) -> Result<Response<Body>, Problem> {
-        let bytes = body::collect(request.into_body(), MAX_FRAME, BODY_TIMEOUT).await?;
+        let bytes = body::collect(request.into_body(), MAX_FRAME_BYTES, BODY_TIMEOUT).await?;
         let call: Call = reply::parse(&bytes)?;
         let answer = self.owner.accept(&call, Instant::now())?;
         let offset = check_offset(&answer, &call)?;
         let (sender, body) = body::channel(CHANNEL_CAPACITY);
         let mut reply = Response::new(body);
         if let Ok(model) = HeaderValue::from_str(&answer.model) {
-            reply.headers_mut().insert(MODEL, model);
+            reply.headers_mut().insert(MODEL_HEADER, model);
         }
-        tokio::spawn(stream(answer, offset, call.whole, sender));
+        tokio::spawn(stream(answer, offset, call.outcome_only, sender));
         Ok(reply)
     }
 }
@@ -144,7 +144,7 @@
         served_slot: &ServedSlot,
         session: &Session,
         key: ProgramKey,
-        work: &Work,
+        work: &Operation,
     ) -> Result<Effective, Problem> {
         if served_slot.is_closing() {
             return Err(slot_moving());
@@ -162,11 +162,13 @@
             return Err(Problem::new(Kind::Overloaded, message));
         }
         match work {
-            Work::Chat { request, .. } => {
+            Operation::Chat { request, .. } => {
                 request.validate()?;
                 check_allowed("model", &request.model, &settings.models)?;
             }
-            Work::Service { service, .. } => check_allowed("service", service, &settings.services)?,
+            Operation::Service { service, .. } => {
+                check_allowed("service", service, &settings.services)?
+            }
         }
         Ok(settings)
     }
@@ -190,9 +192,9 @@
 
 /// Hash of a call, to detect a request id that is reused for another call. It
 /// doesn't depend on whether the answer is streamed.
-fn fingerprint(work: &Work) -> Result<String, Problem> {
+fn fingerprint(work: &Operation) -> Result<String, Problem> {
     let mut work = work.clone();
-    if let Work::Chat { request, .. } = &mut work {
+    if let Operation::Chat { request, .. } = &mut work {
         request.stream = false;
         request.other_fields.remove("stream_options");
     }
@@ -207,7 +209,7 @@
 /// returns the offset to continue from.
 fn check_offset(answer: &Answer, call: &Call) -> Result<usize, Problem> {
     let offset = usize::try_from(call.offset).unwrap_or(usize::MAX);
-    let (true, Some(seen)) = (offset > 0, &call.seen) else {
+    let (true, Some(seen)) = (offset > 0, &call.text_hash) else {
         return Ok(offset);
     };
     match answer.prefix_hash(offset) {
--- a/crates/gradedyke/src/owner/attempt.rs
+++ b/crates/gradedyke/src/owner/attempt.rs
@@ -56,16 +56,16 @@
     let result = tokio::select! {
         result = response => result,
         () = context.answer.cancel.cancelled() => {
-            AttemptResult::Lost(Error::Broken("cancelled".to_owned()))
+            AttemptResult::Lost(Error::Interrupted("cancelled".to_owned()))
         }
         () = tokio::time::sleep_until(context.deadline()) => {
-            AttemptResult::Lost(Error::Broken("the deadline passed".to_owned()))
+            AttemptResult::Lost(Error::Interrupted("the deadline passed".to_owned()))
         }
     };
     match &result {
-        AttemptResult::Complete(..) => fleet.succeeded(choice.key),
+        AttemptResult::Complete(..) => fleet.record_success(choice.key),
         AttemptResult::NotRun(_) | AttemptResult::Lost(_) => {
-            fleet.failed(choice.key, Instant::now())
+            fleet.record_failure(choice.key, Instant::now())
         }
         AttemptResult::Invalid(_) | AttemptResult::Diverged => {}
     }
@@ -75,7 +75,7 @@
 fn classify(error: Error) -> AttemptResult {
     match error {
         Error::Invalid { .. } => AttemptResult::Invalid(error),
-        Error::Broken(_) => AttemptResult::Lost(error),
+        Error::Interrupted(_) => AttemptResult::Lost(error),
         _ => AttemptResult::NotRun(error),
     }
 }
@@ -91,7 +91,7 @@
     let BackendClient::Engine(engine) = &choice.client else {
         return AttemptResult::NotRun(Error::NotSent("not an engine".to_owned()));
     };
-    let mut error = Error::Broken("the stream was cut".to_owned());
+    let mut error = Error::Interrupted("the stream was cut".to_owned());
     for _ in 0..tries {
         let offset = context.answer.len();
         let resumed = match engine.resume(attempt_id, offset as u64).await {
--- a/crates/gradedyke/src/owner/chat.rs
+++ b/crates/gradedyke/src/owner/chat.rs
@@ -22,7 +22,7 @@
 use crate::program::record::Intent;
 use crate::routing::CallInfo;
 use crate::routing::fleet::{BackendClient, Choice, ServerKey};
-use crate::wire::{History, Outcome, Work};
+use crate::wire::{History, Operation, Outcome};
 
 /// First backoff before another attempt.
 const MIN_RETRY_BACKOFF: Duration = Duration::from_millis(50);
@@ -63,7 +63,7 @@
     let mut new_request = request.clone();
     new_request.messages = conversation.new_messages;
     let intent = Intent {
-        work: Work::Chat {
+        work: Operation::Chat {
             request: new_request,
             history: History::Append,
         },
@@ -184,7 +184,7 @@
     let key = context.route(&call_info, &candidates)?;
     owner
         .fleet
-        .book(key, chain, &prepared.tokens, prepared.max_tokens)
+        .start_call(key, chain, &prepared.tokens, prepared.max_tokens)
 }
 
 /// Makes attempts until one completes, the deadline passes or no retry is left.
--- a/crates/gradedyke/src/owner/mod.rs
+++ b/crates/gradedyke/src/owner/mod.rs
@@ -72,14 +72,14 @@
             id: kernel.settings.id.clone(),
             kv: kernel.kv.clone(),
             members: kernel.members.clone(),
-            map: kernel.map.clone(),
-            current: kernel.current.clone(),
+            map: kernel.slot_map.clone(),
+            current: kernel.active_settings.clone(),
             fleet: Arc::new(Fleet::new(&kernel.settings.data_centre)),
             policies: routing::policies(),
             journal: kernel.journal.clone(),
             served_slots: Mutex::default(),
             served_count: watch::Sender::new(0),
-            draining: kernel.drain.clone(),
+            draining: kernel.draining.clone(),
             stop: kernel.stop.clone(),
             tasks: TaskTracker::new(),
         })
@@ -96,7 +96,7 @@
         tokio::spawn(assigner.run(self.stop.clone()));
         tokio::spawn(takeover::run(self.clone()));
         tokio::spawn(sweep::run(self.clone()));
-        tokio::spawn(poll::run(self.clone(), kernel.instances.clone()));
+        tokio::spawn(poll::run(self.clone(), kernel.instance_list.clone()));
     }
 
     /// Returns a slot that is served here.
@@ -144,8 +144,8 @@
         mount: |kernel: &Arc<Kernel>, mounts: &mut Mounts| {
             let owner = Owner::new(kernel);
             owner.start(kernel);
-            mounts.methods(rpc::methods(owner.clone()))?;
-            mounts.calls(Arc::new(accept::CallHandler::new(owner.clone())));
+            mounts.add_rpc_methods(rpc::methods(owner.clone()))?;
+            mounts.set_call_handler(Arc::new(accept::CallHandler::new(owner.clone())));
             mounts.on_drain(move || {
                 let owner = owner.clone();
                 Box::pin(async move { owner.wait_until_drained().await })
--- a/crates/gradedyke/src/owner/poll.rs
+++ b/crates/gradedyke/src/owner/poll.rs
@@ -71,14 +71,14 @@
             () = stop.cancelled() => return,
         }
         match engine.load().await {
-            Ok(load) => owner.fleet.report(key, load),
+            Ok(load) => owner.fleet.set_load(key, load),
             Err(error) => {
                 tracing::debug!(event = "load_not_read", backend = %id, %error);
                 continue;
             }
         }
         if let Ok(events) = engine.cache_events(owner.fleet.last_event(key)).await {
-            owner.fleet.cache_events(key, &events);
+            owner.fleet.apply_cache_events(key, &events);
         }
         round += 1;
         if round % ROUNDS_PER_PIN_CHECK == 0 {
@@ -112,7 +112,7 @@
         match instances.list(BACKEND_SERVICE).await {
             Ok(list) => {
                 let leaving = list.into_iter().filter(|i| i.state == State::Leaving);
-                owner.fleet.leaving(&leaving.map(|i| i.id).collect());
+                owner.fleet.set_leaving(&leaving.map(|i| i.id).collect());
             }
             Err(error) => tracing::warn!(event = "instance_list_not_read", %error),
         }
--- a/crates/gradedyke/src/owner/rpc.rs
+++ b/crates/gradedyke/src/owner/rpc.rs
@@ -17,7 +17,7 @@
 use super::holding::{ServedSlot, program_not_found};
 use super::session::Session;
 use super::{Owner, slot_moving};
-use crate::program::record::{Record, Why};
+use crate::program::record::{Reason, Record};
 use crate::program::state::Tree;
 
 /// Code of a JSON-RPC error whose data is a [`Problem`].
@@ -54,7 +54,7 @@
     /// Tokens spent by its tree.
     pub spent_tokens: u64,
     /// Why it ended, if it has.
-    pub ended: Option<Why>,
+    pub ended: Option<Reason>,
 }
 
 /// JSON-RPC methods of an owner.
@@ -74,7 +74,8 @@
 
     /// Ends a program and its sub-agents; idempotent.
     #[method(name = "end")]
-    async fn end(&self, account: id::Account, program: id::Program, why: Why) -> RpcResult<Info>;
+    async fn end(&self, account: id::Account, program: id::Program, why: Reason)
+    -> RpcResult<Info>;
 }
 
 /// Returns the JSON-RPC methods of `owner`.
@@ -97,7 +98,7 @@
 ///
 /// The error itself if it carries no problem, such as a transport error; the call
 /// may then have taken effect.
-pub fn problem(error: client::Error) -> Result<Problem, client::Error> {
+pub fn into_problem(error: client::Error) -> Result<Problem, client::Error> {
     let client::Error::Call(call) = &error else {
         return Err(error);
     };
@@ -127,7 +128,12 @@
         history.ok_or_else(|| error(program_not_found()))
     }
 
-    async fn end(&self, account: id::Account, program: id::Program, why: Why) -> RpcResult<Info> {
+    async fn end(
+        &self,
+        account: id::Account,
+        program: id::Program,
+        why: Reason,
+    ) -> RpcResult<Info> {
         let found = self.owner.find(&account, &program);
         let (served_slot, session) = found.map_err(error)?;
         let ended = self.owner.end(&served_slot, &session, &program, why).await;
@@ -252,7 +258,7 @@
         served_slot: &Arc<ServedSlot>,
         session: &Arc<Session>,
         program: &id::Program,
-        why: Why,
+        why: Reason,
     ) -> Result<(), Problem> {
         let descendant_prefix = format!("{program}.");
         for (key, id, ended) in session.programs() {
@@ -260,7 +266,7 @@
             if ended.is_some() || !(is_target || id.as_str().starts_with(&descendant_prefix)) {
                 continue;
             }
-            let why = if is_target { why } else { Why::Parent };
+            let why = if is_target { why } else { Reason::Parent };
             let record = Record::Ended {
                 program: id.clone(),
                 why,
--- a/crates/gradedyke/src/owner/run.rs
+++ b/crates/gradedyke/src/owner/run.rs
@@ -16,7 +16,7 @@
 use crate::program::state;
 use crate::routing::fleet::ServerKey;
 use crate::routing::{CallInfo, Candidate};
-use crate::wire::{Outcome, Work};
+use crate::wire::{Operation, Outcome};
 
 /// State of a running call.
 pub(super) struct Context {
@@ -57,7 +57,7 @@
 }
 
 /// Runs a new call.
-pub(super) async fn run(context: Context, work: Work) {
+pub(super) async fn run(context: Context, work: Operation) {
     let result = tokio::select! {
         biased;
         () = context.served_slot.stop.cancelled() => Err(Abort::Moved),
@@ -66,11 +66,11 @@
     context.finish(&work, result).await;
 }
 
-async fn execute(context: &Context, work: &Work) -> Result<Finished, Abort> {
+async fn execute(context: &Context, work: &Operation) -> Result<Finished, Abort> {
     context.wait_turn().await?;
     match work {
-        Work::Chat { request, history } => chat::call(context, request, *history).await,
-        Work::Service {
+        Operation::Chat { request, history } => chat::call(context, request, *history).await,
+        Operation::Service {
             service,
             call,
             repeatable,
@@ -101,8 +101,8 @@
         other => other?,
     }
     match &intent.work {
-        Work::Chat { request, .. } => chat::resume(context, request, intent).await,
-        Work::Service {
+        Operation::Chat { request, .. } => chat::resume(context, request, intent).await,
+        Operation::Service {
             service,
             call,
             repeatable,
@@ -178,7 +178,7 @@
 
     /// Appends the outcome to the journal, publishes it and lets the next call of
     /// the program run.
-    async fn finish(self, work: &Work, result: Result<Finished, Abort>) {
+    async fn finish(self, work: &Operation, result: Result<Finished, Abort>) {
         let (end, ran) = match result {
             Ok(finished) => match self.append_outcome(finished).await {
                 Ok(outcome) => (End::Outcome(outcome), true),
@@ -205,10 +205,10 @@
         Ok(finished.outcome)
     }
 
-    fn record_metrics(&self, work: &Work, end: &End) {
+    fn record_metrics(&self, work: &Operation, end: &End) {
         let kind = match work {
-            Work::Chat { .. } => "chat",
-            Work::Service { .. } => "service",
+            Operation::Chat { .. } => "chat",
+            Operation::Service { .. } => "service",
         };
         let result = match end {
             End::Outcome(Outcome::Failed(problem)) => problem.kind.name(),
--- a/crates/gradedyke/src/owner/session.rs
+++ b/crates/gradedyke/src/owner/session.rs
@@ -13,7 +13,7 @@
 use super::answer::{Answer, End};
 use super::lock;
 use crate::program::budget::{Budget, MAX_TEMPLATE_TOKENS};
-use crate::program::record::{Intent, Record, Why};
+use crate::program::record::{Intent, Reason, Record};
 use crate::program::state::{Program, ProgramKey, Tree};
 use crate::routing::fleet;
 use crate::wire::{History, Outcome};
@@ -139,7 +139,7 @@
     }
 
     /// Returns the programs of the tree with the reason why they ended, root first.
-    pub fn programs(&self) -> Vec<(ProgramKey, id::Program, Option<Why>)> {
+    pub fn programs(&self) -> Vec<(ProgramKey, id::Program, Option<Reason>)> {
         let inner = lock(&self.inner);
         let program = |(key, p): (ProgramKey, &Program)| (key, p.id.clone(), p.ended);
         let mut programs: Vec<_> = inner.tree.programs().map(program).collect();
--- a/crates/gradedyke/src/owner/sweep.rs
+++ b/crates/gradedyke/src/owner/sweep.rs
@@ -9,7 +9,7 @@
 use super::Owner;
 use super::holding::ServedSlot;
 use super::session::Session;
-use crate::program::record::{Record, Why};
+use crate::program::record::{Reason, Record};
 
 /// Interval between sweeps.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(5);
@@ -69,7 +69,7 @@
         };
         tracing::info!(event = "program_idle", account = %session.account, program = %root);
         // If the slot moves meanwhile, the new owner ends the programs.
-        let _ = self.end(served_slot, session, root, Why::Idle).await;
+        let _ = self.end(served_slot, session, root, Reason::Idle).await;
     }
 }
 
--- a/crates/gradedyke/src/owner/tool.rs
+++ b/crates/gradedyke/src/owner/tool.rs
@@ -17,7 +17,7 @@
 use crate::program::record::Intent;
 use crate::routing::CallInfo;
 use crate::routing::fleet::{BackendClient, Choice, ServerKey};
-use crate::wire::{Outcome, Work};
+use crate::wire::{Operation, Outcome};
 
 /// First backoff before another attempt or outcome query.
 const MIN_RETRY_BACKOFF: Duration = Duration::from_millis(50);
@@ -33,7 +33,7 @@
 /// Runs a new call.
 pub(super) async fn call(
     context: &Context,
-    work: &Work,
+    work: &Operation,
     name: &str,
     call: &service::Call,
     repeatable: bool,
@@ -77,7 +77,7 @@
         now,
     };
     let key = context.route(&call_info, &candidates)?;
-    owner.fleet.book(key, &[], &[], 0)
+    owner.fleet.start_call(key, &[], &[], 0)
 }
 
 /// Makes attempts until one is answered or no retry is left. `may_have_run`
@@ -100,11 +100,14 @@
                 avoid.push(chosen.key);
                 match result {
                     Ok(reply) => {
-                        context.owner.fleet.succeeded(chosen.key);
+                        context.owner.fleet.record_success(chosen.key);
                         return Ok(finished(Outcome::Service(reply)));
                     }
                     Err(error) => {
-                        context.owner.fleet.failed(chosen.key, Instant::now());
+                        context
+                            .owner
+                            .fleet
+                            .record_failure(chosen.key, Instant::now());
                         error
                     }
                 }
@@ -150,7 +153,7 @@
     let response = service.call(&key, call, time_left);
     tokio::select! {
         result = response => result,
-        () = context.answer.cancel.cancelled() => Err(Error::Broken("cancelled".to_owned())),
+        () = context.answer.cancel.cancelled() => Err(Error::Interrupted("cancelled".to_owned())),
     }
 }
 
--- a/crates/gradedyke/src/ownership/assign.rs
+++ b/crates/gradedyke/src/ownership/assign.rs
@@ -32,7 +32,7 @@
 
 /// Returns the members that may own slots, ordered by id.
 pub fn eligible_owners(members: &BTreeMap<id::Instance, Member>) -> Vec<&Member> {
-    let is_eligible = |m: &&Member| m.runs(Role::Owner) && !m.draining;
+    let is_eligible = |m: &&Member| m.has_role(Role::Owner) && !m.draining;
     members.values().filter(is_eligible).collect()
 }
 
@@ -156,7 +156,7 @@
             self.last_seen.insert(id.clone(), member.clone());
         }
         let own = self.members.own().id;
-        if !self.map.loaded() || !members.contains_key(&own) {
+        if !self.map.is_loaded() || !members.contains_key(&own) {
             return;
         }
         let owners = eligible_owners(&members);
@@ -207,7 +207,7 @@
     /// Returns whether an instance is registered in the key-value service. Also
     /// true if the service can't be read: writing would most likely fail as well.
     async fn is_registered(&self, owner: &id::Instance) -> bool {
-        let key = format!("{}{owner}", membership::PREFIX);
+        let key = format!("{}{owner}", membership::MEMBER_KEY_PREFIX);
         let found = self.kv.get(&key).await;
         found.map_or(true, |entry| entry.is_some())
     }
--- a/crates/gradedyke/src/ownership/map.rs
+++ b/crates/gradedyke/src/ownership/map.rs
@@ -155,12 +155,12 @@
     }
 
     /// Returns whether the slot map has been read at least once.
-    pub fn loaded(&self) -> bool {
+    pub fn is_loaded(&self) -> bool {
         *self.loaded.borrow()
     }
 
     /// Returns whether every shard has been written, so that every slot has an owner.
-    pub fn assigned(&self) -> bool {
+    pub fn is_assigned(&self) -> bool {
         let view = self.view.borrow();
         view.iter().all(|stored| stored.revision > 0)
     }
@@ -209,7 +209,7 @@
 
     /// Follows the slot map until `stop` is cancelled.
     pub async fn follow(self: Arc<Self>, kv: Arc<dyn KeyValue>, stop: CancellationToken) {
-        watching::keep("slots", stop, || self.follow_once(&*kv)).await;
+        watching::run_until_stopped("slots", stop, || self.follow_once(&*kv)).await;
     }
 
     async fn follow_once(&self, kv: &dyn KeyValue) -> Result<(), kv::Error> {
--- a/crates/gradedyke/src/program/record.rs
+++ b/crates/gradedyke/src/program/record.rs
@@ -8,12 +8,12 @@
 use serde::{Deserialize, Serialize};
 
 use super::state::Snapshot;
-use crate::wire::{Outcome, Work};
+use crate::wire::{Operation, Outcome};
 
 /// Why a program ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Why {
+pub enum Reason {
     /// The caller ended it.
     Done,
     /// The caller cancelled it.
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Intent {
     /// The call. A model call has only the messages after the history.
-    pub work: Work,
+    pub work: Operation,
     /// Hash of the call as the caller sent it, to detect a reused request id.
     pub fingerprint: String,
     /// The backend server it is sent to first.
@@ -89,7 +89,7 @@
         /// The program.
         program: id::Program,
         /// The reason.
-        why: Why,
+        why: Reason,
     },
     /// The whole state of a tree, which replaces all earlier records of it.
     Restated(Box<Snapshot>),
--- a/crates/gradedyke/src/program/state.rs
+++ b/crates/gradedyke/src/program/state.rs
@@ -10,8 +10,8 @@
 use serde::{Deserialize, Serialize};
 use slotmap::{SlotMap, new_key_type};
 
-use super::record::{Intent, Record, Why};
-use crate::wire::{Outcome, Work};
+use super::record::{Intent, Reason, Record};
+use crate::wire::{Operation, Outcome};
 
 new_key_type! {
     /// Key of a program in its tree.
@@ -43,7 +43,7 @@
     /// Calls with an intent and no outcome yet, by request.
     pub open: BTreeMap<id::Request, Intent>,
     /// Why it ended, if it has.
-    pub ended: Option<Why>,
+    pub ended: Option<Reason>,
 }
 
 /// A program and its sub-agents, which share a budget and an owner.
@@ -89,7 +89,8 @@
         let Some(intent) = self.open.remove(request) else {
             return;
         };
-        if let (Work::Chat { request, .. }, Outcome::Chat(completion)) = (intent.work, outcome) {
+        if let (Operation::Chat { request, .. }, Outcome::Chat(completion)) = (intent.work, outcome)
+        {
             self.history.extend(request.messages);
             self.history.push(completion.message());
             self.history_tokens = completion.usage.total_tokens;
--- a/crates/gradedyke/src/routing/fleet.rs
+++ b/crates/gradedyke/src/routing/fleet.rs
@@ -229,7 +229,7 @@
     /// Counts a call with up to `answer_tokens` tokens to generate as in flight on a backend
     /// server until the returned choice is dropped, and assumes that the prompt's
     /// prefixes are cached there from now on.
-    pub fn book(
+    pub fn start_call(
         self: &Arc<Self>,
         key: ServerKey,
         chain: &[prefix::Key],
@@ -259,7 +259,7 @@
     }
 
     /// Records that a call succeeded, which ends the backoff.
-    pub fn succeeded(&self, key: ServerKey) {
+    pub fn record_success(&self, key: ServerKey) {
         if let Some(server) = self.lock().get_mut(key) {
             server.failures = 0;
             server.backoff_until = None;
@@ -268,7 +268,7 @@
 
     /// Records that a call failed because of the backend server, and starts or
     /// extends its backoff.
-    pub fn failed(&self, key: ServerKey, now: Instant) {
+    pub fn record_failure(&self, key: ServerKey, now: Instant) {
         if let Some(server) = self.lock().get_mut(key) {
             let backoff = MIN_FAILURE_BACKOFF * 2_u32.saturating_pow(server.failures.min(10));
             server.failures += 1;
@@ -277,7 +277,7 @@
     }
 
     /// Stores a load report.
-    pub fn report(&self, key: ServerKey, load: Load) {
+    pub fn set_load(&self, key: ServerKey, load: Load) {
         if let Some(server) = self.lock().get_mut(key) {
             server.load = load;
         }
@@ -285,14 +285,14 @@
 
     /// Marks the backend servers that are shutting down according to the instance
     /// list. All others are unmarked.
-    pub fn leaving(&self, ids: &BTreeSet<String>) {
+    pub fn set_leaving(&self, ids: &BTreeSet<String>) {
         for server in self.lock().values_mut() {
             server.listed_leaving = ids.contains(server.id.as_str());
         }
     }
 
     /// Applies cache events of an engine.
-    pub fn cache_events(&self, key: ServerKey, events: &[CacheEvent]) {
+    pub fn apply_cache_events(&self, key: ServerKey, events: &[CacheEvent]) {
         let mut servers = self.lock();
         let Some(server) = servers.get_mut(key) else {
             return;
--- a/crates/gradedyke/src/routing/mod.rs
+++ b/crates/gradedyke/src/routing/mod.rs
@@ -73,7 +73,7 @@
 /// tree.defaults.routing = Some("fastest".to_owned());
 /// assert_eq!(gradedyke::routing::faults(&tree)[0].path, "defaults.routing");
 /// ```
-pub fn faults(tree: &Tree) -> Vec<Violation> {
+pub fn check_policies(tree: &Tree) -> Vec<Violation> {
     let mut policy_settings = vec![("defaults".to_owned(), &tree.defaults)];
     for (name, account) in &tree.accounts {
         policy_settings.push((format!("accounts.{name}.policy"), &account.policy));
--- a/crates/gradedyke/src/watching.rs
+++ b/crates/gradedyke/src/watching.rs
@@ -9,8 +9,11 @@
 
 /// Runs `watch` repeatedly until `stop` is cancelled. A watch ends only when it
 /// fails; `name` identifies it in the log.
-pub(crate) async fn keep<F, G, E>(name: &'static str, stop: CancellationToken, watch: F)
-where
+pub(crate) async fn run_until_stopped<F, G, E>(
+    name: &'static str,
+    stop: CancellationToken,
+    watch: F,
+) where
     F: Fn() -> G,
     G: Future<Output = Result<(), E>>,
     E: std::fmt::Display,
--- a/crates/gradedyke/src/wire.rs
+++ b/crates/gradedyke/src/wire.rs
@@ -15,13 +15,13 @@
 use tokio_util::codec::{Decoder, Encoder, LengthDelimitedCodec};
 
 /// Response header of a call: the model that answers.
-pub const MODEL: &str = "gradedyke-model";
+pub const MODEL_HEADER: &str = "gradedyke-model";
 
 /// Path of calls on the listener for peers.
 pub const CALLS_PATH: &str = "/calls";
 
 /// Maximum size of a frame, in bytes. The last frame holds a complete answer.
-pub const MAX_FRAME: usize = 64 << 20;
+pub const MAX_FRAME_BYTES: usize = 64 << 20;
 
 /// How a chat request's messages relate to the program's history.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -38,7 +38,7 @@
 /// The operation that a call requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Work {
+pub enum Operation {
     /// A model call.
     Chat {
         /// The request.
@@ -57,13 +57,13 @@
     },
 }
 
-impl Work {
+impl Operation {
     /// Returns the name of the called model, or an empty string for a plain
     /// service.
     pub fn model(&self) -> &str {
         match self {
-            Work::Chat { request, .. } => &request.model,
-            Work::Service { .. } => "",
+            Operation::Chat { request, .. } => &request.model,
+            Operation::Service { .. } => "",
         }
     }
 }
@@ -81,16 +81,16 @@
     #[serde(default)]
     pub sequence: Option<u64>,
     /// The operation. `None` only fetches the answer of an earlier call.
-    pub work: Option<Work>,
+    pub work: Option<Operation>,
     /// Number of bytes of text that the caller has already received.
     #[serde(default)]
     pub offset: u64,
     /// BLAKE3 hash of those bytes, if they were relayed by this entry.
-    #[serde(default)]
-    pub seen: Option<String>,
+    #[serde(default, rename = "seen")]
+    pub text_hash: Option<String>,
     /// Whether to send only the outcome and not the text as it is generated.
-    #[serde(default)]
-    pub whole: bool,
+    #[serde(default, rename = "whole")]
+    pub outcome_only: bool,
 }
 
 /// How a call ended.
@@ -129,7 +129,7 @@
 
 fn codec() -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder()
-        .max_frame_length(MAX_FRAME)
+        .max_frame_length(MAX_FRAME_BYTES)
         .new_codec()
 }
 
--- a/crates/gradedyke/tests/failures.rs
+++ b/crates/gradedyke/tests/failures.rs
@@ -263,7 +263,7 @@
             streams.push((program, stream));
         }
         let process = world.processes[0].take().unwrap();
-        let drain_started = process.kernel().drain.clone();
+        let drain_started = process.kernel().draining.clone();
         let draining = tokio::spawn(process.drain());
         drain_started.cancelled().await;
         pause_engines_after(&world, None);
--- a/crates/gradedyke/tests/fleet.rs
+++ b/crates/gradedyke/tests/fleet.rs
@@ -52,7 +52,9 @@
     let fleet = fleet(&["north"]);
     let now = Instant::now();
     let before = candidates(&fleet, now)[0];
-    let booked = fleet.book(before.key, chain().keys(), &[10], 64).unwrap();
+    let booked = fleet
+        .start_call(before.key, chain().keys(), &[10], 64)
+        .unwrap();
     let during = candidates(&fleet, now)[0];
     assert_eq!((during.in_flight, during.pending_tokens), (1, 64));
     assert_eq!(during.cached_tokens, 10);
@@ -66,14 +68,14 @@
     let fleet = fleet(&["north", "south"]);
     let now = Instant::now();
     let keys: Vec<_> = candidates(&fleet, now).iter().map(|c| c.key).collect();
-    fleet.failed(keys[0], now);
+    fleet.record_failure(keys[0], now);
     assert_eq!(candidates(&fleet, now).len(), 1);
     // When all servers have failed, all are candidates.
-    fleet.failed(keys[1], now);
+    fleet.record_failure(keys[1], now);
     assert_eq!(candidates(&fleet, now).len(), 2);
     // A server becomes a candidate again after a successful call or after some
     // time.
-    fleet.succeeded(keys[1]);
+    fleet.record_success(keys[1]);
     assert_eq!(candidates(&fleet, now).len(), 1);
     let later = now + Duration::from_secs(60);
     assert_eq!(candidates(&fleet, later).len(), 2);
@@ -84,7 +86,7 @@
     let fleet = fleet(&["north", "south"]);
     let now = Instant::now();
     let key = candidates(&fleet, now)[0].key;
-    let booked = fleet.book(key, chain().keys(), &[10], 64);
+    let booked = fleet.start_call(key, chain().keys(), &[10], 64);
     // Each step: the evacuated data centres, and the number of candidates.
     let steps: [(&[&str], usize); 4] = [
         (&["north"], 1),
@@ -122,9 +124,9 @@
         (false, false, true),
     ];
     for (reported, listed, expected) in cases {
-        fleet.report(key, load(reported));
+        fleet.set_load(key, load(reported));
         let list = listed.then(|| "e0".to_owned());
-        fleet.leaving(&list.into_iter().collect());
+        fleet.set_leaving(&list.into_iter().collect());
         let is_candidate = !candidates(&fleet, now).is_empty();
         assert_eq!(
             is_candidate, expected,
@@ -144,12 +146,12 @@
         cached,
     };
     let cached = || candidates(&fleet, now)[0].cached_tokens;
-    drop(fleet.book(key, chain().keys(), &[10], 1));
-    fleet.cache_events(key, &[event(1, true)]);
+    drop(fleet.start_call(key, chain().keys(), &[10], 1));
+    fleet.apply_cache_events(key, &[event(1, true)]);
     assert_eq!(cached(), 10);
-    fleet.cache_events(key, &[event(3, true)]);
+    fleet.apply_cache_events(key, &[event(3, true)]);
     assert_eq!(cached(), 0, "event 2 may have been the eviction");
-    drop(fleet.book(key, chain().keys(), &[10], 1));
-    fleet.cache_events(key, &[event(4, false)]);
+    drop(fleet.start_call(key, chain().keys(), &[10], 1));
+    fleet.apply_cache_events(key, &[event(4, false)]);
     assert_eq!(cached(), 0);
 }
--- a/crates/gradedyke/tests/platform_faults.rs
+++ b/crates/gradedyke/tests/platform_faults.rs
@@ -89,9 +89,9 @@
             assert_eq!(winners.len(), 1);
             // The winner's settings become active on every instance.
             for process in world.processes.iter().flatten() {
-                let mut revision = process.kernel().current.subscribe();
+                let mut revision = process.kernel().active_settings.subscribe();
                 revision.wait_for(|r| *r > base_revision).await.unwrap();
-                let active = process.kernel().current.get();
+                let active = process.kernel().active_settings.get();
                 assert_eq!(*active, winners[0]);
             }
         }
--- a/crates/gradedyke/tests/support/mod.rs
+++ b/crates/gradedyke/tests/support/mod.rs
@@ -50,7 +50,7 @@
 pub fn owner_index(world: &World, program: &str) -> usize {
     let slot = id::Program::parse(program).unwrap().slot();
     let process = world.processes.iter().flatten().next().unwrap();
-    let holder = process.kernel().map.holder(slot).unwrap();
+    let holder = process.kernel().slot_map.holder(slot).unwrap();
     let is_owner = |p: &Option<Process>| {
         p.as_ref()
             .is_some_and(|p| p.kernel().settings.id == holder.owner)
