--- a/crates/gradedyke-backend/tests/contract.rs
+++ b/crates/gradedyke-backend/tests/contract.rs
@@ -23,9 +23,9 @@
 
 async fn start(config: Config) -> (Arc<engine::Engine>, engine_http::Http) {
     let engine = engine::Engine::start(config);
-    let listener = Arc::new(engine::Listener(engine.clone()));
+    let handler = Arc::new(engine::EngineHandler(engine.clone()));
     let stop = CancellationToken::new();
-    let address = gradedyke_standin::serve(listener, any_port(), &stop)
+    let address = gradedyke_standin::serve(handler, any_port(), &stop)
         .await
         .unwrap();
     let client = Client::new(&client::Config::default());
@@ -93,7 +93,7 @@
 #[tokio::test]
 async fn a_cancelled_stream_ends_with_an_error() {
     let (stand_in, engine) = start(Config::default()).await;
-    stand_in.hold_at(Some(2));
+    stand_in.stall_at(Some(2));
     let mut chunks = engine.chat(&call("a", &["hello"])).await.unwrap();
     chunks.next().await.unwrap().unwrap();
     engine.cancel("a").await.unwrap();
@@ -183,14 +183,14 @@
     };
     // Behaviour of the service, status that the caller gets, whether the call ran.
     let cases = [
-        (Mode::Well, Some(200), true),
+        (Mode::Normal, Some(200), true),
         (Mode::Late(1), Some(200), true),
         (Mode::Fail(500), Some(500), false),
         (Mode::LoseAnswer, None, true),
         (Mode::Hang, None, true),
     ];
     for (i, (mode, status, ran)) in cases.into_iter().enumerate() {
-        stand_in.set(mode);
+        stand_in.set_mode(mode);
         let key = i.to_string();
         let timeout = Duration::from_millis(if status.is_some() { 5_000 } else { 50 });
         let reply = service.call(&key, &call, timeout).await;
@@ -203,7 +203,7 @@
             // The caller may have timed out before the call arrived.
             let has_arrived =
                 |s: &gradedyke_standin::service::Service| s.runs().iter().any(|r| r.key == key);
-            stand_in.until(has_arrived).await;
+            stand_in.wait_until(has_arrived).await;
         }
         let runs = stand_in.runs();
         assert_eq!(runs.iter().any(|r| r.key == key), ran, "{mode:?}");
--- a/crates/gradedyke-cli/src/demo/mod.rs
+++ b/crates/gradedyke-cli/src/demo/mod.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use eyre::WrapErr;
-use gradedyke_world::{Config, KESTREL, MODEL, OPERATOR, World};
+use gradedyke_world::{Config, Deployment, KESTREL_KEY, MODEL_NAME, OPERATOR_KEY};
 
 use crate::{Failure, build_runtime, expect_no_more_args, logs};
 use agents::History;
@@ -33,9 +33,10 @@
         instances,
         ..Config::default()
     };
-    let world = tokio::time::timeout(READY_TIMEOUT, World::start(config)).await;
-    let world = world.wrap_err("the instances did not become ready within the timeout")??;
-    for process in world.processes.iter().flatten() {
+    let deployment = tokio::time::timeout(READY_TIMEOUT, Deployment::start(config)).await;
+    let deployment =
+        deployment.wrap_err("the instances did not become ready within the timeout")??;
+    for process in deployment.processes.iter().flatten() {
         let addresses = process.addresses();
         println!(
             "  instance {} callers={} admin={}",
@@ -48,19 +49,19 @@
     }
     let ready_ms = started_at.elapsed().as_millis();
     println!("ready after {ready_ms} ms");
-    let history = History::run(&world).await?;
-    let stats = stats::collect(&world, &history).await;
-    let comparison = agents::compare_routing(&world).await?;
+    let history = History::run(&deployment).await?;
+    let stats = stats::collect(&deployment, &history).await;
+    let comparison = agents::compare_routing(&deployment).await?;
     println!("{comparison}");
     println!("{stats}");
     if keep_running {
-        print_curl(&world);
+        print_curl(&deployment);
         tokio::signal::ctrl_c()
             .await
             .wrap_err("cannot wait for a signal")?;
     }
     let is_ok = stats.is_ok();
-    world.stop().await;
+    deployment.stop().await;
     if is_ok {
         return Ok(());
     }
@@ -70,20 +71,20 @@
 }
 
 /// Prints curl commands to try.
-fn print_curl(world: &World) {
-    let entry = world.entry(0);
-    let admin = world.processes.iter().flatten().next();
-    let admin = admin.map_or_else(gradedyke_world::loopback, |p| p.addresses().admin);
+fn print_curl(deployment: &Deployment) {
+    let entry = deployment.entry_address(0);
+    let admin = deployment.processes.iter().flatten().next();
+    let admin = admin.map_or_else(gradedyke_world::loopback_address, |p| p.addresses().admin);
     println!(
         r#"still listening; try these, then stop with ctrl-c:
-  ID=$(curl -s http://{entry}/v1/programs -H 'authorization: Bearer {KESTREL}' \
+  ID=$(curl -s http://{entry}/v1/programs -H 'authorization: Bearer {KESTREL_KEY}' \
     -d '{{"agent":"minutes"}}' | sed 's/.*"id":"\([^"]*\)".*/\1/')
-  curl -N http://{entry}/v1/chat/completions -H 'authorization: Bearer {KESTREL}' \
-    -H "gradedyke-program: $ID" -d '{{"model":"{MODEL}","stream":true,
+  curl -N http://{entry}/v1/chat/completions -H 'authorization: Bearer {KESTREL_KEY}' \
+    -H "gradedyke-program: $ID" -d '{{"model":"{MODEL_NAME}","stream":true,
     "messages":[{{"role":"user","content":"Draft the minutes."}}]}}'
-  curl -s http://{entry}/v1/programs/$ID/history -H 'authorization: Bearer {KESTREL}'
-  curl -s -XPOST http://{entry}/v1/programs/$ID/end -H 'authorization: Bearer {KESTREL}'
-  curl -s http://{admin}/admin/v1/status -H 'authorization: Bearer {OPERATOR}'
+  curl -s http://{entry}/v1/programs/$ID/history -H 'authorization: Bearer {KESTREL_KEY}'
+  curl -s -XPOST http://{entry}/v1/programs/$ID/end -H 'authorization: Bearer {KESTREL_KEY}'
+  curl -s http://{admin}/admin/v1/status -H 'authorization: Bearer {OPERATOR_KEY}'
   curl -s http://{admin}/metrics"#
     );
 }
--- a/crates/gradedyke-cli/src/demo/stats.rs
+++ b/crates/gradedyke-cli/src/demo/stats.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 use std::time::Duration;
 
-use gradedyke_world::World;
+use gradedyke_world::Deployment;
 
 use super::agents::History;
 
@@ -51,14 +51,18 @@
 }
 
 /// Computes the statistics from the demo's calls and the stand-in servers' records.
-pub async fn collect(world: &World, history: &History) -> Stats {
+pub async fn collect(deployment: &Deployment, history: &History) -> Stats {
     let mut stats = Stats {
         programs: history.programs.len(),
         calls: history.calls.len(),
         ..Stats::default()
     };
-    let runs: Vec<_> = world.engines.iter().flat_map(|e| e.runs()).collect();
-    let services = world.records.runs().into_iter().chain(world.orders.runs());
+    let runs: Vec<_> = deployment.engines.iter().flat_map(|e| e.runs()).collect();
+    let services = deployment
+        .records
+        .runs()
+        .into_iter()
+        .chain(deployment.orders.runs());
     let services: Vec<_> = services.collect();
     for call in &history.calls {
         let key = format!("{}:{}", call.program, call.request);
@@ -69,8 +73,8 @@
         } else {
             let attempt_prefix = format!("{key}:");
             let is_complete = |run: &&_| -> bool {
-                let run: &gradedyke_standin::engine::Run = run;
-                run.attempt.starts_with(&attempt_prefix) && run.whole
+                let run: &gradedyke_standin::engine::Record = run;
+                run.attempt.starts_with(&attempt_prefix) && run.is_complete
             };
             let complete: Vec<_> = runs.iter().filter(is_complete).collect();
             complete.iter().any(|run| run.text == call.response)
@@ -78,13 +82,13 @@
         stats.lost += usize::from(!was_run);
     }
     stats.over_budget = count_over_budget(history, &runs);
-    stats.held_blocks_after_end = count_pins(world).await;
+    stats.held_blocks_after_end = count_pins(deployment).await;
     stats
 }
 
 /// Returns the number of programs that, with their sub-agents, used more tokens than their
 /// budget, according to the engines' records.
-fn count_over_budget(history: &History, runs: &[gradedyke_standin::engine::Run]) -> usize {
+fn count_over_budget(history: &History, runs: &[gradedyke_standin::engine::Record]) -> usize {
     let mut spent: BTreeMap<&str, u64> = BTreeMap::new();
     for run in runs {
         let program = run.attempt.split(':').next().unwrap_or_default();
@@ -100,7 +104,7 @@
 }
 
 /// Returns the number of pins that engines still have after all programs have ended.
-async fn count_pins(world: &World) -> usize {
-    let _ = tokio::time::timeout(RELEASE_TIMEOUT, world.released()).await;
-    world.engines.iter().map(|e| e.pins().len()).sum()
+async fn count_pins(deployment: &Deployment) -> usize {
+    let _ = tokio::time::timeout(RELEASE_TIMEOUT, deployment.wait_until_released()).await;
+    deployment.engines.iter().map(|e| e.pins().len()).sum()
 }
--- a/crates/gradedyke-cli/src/run.rs
+++ b/crates/gradedyke-cli/src/run.rs
@@ -65,7 +65,7 @@
     let address: SocketAddr = args.value_from_str("--listen")?;
     expect_no_more_args(args)?;
     build_runtime()?.block_on(async {
-        let handler = gradedyke_standin::handler(&kind).ok_or_else(|| {
+        let handler = gradedyke_standin::create_handler(&kind).ok_or_else(|| {
             Failure::Usage(format!(
                 "no stand-in {kind}; use platform, engine or service"
             ))
--- a/crates/gradedyke-cli/tests/processes.rs
+++ b/crates/gradedyke-cli/tests/processes.rs
@@ -13,7 +13,9 @@
 use gradedyke_client::{Caller, Options};
 use gradedyke_http::{Client, client};
 use gradedyke_standin::{engine, service};
-use gradedyke_world::{JORDAN, KESTREL, MODEL, OPERATOR, chat, text_of, user};
+use gradedyke_world::{
+    JORDAN_KEY, KESTREL_KEY, MODEL_NAME, OPERATOR_KEY, chat_body, response_text, user_message,
+};
 use http::Method;
 use serde_json::{Value, json};
 use support::gradedyke;
@@ -89,7 +91,7 @@
         "data_folder": folder.join(format!("data-{number}")),
         "lease_ms": 2_000,
         "limits": { "leave_ms": 0 },
-        "operator_hash": hash_key(OPERATOR),
+        "operator_hash": hash_key(OPERATOR_KEY),
     });
     let file = folder.join(format!("{number}.jsonc"));
     std::fs::write(&file, settings.to_string()).unwrap();
@@ -111,12 +113,12 @@
         |key: &str, agents: Value| json!({ "keys": [{ "hash": hash_key(key) }], "agents": agents });
     json!({
         "accounts": {
-            "kestrel": account(KESTREL, json!({ "minutes": { "models": [MODEL] } })),
-            "jordan": account(JORDAN, json!({ "valuation": { "services": ["orders"] } })),
+            "kestrel": account(KESTREL_KEY, json!({ "minutes": { "models": [MODEL_NAME] } })),
+            "jordan": account(JORDAN_KEY, json!({ "valuation": { "services": ["orders"] } })),
         },
         "backends": {
             "engine": {
-                "kind": "engine", "address": engine, "data_centre": "dc-1", "models": [MODEL],
+                "kind": "engine", "address": engine, "data_centre": "dc-1", "models": [MODEL_NAME],
             },
             "orders": {
                 "kind": "service", "address": orders, "data_centre": "dc-1",
@@ -143,13 +145,20 @@
 
 #[derive(serde::Deserialize)]
 struct Records {
-    runs: Vec<engine::Run>,
+    runs: Vec<engine::Record>,
 }
 
 /// Evacuates a data centre and withdraws that, each twice.
 fn evacuate_and_withdraw(admin: &str) {
     let evacuate = |data_centre, extra_args: &[&str]| {
-        let args = ["evacuate", data_centre, "--admin", admin, "--key", OPERATOR];
+        let args = [
+            "evacuate",
+            data_centre,
+            "--admin",
+            admin,
+            "--key",
+            OPERATOR_KEY,
+        ];
         gradedyke(&[&args, extra_args].concat())
     };
     let (code, _, error) = evacuate("nowhere", &[]);
@@ -187,7 +196,7 @@
         "--admin",
         &admin,
         "--key",
-        OPERATOR,
+        OPERATOR_KEY,
     ];
     assert_eq!(
         gradedyke(&args),
@@ -196,7 +205,7 @@
     for instance in &mut instances {
         assert_eq!(instance.process.read_value("ready"), "true");
     }
-    let args = ["status", "--admin", &admin, "--key", OPERATOR];
+    let args = ["status", "--admin", &admin, "--key", OPERATOR_KEY];
     let (code, status, _) = gradedyke(&args);
     assert_eq!(code, 0);
     assert_eq!(
@@ -209,30 +218,30 @@
 
     let runtime = tokio::runtime::Runtime::new().unwrap();
     runtime.block_on(async {
-        let jordan = Caller::new(JORDAN, TIMEOUT);
-        let opening = jordan.open(instances[0].caller, "valuation", None, None, "open");
+        let jordan = Caller::new(JORDAN_KEY, TIMEOUT);
+        let opening = jordan.open_program(instances[0].caller, "valuation", None, None, "open");
         let program = opening.await.unwrap();
         for turn in 0..6 {
             // Sends each order twice, through different entries.
             for repetition in 0..2 {
                 let entry = instances[(turn + repetition) % 3].caller;
                 let options = Options::request(format!("order-{turn}"));
-                let call = jordan.service(entry, &program, "orders/place", "{}", options);
+                let call = jordan.call_service(entry, &program, "orders/place", "{}", options);
                 call.await.unwrap();
             }
         }
-        let runs: Vec<service::Run> = request_json(orders, "/records", None).await;
+        let runs: Vec<service::Record> = request_json(orders, "/records", None).await;
         assert_eq!(runs.len(), 6, "{runs:?}");
 
-        let kestrel = Caller::new(KESTREL, TIMEOUT);
+        let kestrel = Caller::new(KESTREL_KEY, TIMEOUT);
         let mut streams = Vec::new();
         let _: Value = request_json(engine, "/hold", Some(json!(HOLD_AFTER_TOKENS))).await;
         for number in 0..6 {
             let entry = instances[number % 3].caller;
             let request = format!("open-{number}");
-            let opening = kestrel.open(entry, "minutes", None, None, &request);
+            let opening = kestrel.open_program(entry, "minutes", None, None, &request);
             let program = opening.await.unwrap();
-            let body = chat(&[user(&format!("Draft number {number}."))]);
+            let body = chat_body(&[user_message(&format!("Draft number {number}."))]);
             let stream = kestrel.stream(entry, &program, &body, Options::request("draft"));
             let mut stream = stream.await.unwrap();
             let first = stream.next().await.unwrap().unwrap();
@@ -243,17 +252,20 @@
         let _: Value = request_json(engine, "/hold", Some(json!(null))).await;
         for (number, (program, stream, first)) in streams.into_iter().enumerate() {
             let offset = stream.offset;
-            let streamed = stream.rest().await;
+            let streamed = stream.read_to_end().await;
             let entry = instances[number % 2].caller;
-            let completed = kestrel.fetch(entry, &program, "draft").await.unwrap();
-            let text = text_of(&completed);
+            let completed = kestrel
+                .fetch_response(entry, &program, "draft")
+                .await
+                .unwrap();
+            let text = response_text(&completed);
             if number % 3 == 2 {
                 assert!(streamed.is_err(), "the entry of this stream was killed");
                 let resumed = kestrel
                     .resume(entry, &program, "draft", offset)
                     .await
                     .unwrap();
-                let resumed = resumed.rest().await.unwrap();
+                let resumed = resumed.read_to_end().await.unwrap();
                 assert_eq!(format!("{first}{resumed}"), text);
             } else {
                 assert_eq!(
@@ -268,7 +280,7 @@
                 .runs
                 .iter()
                 .filter(|r| r.attempt.starts_with(&attempt_prefix));
-            let runs: Vec<_> = runs.filter(|r| r.whole).collect();
+            let runs: Vec<_> = runs.filter(|r| r.is_complete).collect();
             assert!(runs.iter().all(|r| r.text == text), "{runs:?}");
         }
 
@@ -278,7 +290,7 @@
         let status = instances[1].process.child.wait().unwrap();
         assert_eq!(status.code(), Some(0));
         let entry = instances[0].caller;
-        let history = jordan.program(entry, &program, "").await.unwrap();
+        let history = jordan.program_action(entry, &program, "").await.unwrap();
         assert_eq!(history["calls"], 6);
     });
 }
--- a/crates/gradedyke-cli/tests/soak.rs
+++ b/crates/gradedyke-cli/tests/soak.rs
@@ -17,11 +17,16 @@
         let config = Config {
             binary: PathBuf::from(env!("CARGO_BIN_EXE_gradedyke")),
             seed,
-            time: Duration::from_secs(4),
+            fault_duration: Duration::from_secs(4),
             folder: folder.path().to_owned(),
         };
         let outcome = run(&config).await.unwrap();
-        assert_eq!(outcome.broken, Vec::<String>::new(), "{:?}", outcome.faults);
+        assert_eq!(
+            outcome.violations,
+            Vec::<String>::new(),
+            "{:?}",
+            outcome.faults
+        );
         assert!(outcome.turns > 0, "{outcome:?}");
     }
 }
--- a/crates/gradedyke-client/src/lib.rs
+++ b/crates/gradedyke-client/src/lib.rs
@@ -135,7 +135,7 @@
     /// # Errors
     ///
     /// Any [`Error`]; a retry with the same `request` is safe.
-    pub async fn open(
+    pub async fn open_program(
         &self,
         entry: SocketAddr,
         agent: &str,
@@ -161,7 +161,12 @@
     /// # Errors
     ///
     /// Any [`Error`]; a retry is safe.
-    pub async fn program(&self, entry: SocketAddr, id: &str, what: &str) -> Result<Value, Error> {
+    pub async fn program_action(
+        &self,
+        entry: SocketAddr,
+        id: &str,
+        what: &str,
+    ) -> Result<Value, Error> {
         let method = match what {
             "end" | "cancel" => Method::POST,
             _ => Method::GET,
@@ -213,7 +218,7 @@
     /// # Errors
     ///
     /// Any [`Error`]; a retry is safe.
-    pub async fn fetch(
+    pub async fn fetch_response(
         &self,
         entry: SocketAddr,
         program: &str,
@@ -250,7 +255,7 @@
     /// # Errors
     ///
     /// Any [`Error`]; a retry with the same request ID is safe and returns the same response.
-    pub async fn service(
+    pub async fn call_service(
         &self,
         entry: SocketAddr,
         program: &str,
@@ -376,7 +381,7 @@
     /// # Errors
     ///
     /// Returns an error if the stream was interrupted or the call failed.
-    pub async fn rest(mut self) -> Result<String, Error> {
+    pub async fn read_to_end(mut self) -> Result<String, Error> {
         while self.next().await?.is_some() {}
         Ok(self.text)
     }
--- a/crates/gradedyke-load/src/memory.rs
+++ b/crates/gradedyke-load/src/memory.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 
 use gradedyke_client::{Caller, Options};
-use gradedyke_world::{KESTREL, chat, user};
+use gradedyke_world::{KESTREL_KEY, chat_body, user_message};
 use serde_json::{Value, json};
 
-use crate::overhead::{apply, instance, world};
+use crate::overhead::{apply, instance, start_deployment};
 use crate::server::Server;
 
 /// Longest time for one call.
@@ -23,20 +23,20 @@
 /// then what an idle instance uses.
 pub async fn run(short: bool) -> eyre::Result<Value> {
     let folder = tempfile::tempdir()?;
-    let world = world().await?;
-    let mut settings = instance(1, world.platform_address, 1, 5_000);
+    let deployment = start_deployment().await?;
+    let mut settings = instance(1, deployment.platform_address, 1, 5_000);
     // Journal on disk, so that the memory is the owner's.
     settings["data_folder"] = json!(folder.path().join("data"));
     let mut server = Server::start(&settings, folder.path())?;
-    apply(&world).await?;
+    apply(&deployment).await?;
     server.ready()?;
-    let calls = world.platform.calls().values().sum::<u64>();
+    let calls = deployment.platform.calls_by_path().values().sum::<u64>();
     let before = server.cpu()?;
     tokio::time::sleep(IDLE).await;
     let idle_cpu = (server.cpu()? - before) / IDLE.as_secs_f64();
-    let idle_calls = world.platform.calls().values().sum::<u64>() - calls;
+    let idle_calls = deployment.platform.calls_by_path().values().sum::<u64>() - calls;
     let empty = server.memory()?;
-    let caller = Caller::new(KESTREL, TIME);
+    let caller = Caller::new(KESTREL_KEY, TIME);
     let sizes: &[usize] = if short {
         &[1_000]
     } else {
@@ -71,7 +71,9 @@
     for part in numbers.chunks(SIDE_BY_SIDE) {
         let opening = part.iter().map(|number| async move {
             let opened = format!("memory-{number}");
-            caller.open(entry, "minutes", None, None, &opened).await
+            caller
+                .open_program(entry, "minutes", None, None, &opened)
+                .await
         });
         for opened in futures_util::future::join_all(opening).await {
             opened?;
@@ -81,7 +83,7 @@
 }
 
 async fn history(caller: &Caller, server: &Server, messages: usize) -> eyre::Result<Value> {
-    let program = caller.open(server.caller, "minutes", None, None, "history");
+    let program = caller.open_program(server.caller, "minutes", None, None, "history");
     let program = program.await?;
     let before = server.memory()?;
     let text = "word ".repeat(MESSAGE_BYTES / 5);
@@ -90,7 +92,7 @@
             append: true,
             ..Options::request(number.to_string())
         };
-        let body = chat(&[user(&text)]);
+        let body = chat_body(&[user_message(&text)]);
         caller.chat(server.caller, &program, &body, options).await?;
     }
     let grown = server.memory()?.saturating_sub(before);
--- a/crates/gradedyke-load/src/overhead.rs
+++ b/crates/gradedyke-load/src/overhead.rs
@@ -9,7 +9,9 @@
 use gradedyke_base::settings::tree::hash_key;
 use gradedyke_client::{Caller, Options};
 use gradedyke_standin::engine;
-use gradedyke_world::{Config, KESTREL, OPERATOR, World, chat, loopback, user};
+use gradedyke_world::{
+    Config, Deployment, KESTREL_KEY, OPERATOR_KEY, chat_body, loopback_address, user_message,
+};
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
 
@@ -31,28 +33,28 @@
         "deployment": "load",
         "data_centre": "demo-1",
         "roles": ["entry", "owner", "keeper", "admin"],
-        "listen": { "caller": loopback(), "peer": loopback(), "admin": loopback() },
+        "listen": { "caller": loopback_address(), "peer": loopback_address(), "admin": loopback_address() },
         "platform": { "key_value": [platform] },
         "copies": copies,
         "lease_ms": lease_ms,
-        "operator_hash": hash_key(OPERATOR),
+        "operator_hash": hash_key(OPERATOR_KEY),
     })
 }
 
-/// Puts a world's tree in force without an instance of its own.
-pub async fn apply(world: &World) -> eyre::Result<()> {
+/// Puts a deployment's settings tree in force without an instance of its own.
+pub async fn apply(deployment: &Deployment) -> eyre::Result<()> {
     let kv = gradedyke_platform::etcd::Etcd::new(gradedyke_platform::etcd::Config {
-        addresses: vec![world.platform_address],
+        addresses: vec![deployment.platform_address],
         timeout: TIME,
     });
-    let tree = gradedyke_base::settings::check::read("load", &world.tree.to_string());
+    let tree = gradedyke_base::settings::check::read("load", &deployment.tree.to_string());
     let tree = tree.map_err(|e| eyre::eyre!("{e:?}"))?;
     gradedyke::current::apply(&kv, tree, 0).await?;
     Ok(())
 }
 
 /// Stand-ins for measurements: engines that cost as little as they can.
-pub async fn world() -> eyre::Result<World> {
+pub async fn start_deployment() -> eyre::Result<Deployment> {
     let engine = engine::Config {
         batch: 4_096,
         cache_tokens: u64::MAX / 2,
@@ -64,9 +66,9 @@
         defaults: json!({ "max_tokens": 4, "budget_tokens": 100_000_000 }),
         ..Config::default()
     };
-    let mut world = World::surroundings(config).await?;
-    world.tree["accounts"]["kestrel"]["concurrent"] = json!(100_000);
-    Ok(world)
+    let mut deployment = Deployment::start_stand_ins(config).await?;
+    deployment.tree["accounts"]["kestrel"]["concurrent"] = json!(100_000);
+    Ok(deployment)
 }
 
 /// Latencies of the calls of one run, and how long it took.
@@ -131,7 +133,7 @@
     engine: SocketAddr,
     name: String,
 ) -> eyre::Result<()> {
-    let mut body = chat(&[user("Draft.")]);
+    let mut body = chat_body(&[user_message("Draft.")]);
     body["max_tokens"] = json!(4);
     let body = gradedyke_http::body::full(body.to_string());
     let path = "/v1/chat/completions";
@@ -157,17 +159,24 @@
     let request = gradedyke_base::id::Request::parse(&opened)?;
     let program = gradedyke_base::id::Program::from_request(&account, &request).to_string();
     if number.is_multiple_of(TURNS) {
-        caller.open(entry, "minutes", None, None, &opened).await?;
+        caller
+            .open_program(entry, "minutes", None, None, &opened)
+            .await?;
     }
     let options = Options {
         append: true,
         ..Options::request(number.to_string())
     };
     caller
-        .chat(entry, &program, &chat(&[user("Draft.")]), options)
+        .chat(
+            entry,
+            &program,
+            &chat_body(&[user_message("Draft.")]),
+            options,
+        )
         .await?;
     if number % TURNS == TURNS - 1 {
-        caller.program(entry, &program, "end").await?;
+        caller.program_action(entry, &program, "end").await?;
     }
     Ok(())
 }
@@ -176,14 +185,14 @@
 pub async fn run(short: bool) -> eyre::Result<Value> {
     let time = Duration::from_secs(if short { 1 } else { 6 });
     let folder = tempfile::tempdir()?;
-    let world = world().await?;
+    let deployment = start_deployment().await?;
     let mut server = Server::start(
-        &instance(1, world.platform_address, 1, 5_000),
+        &instance(1, deployment.platform_address, 1, 5_000),
         folder.path(),
     )?;
-    apply(&world).await?;
+    apply(&deployment).await?;
     server.ready()?;
-    let engine = world.tree["backends"]["engine-1"]["address"].as_str();
+    let engine = deployment.tree["backends"]["engine-1"]["address"].as_str();
     let engine: SocketAddr = engine.ok_or_eyre("no engine")?.parse()?;
     let mut rows = Vec::new();
     let mut full = 0.0_f64;
@@ -196,7 +205,7 @@
     eprintln!("half load");
     let half = compare(&server, engine, 64, time, full / 2.0).await?;
     eprintln!("open streams");
-    let bytes = bytes_per_stream(&server, &world).await?;
+    let bytes = bytes_per_stream(&server, &deployment).await?;
     Ok(json!({
         "experiment": "overhead",
         "turns_per_program": TURNS,
@@ -224,7 +233,7 @@
         direct(client.clone(), engine, format!("{name}-{worker}-{number}"))
     });
     let straight = straight.await?;
-    let caller = Caller::new(KESTREL, TIME);
+    let caller = Caller::new(KESTREL_KEY, TIME);
     let entry = server.caller;
     let before = server.cpu()?;
     let relayed = load(workers, time, rate, move |worker, number| {
@@ -251,28 +260,28 @@
 }
 
 /// Memory of the instance for each stream that is open and waits for tokens.
-async fn bytes_per_stream(server: &Server, world: &World) -> eyre::Result<u64> {
-    let caller = Caller::new(KESTREL, TIME);
+async fn bytes_per_stream(server: &Server, deployment: &Deployment) -> eyre::Result<u64> {
+    let caller = Caller::new(KESTREL_KEY, TIME);
     let mut programs = Vec::new();
     for number in 0..OPEN {
         let opened = format!("open-stream-{number}");
-        let opening = caller.open(server.caller, "minutes", None, None, &opened);
+        let opening = caller.open_program(server.caller, "minutes", None, None, &opened);
         programs.push(opening.await?);
     }
     let before = server.memory()?;
-    world.engines[0].hold_at(Some(1));
+    deployment.engines[0].stall_at(Some(1));
     let mut streams = Vec::new();
     for program in &programs {
-        let body = chat(&[user("Draft.")]);
+        let body = chat_body(&[user_message("Draft.")]);
         let opening = caller.stream(server.caller, program, &body, Options::request("held"));
         let mut stream = opening.await?;
         stream.next().await?;
         streams.push(stream);
     }
     let during = server.memory()?;
-    world.engines[0].hold_at(None);
+    deployment.engines[0].stall_at(None);
     for stream in streams {
-        stream.rest().await?;
+        stream.read_to_end().await?;
     }
     Ok(during.saturating_sub(before) / OPEN as u64)
 }
--- a/crates/gradedyke-load/src/relay.rs
+++ b/crates/gradedyke-load/src/relay.rs
@@ -13,7 +13,7 @@
 use gradedyke::wire::{Frame, Reader};
 use gradedyke_http::server::{Config, Handler, Protocol, Server};
 use gradedyke_http::{Body, Client, body, client};
-use gradedyke_world::loopback;
+use gradedyke_world::loopback_address;
 use http::{Method, Request, Response};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
@@ -61,7 +61,7 @@
         protocol: Protocol::Both,
         ..Config::default()
     };
-    let server = Server::bind(loopback(), config).await?;
+    let server = Server::bind(loopback_address(), config).await?;
     let address = server.address()?;
     let stop = CancellationToken::new();
     tokio::spawn(server.serve(Arc::new(Frames { tokens }), stop.clone()));
@@ -111,7 +111,7 @@
         },
     )?;
     let server = jsonrpsee::server::Server::builder()
-        .build(loopback())
+        .build(loopback_address())
         .await?;
     let url = format!("ws://{}", server.local_addr()?);
     let handle = server.start(module);
--- a/crates/gradedyke-load/src/takeover.rs
+++ b/crates/gradedyke-load/src/takeover.rs
@@ -4,11 +4,11 @@
 
 use eyre::OptionExt;
 use gradedyke_client::{Caller, Options};
-use gradedyke_world::{KESTREL, chat, user};
+use gradedyke_world::{KESTREL_KEY, chat_body, user_message};
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
 
-use crate::overhead::{apply, instance, world};
+use crate::overhead::{apply, instance, start_deployment};
 use crate::server::Server;
 
 /// Longest time for one call.
@@ -46,23 +46,25 @@
 
 async fn once(kill: usize) -> eyre::Result<Vec<(u64, bool)>> {
     let folder = tempfile::tempdir()?;
-    let world = world().await?;
+    let deployment = start_deployment().await?;
     let start = |number| {
-        let settings = instance(number, world.platform_address, 3, LEASE_MS);
+        let settings = instance(number, deployment.platform_address, 3, LEASE_MS);
         Server::start(&settings, folder.path())
     };
     let mut servers = (1..=3).map(start).collect::<eyre::Result<Vec<_>>>()?;
-    apply(&world).await?;
+    apply(&deployment).await?;
     for server in &mut servers {
         server.ready()?;
     }
-    let caller = Caller::new(KESTREL, TIME);
+    let caller = Caller::new(KESTREL_KEY, TIME);
     let entry = servers[0].caller;
     let mut programs = Vec::new();
     for number in 0..PROGRAMS {
         let opened = format!("{kill}-{number}");
-        let program = caller.open(entry, "minutes", None, None, &opened).await?;
-        let body = chat(&[user("Draft.")]);
+        let program = caller
+            .open_program(entry, "minutes", None, None, &opened)
+            .await?;
+        let body = chat_body(&[user_message("Draft.")]);
         caller
             .chat(entry, &program, &body, Options::request("first"))
             .await?;
@@ -77,7 +79,7 @@
                 append: true,
                 ..Options::request("next")
             };
-            let body = chat(&[user("Go on.")]);
+            let body = chat_body(&[user_message("Go on.")]);
             let call = caller.chat(entry, &program, &body, options);
             let served = call.await.is_ok();
             let millis = u64::try_from(killed.elapsed().as_millis()).unwrap_or(u64::MAX);
--- a/crates/gradedyke-platform/tests/contract.rs
+++ b/crates/gradedyke-platform/tests/contract.rs
@@ -10,7 +10,7 @@
 use gradedyke_platform::instances::{Consul, List, State};
 use gradedyke_platform::kv::{self, Error, Event, KeyValue, MAX_VALUE_BYTES, Outcome, Swap};
 use gradedyke_platform::weights::{self, WeightStore};
-use gradedyke_standin::platform::{Listener, Platform};
+use gradedyke_standin::platform::{Platform, PlatformHandler};
 use serde_json::json;
 use tokio_util::sync::CancellationToken;
 
@@ -19,12 +19,10 @@
 
 async fn start() -> (Arc<Platform>, SocketAddr) {
     let platform = Platform::start();
-    let listener = Arc::new(Listener(platform.clone()));
+    let handler = Arc::new(PlatformHandler(platform.clone()));
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let stop = CancellationToken::new();
-    let address = gradedyke_standin::serve(listener, any, &stop)
-        .await
-        .unwrap();
+    let address = gradedyke_standin::serve(handler, any, &stop).await.unwrap();
     (platform, address)
 }
 
@@ -106,7 +104,7 @@
 async fn unknown_outcome_is_resolved_by_reading_the_key() {
     let (platform, address) = start().await;
     let kv = etcd(address, TIMEOUT);
-    platform.faults.lose.store(1, Ordering::Relaxed);
+    platform.faults.replies_to_lose.store(1, Ordering::Relaxed);
     let unknown = kv.swap(put("a", 0, "mark-1")).await;
     assert!(
         matches!(unknown, Err(Error::OutcomeUnknown(_))),
@@ -115,14 +113,14 @@
     let written = kv.get("a").await.unwrap().unwrap();
     assert_eq!(written.value, b"mark-1");
 
-    platform.faults.lose.store(1, Ordering::Relaxed);
+    platform.faults.replies_to_lose.store(1, Ordering::Relaxed);
     let settled = kv::swap_and_verify(&kv, put("a", written.revision, "mark-2")).await;
     let found = kv.get("a").await.unwrap().unwrap();
     assert_eq!(expect_done(settled), found.revision);
     assert_eq!(found.value, b"mark-2");
 
     // The value of another write is a conflict.
-    platform.faults.lose.store(0, Ordering::Relaxed);
+    platform.faults.replies_to_lose.store(0, Ordering::Relaxed);
     let late = kv::swap_and_verify(&kv, put("a", written.revision, "mark-3")).await;
     assert!(matches!(late, Ok(Outcome::Conflict(Some(_)))), "{late:?}");
 }
@@ -146,7 +144,7 @@
 async fn outcome_is_unknown_after_a_timeout() {
     let (platform, address) = start().await;
     let kv = etcd(address, Duration::from_millis(20));
-    platform.faults.slow_ms.store(60_000, Ordering::Relaxed);
+    platform.faults.delay_ms.store(60_000, Ordering::Relaxed);
     let slow = kv.swap(put("a", 0, "one")).await;
     assert!(matches!(slow, Err(Error::OutcomeUnknown(_))), "{slow:?}");
 }
@@ -164,7 +162,7 @@
     kv.renew_lease(lease).await.unwrap();
     let mut watch = kv.watch("a", 1).await.unwrap();
     assert!(matches!(&watch.next().await.unwrap()[0], Event::Put(e) if e.value == b"one"));
-    platform.lapse();
+    platform.expire_all_leases();
     let deleted = watch.next().await.unwrap();
     assert!(matches!(&deleted[0], Event::Delete { key, .. } if key == "a"));
     assert_eq!(kv.renew_lease(lease).await, Err(Error::LeaseExpired));
@@ -229,7 +227,7 @@
         kv.swap(large).await,
         Err(Error::TooLarge(MAX_VALUE_BYTES + 1))
     );
-    assert!(platform.calls().is_empty());
+    assert!(platform.calls_by_path().is_empty());
     let largest = Swap {
         value: Some(vec![0; MAX_VALUE_BYTES]),
         ..put("a", 0, "")
@@ -256,7 +254,7 @@
     ];
     let rows = cases.iter().enumerate();
     let rows = rows.map(|(i, (state, status, _))| row(&i.to_string(), state, status));
-    platform.list("backends", rows.collect());
+    platform.set_instances("backends", rows.collect());
     let list = Consul::new(address, TIMEOUT)
         .list("backends")
         .await
@@ -277,7 +275,7 @@
 #[tokio::test]
 async fn weight_store_returns_sizes() {
     let (platform, address) = start().await;
-    platform.weigh("m", "1", 42);
+    platform.add_weights("m", "1", 42);
     let store = weights::HttpStore::new(address, TIMEOUT);
     assert_eq!(store.stat("m", "1").await.unwrap().bytes, 42);
     let missing = store.stat("m", "2").await;
--- a/crates/gradedyke-standin/src/engine.rs
+++ b/crates/gradedyke-standin/src/engine.rs
@@ -62,7 +62,7 @@
 
 /// A call and its progress.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Run {
+pub struct Record {
     /// ID of the attempt, from the `x-request-id` header.
     pub attempt: String,
     /// Number of tokens in the prompt.
@@ -74,7 +74,8 @@
     /// Text generated so far.
     pub text: String,
     /// Whether the answer was generated completely.
-    pub whole: bool,
+    #[serde(rename = "whole")]
+    pub is_complete: bool,
 }
 
 /// The engine stand-in.
@@ -139,7 +140,7 @@
     }
 
     /// All calls received so far.
-    pub fn runs(&self) -> Vec<Run> {
+    pub fn runs(&self) -> Vec<Record> {
         self.lock()
             .attempts
             .values()
@@ -158,13 +159,13 @@
     }
 
     /// Number of load reports returned so far.
-    pub fn reports(&self) -> u64 {
+    pub fn load_report_count(&self) -> u64 {
         self.lock().load_report_count
     }
 
     /// Waits until `condition` holds. It is checked again after each step and most control
     /// requests.
-    pub async fn until(&self, condition: impl Fn(&Self) -> bool) {
+    pub async fn wait_until(&self, condition: impl Fn(&Self) -> bool) {
         let mut changed = self.changed.subscribe();
         loop {
             changed.borrow_and_update();
@@ -177,13 +178,13 @@
     }
 
     /// Stalls each call once it has generated this many tokens; `None` lets all calls continue.
-    pub fn hold_at(&self, tokens: Option<u64>) {
+    pub fn stall_at(&self, tokens: Option<u64>) {
         self.lock().hold_at = tokens;
         self.work.notify_one();
     }
 
     /// Sets the `leaving` flag of the load reports.
-    pub fn leave(&self, leaving: bool) {
+    pub fn set_leaving(&self, leaving: bool) {
         self.lock().leaving = leaving;
     }
 
@@ -221,13 +222,13 @@
         }
         state.clock += 1;
         let entry = Attempt {
-            run: Run {
+            run: Record {
                 attempt: attempt.to_owned(),
                 prompt_tokens: counts.iter().sum(),
                 cached_tokens: 0,
                 completion_tokens: 0,
                 text: String::new(),
-                whole: false,
+                is_complete: false,
             },
             model: request["model"].as_str().unwrap_or_default().to_owned(),
             priority: request["priority"].as_i64().unwrap_or(0),
@@ -300,7 +301,7 @@
             let choice = json!([{ "index": 0, "delta": { "content": text } }]);
             chunks.push_str(&chunk(choice, Value::Null));
         }
-        if entry.run.whole {
+        if entry.run.is_complete {
             let choice = json!([{ "index": 0, "delta": {}, "finish_reason": "stop" }]);
             chunks.push_str(&chunk(choice, Value::Null));
             let run = &entry.run;
@@ -418,7 +419,7 @@
             }
             "/control/pins" => self.pin(&json),
             "/hold" => {
-                self.hold_at(json.as_u64());
+                self.stall_at(json.as_u64());
                 reply::json(StatusCode::OK, &json)
             }
             "/control/orders" => self.order(&json),
@@ -438,10 +439,10 @@
 
 /// HTTP handler of the engine.
 #[derive(Debug)]
-pub struct Listener(pub Arc<Engine>);
+pub struct EngineHandler(pub Arc<Engine>);
 
 #[async_trait]
-impl Handler for Listener {
+impl Handler for EngineHandler {
     async fn handle(&self, request: Request<Incoming>) -> Response<Body> {
         let path = request.uri().path().to_owned();
         let query = request.uri().query().and_then(|q| q.split_once('='));
--- a/crates/gradedyke-standin/src/engine/batch.rs
+++ b/crates/gradedyke-standin/src/engine/batch.rs
@@ -6,7 +6,7 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-use super::{Config, Run};
+use super::{Config, Record};
 
 #[derive(Debug, Default)]
 pub(super) struct State {
@@ -45,7 +45,7 @@
 
 #[derive(Debug)]
 pub(super) struct Attempt {
-    pub(super) run: Run,
+    pub(super) run: Record,
     pub(super) model: String,
     pub(super) priority: i64,
     /// Value of the logical clock at arrival.
@@ -197,7 +197,7 @@
             self.run.completion_tokens += 1;
         }
         self.ended = generated + 1 >= self.words.len();
-        self.run.whole = self.ended;
+        self.run.is_complete = self.ended;
         self.progress.send_modify(|p| *p += 1);
         !self.ended
     }
--- a/crates/gradedyke-standin/src/lib.rs
+++ b/crates/gradedyke-standin/src/lib.rs
@@ -43,12 +43,14 @@
 
 /// Creates a stand-in of this kind: `platform`, `engine` or `service`. Returns `None` for any
 /// other name.
-pub fn handler(kind: &str) -> Option<Arc<dyn Handler>> {
+pub fn create_handler(kind: &str) -> Option<Arc<dyn Handler>> {
     match kind {
-        "platform" => Some(Arc::new(platform::Listener(platform::Platform::start()))),
+        "platform" => Some(Arc::new(platform::PlatformHandler(
+            platform::Platform::start(),
+        ))),
         "engine" => {
             let engine = engine::Engine::start(engine::Config::default());
-            Some(Arc::new(engine::Listener(engine)))
+            Some(Arc::new(engine::EngineHandler(engine)))
         }
         "service" => Some(Arc::new(service::Service::default())),
         _ => None,
--- a/crates/gradedyke-standin/src/platform.rs
+++ b/crates/gradedyke-standin/src/platform.rs
@@ -30,9 +30,9 @@
     /// Whether every call is refused and every watch is aborted.
     pub down: AtomicBool,
     /// Delay of every response, in milliseconds.
-    pub slow_ms: AtomicU64,
+    pub delay_ms: AtomicU64,
     /// Number of further writes that are executed but whose response is aborted.
-    pub lose: AtomicU32,
+    pub replies_to_lose: AtomicU32,
 }
 
 /// The platform stand-in.
@@ -158,7 +158,7 @@
     }
 
     /// Expires all leases at once, as if their holders had been paused.
-    pub fn lapse(&self) {
+    pub fn expire_all_leases(&self) {
         let mut store = lock(&self.store);
         let ids: Vec<_> = store.leases.keys().copied().collect();
         ids.into_iter().for_each(|id| {
@@ -175,17 +175,17 @@
     }
 
     /// Number of calls received so far, by path.
-    pub fn calls(&self) -> BTreeMap<String, u64> {
+    pub fn calls_by_path(&self) -> BTreeMap<String, u64> {
         lock(&self.calls).clone()
     }
 
     /// Sets the instance list of a service, in the format of Consul's health API.
-    pub fn list(&self, service: &str, rows: Vec<Value>) {
+    pub fn set_instances(&self, service: &str, rows: Vec<Value>) {
         lock(&self.instances).insert(service.to_owned(), rows);
     }
 
     /// Adds the weights of a model version, of this size in bytes, to the weight store.
-    pub fn weigh(&self, model: &str, version: &str, bytes: u64) {
+    pub fn add_weights(&self, model: &str, version: &str, bytes: u64) {
         lock(&self.weights).insert(format!("{model}/{version}"), bytes);
     }
 
@@ -297,7 +297,7 @@
     /// Whether the reply to a write is to be lost; counts [`Faults::lose`] down.
     fn take_lost_reply(&self) -> bool {
         let decrement = |count: u32| count.checked_sub(1);
-        let lose = &self.faults.lose;
+        let lose = &self.faults.replies_to_lose;
         lose.fetch_update(Ordering::Relaxed, Ordering::Relaxed, decrement)
             .is_ok()
     }
@@ -334,15 +334,15 @@
 
 /// HTTP handler of the platform.
 #[derive(Debug)]
-pub struct Listener(pub Arc<Platform>);
+pub struct PlatformHandler(pub Arc<Platform>);
 
 #[async_trait]
-impl Handler for Listener {
+impl Handler for PlatformHandler {
     async fn handle(&self, request: Request<Incoming>) -> Response<Body> {
         let platform = &self.0;
         let path = request.uri().path().to_owned();
         *lock(&platform.calls).entry(path.clone()).or_default() += 1;
-        let delay_ms = platform.faults.slow_ms.load(Ordering::Relaxed);
+        let delay_ms = platform.faults.delay_ms.load(Ordering::Relaxed);
         if delay_ms > 0 {
             tokio::time::sleep(Duration::from_millis(delay_ms)).await;
         }
--- a/crates/gradedyke-standin/src/service.rs
+++ b/crates/gradedyke-standin/src/service.rs
@@ -16,7 +16,7 @@
 
 /// A call that ran.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Run {
+pub struct Record {
     /// Idempotency key; empty if there was none.
     pub key: String,
     /// Request path.
@@ -31,7 +31,8 @@
 pub enum Mode {
     /// Runs the call and responds.
     #[default]
-    Well,
+    #[serde(rename = "well")]
+    Normal,
     /// Runs the call and aborts the response.
     LoseAnswer,
     /// Runs the call and never responds.
@@ -52,7 +53,7 @@
 #[derive(Debug, Default)]
 struct State {
     mode: Mode,
-    runs: Vec<Run>,
+    runs: Vec<Record>,
     /// Response body by idempotency key.
     responses: BTreeMap<String, String>,
 }
@@ -68,17 +69,17 @@
     }
 
     /// Sets the mode for calls from now on.
-    pub fn set(&self, mode: Mode) {
+    pub fn set_mode(&self, mode: Mode) {
         self.lock().mode = mode;
     }
 
     /// All calls that ran so far.
-    pub fn runs(&self) -> Vec<Run> {
+    pub fn runs(&self) -> Vec<Record> {
         self.lock().runs.clone()
     }
 
     /// Waits until `condition` holds. It is checked again after each call that runs.
-    pub async fn until(&self, condition: impl Fn(&Self) -> bool) {
+    pub async fn wait_until(&self, condition: impl Fn(&Self) -> bool) {
         let mut changed = self.changed.subscribe();
         loop {
             changed.borrow_and_update();
@@ -91,7 +92,7 @@
     }
 
     /// Records a call as run and returns its response body.
-    fn execute(&self, run: Run) -> String {
+    fn execute(&self, run: Record) -> String {
         let mut state = self.lock();
         state.runs.push(run.clone());
         let response = json!({ "run": run.path, "echo": run.body }).to_string();
@@ -137,7 +138,7 @@
         if path == "/mode" {
             return match serde_json::from_str(&body) {
                 Ok(mode) => {
-                    self.set(mode);
+                    self.set_mode(mode);
                     reply::json(StatusCode::OK, &mode)
                 }
                 Err(e) => reply::with_bytes(StatusCode::BAD_REQUEST, "text/plain", e.to_string()),
@@ -148,12 +149,12 @@
             let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
             return reply::with_bytes(status, "text/plain", "failed on request of a test");
         }
-        let response = self.execute(Run { key, path, body });
+        let response = self.execute(Record { key, path, body });
         match mode {
             Mode::LoseAnswer => return aborted_response(),
             Mode::Hang => std::future::pending().await,
             Mode::Late(ms) => tokio::time::sleep(Duration::from_millis(ms)).await,
-            Mode::Well | Mode::Fail(_) => {}
+            Mode::Normal | Mode::Fail(_) => {}
         }
         reply::with_bytes(StatusCode::OK, "application/json", response)
     }
--- a/crates/gradedyke-world/src/lib.rs
+++ b/crates/gradedyke-world/src/lib.rs
@@ -20,17 +20,17 @@
 use tokio_util::sync::CancellationToken;
 
 /// API key of the operator.
-pub const OPERATOR: &str = "demo-operator";
+pub const OPERATOR_KEY: &str = "demo-operator";
 /// API key of the client account Kestrel Minutes.
-pub const KESTREL: &str = "demo-kestrel";
+pub const KESTREL_KEY: &str = "demo-kestrel";
 /// API key of the client account Jordan.
-pub const JORDAN: &str = "demo-jordan";
+pub const JORDAN_KEY: &str = "demo-jordan";
 /// The model that the programs of both client accounts call.
-pub const MODEL: &str = "demo-7b";
+pub const MODEL_NAME: &str = "demo-7b";
 /// Timeout of a caller's request.
 const CALL_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Configuration of a [`World`].
+/// Configuration of a [`Deployment`].
 #[derive(Clone, Debug)]
 pub struct Config {
     /// Number of instances, each with every role.
@@ -58,7 +58,7 @@
 }
 
 /// A running deployment: stand-in servers and instances.
-pub struct World {
+pub struct Deployment {
     /// The stand-in platform.
     pub platform: Arc<Platform>,
     /// The address of the platform.
@@ -71,37 +71,37 @@
     pub records: Service,
     /// The stand-in service `orders`, used by Jordan.
     pub orders: Service,
-    /// The settings tree that [`World::apply`] applies.
+    /// The settings tree that [`Deployment::apply_settings`] applies.
     pub tree: Value,
     config: Config,
     stop: CancellationToken,
 }
 
 /// Returns the IPv4 loopback address with port 0, so that a free port is selected.
-pub fn loopback() -> SocketAddr {
+pub fn loopback_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-impl World {
+impl Deployment {
     /// Starts only the stand-in servers, and builds a settings tree that lists them.
     ///
     /// # Errors
     ///
     /// Fails if a listener can't be bound.
-    pub async fn surroundings(config: Config) -> eyre::Result<Self> {
+    pub async fn start_stand_ins(config: Config) -> eyre::Result<Self> {
         let stop = CancellationToken::new();
         let platform = Platform::start();
-        let listener = Arc::new(platform::Listener(platform.clone()));
-        let platform_address = gradedyke_standin::serve(listener, loopback(), &stop).await?;
+        let handler = Arc::new(platform::PlatformHandler(platform.clone()));
+        let platform_address = gradedyke_standin::serve(handler, loopback_address(), &stop).await?;
         let mut engines = Vec::new();
         let mut backends = BTreeMap::new();
         for (number, settings) in config.engines.iter().enumerate() {
             let engine = Engine::start(settings.clone());
-            let listener = Arc::new(engine::Listener(engine.clone()));
-            let address = gradedyke_standin::serve(listener, loopback(), &stop).await?;
+            let handler = Arc::new(engine::EngineHandler(engine.clone()));
+            let address = gradedyke_standin::serve(handler, loopback_address(), &stop).await?;
             let settings = json!({
                 "kind": "engine", "address": address, "data_centre": data_centre(number),
-                "models": [MODEL], "checks_fencing": settings.checks_fencing,
+                "models": [MODEL_NAME], "checks_fencing": settings.checks_fencing,
             });
             backends.insert(format!("engine-{}", number + 1), settings);
             engines.push(engine);
@@ -109,8 +109,8 @@
         let records = Service::default();
         let orders = Service::default();
         for (name, service) in [("records", &records), ("orders", &orders)] {
-            let listener = Arc::new(service.clone());
-            let address = gradedyke_standin::serve(listener, loopback(), &stop).await?;
+            let handler = Arc::new(service.clone());
+            let address = gradedyke_standin::serve(handler, loopback_address(), &stop).await?;
             let settings = json!({
                 "kind": "service", "address": address, "data_centre": data_centre(0),
                 "service": name, "outcome_path": "/outcomes/{key}",
@@ -137,15 +137,15 @@
     /// Fails if a listener can't be bound or the settings can't be applied.
     pub async fn start(config: Config) -> eyre::Result<Self> {
         let instances = config.instances;
-        let mut world = Self::surroundings(config).await?;
+        let mut deployment = Self::start_stand_ins(config).await?;
         for _ in 0..instances {
-            world.add_instance().await?;
+            deployment.add_instance().await?;
         }
-        world.apply().await?;
-        for process in world.processes.iter().flatten() {
+        deployment.apply_settings().await?;
+        for process in deployment.processes.iter().flatten() {
             process.wait_ready().await;
         }
-        Ok(world)
+        Ok(deployment)
     }
 
     /// Starts another instance.
@@ -172,12 +172,12 @@
             "deployment": "demo",
             "data_centre": data_centre(number),
             "roles": ["entry", "owner", "keeper", "admin"],
-            "listen": { "caller": loopback(), "peer": loopback(), "admin": loopback() },
+            "listen": { "caller": loopback_address(), "peer": loopback_address(), "admin": loopback_address() },
             "platform": { "key_value": [self.platform_address] },
             "copies": self.config.instances.clamp(1, 3),
             "lease_ms": self.config.lease_ms,
             "limits": self.config.limits,
-            "operator_hash": hash_key(OPERATOR),
+            "operator_hash": hash_key(OPERATOR_KEY),
         });
         Ok(Instance::read("world", &settings.to_string())?)
     }
@@ -187,7 +187,7 @@
     /// # Errors
     ///
     /// Fails if the tree is invalid or the platform rejects it.
-    pub async fn apply(&self) -> eyre::Result<u64> {
+    pub async fn apply_settings(&self) -> eyre::Result<u64> {
         let process = self.processes.iter().flatten().next();
         let kv = &process.ok_or_eyre("no instance is running")?.kernel().kv;
         let tree = check::read("world", &self.tree.to_string());
@@ -202,26 +202,26 @@
     }
 
     /// Returns the caller address of running instance `number`, modulo their number.
-    pub fn entry(&self, number: usize) -> SocketAddr {
+    pub fn entry_address(&self, number: usize) -> SocketAddr {
         let running: Vec<_> = self.processes.iter().flatten().collect();
         let process = running[number % running.len()];
-        process.addresses().caller.unwrap_or_else(loopback)
+        process.addresses().caller.unwrap_or_else(loopback_address)
     }
 
     /// Creates a caller of the client account Kestrel Minutes.
-    pub fn kestrel(&self) -> Caller {
-        Caller::new(KESTREL, CALL_TIMEOUT)
+    pub fn kestrel_caller(&self) -> Caller {
+        Caller::new(KESTREL_KEY, CALL_TIMEOUT)
     }
 
     /// Creates a caller of the client account Jordan.
-    pub fn jordan(&self) -> Caller {
-        Caller::new(JORDAN, CALL_TIMEOUT)
+    pub fn jordan_caller(&self) -> Caller {
+        Caller::new(JORDAN_KEY, CALL_TIMEOUT)
     }
 
     /// Waits until no engine has pins of any program.
-    pub async fn released(&self) {
+    pub async fn wait_until_released(&self) {
         for engine in &self.engines {
-            engine.until(|e| e.pins().is_empty()).await;
+            engine.wait_until(|e| e.pins().is_empty()).await;
         }
     }
 
@@ -246,21 +246,21 @@
 fn settings_tree(defaults: &Value, backends: &BTreeMap<String, Value>) -> Value {
     json!({
         "defaults": defaults,
-        "operators": [{ "hash": hash_key(OPERATOR) }],
+        "operators": [{ "hash": hash_key(OPERATOR_KEY) }],
         "accounts": {
             "kestrel": {
-                "keys": [{ "hash": hash_key(KESTREL) }],
+                "keys": [{ "hash": hash_key(KESTREL_KEY) }],
                 "agents": {
-                    "minutes": { "models": [MODEL], "services": ["records"] },
+                    "minutes": { "models": [MODEL_NAME], "services": ["records"] },
                     "minutes-plain": {
-                        "models": [MODEL], "policy": { "routing": "round_robin" },
+                        "models": [MODEL_NAME], "policy": { "routing": "round_robin" },
                     },
                 },
             },
             "jordan": {
-                "keys": [{ "hash": hash_key(JORDAN) }],
+                "keys": [{ "hash": hash_key(JORDAN_KEY) }],
                 "agents": {
-                    "valuation": { "models": [MODEL], "services": ["orders"] },
+                    "valuation": { "models": [MODEL_NAME], "services": ["orders"] },
                 },
             },
         },
@@ -269,17 +269,17 @@
 }
 
 /// Returns a chat message with the role `user`.
-pub fn user(content: &str) -> Value {
+pub fn user_message(content: &str) -> Value {
     json!({ "role": "user", "content": content })
 }
 
 /// Returns the body of a model call.
-pub fn chat(messages: &[Value]) -> Value {
-    json!({ "model": MODEL, "messages": messages })
+pub fn chat_body(messages: &[Value]) -> Value {
+    json!({ "model": MODEL_NAME, "messages": messages })
 }
 
 /// Returns the text of a complete response.
-pub fn text_of(response: &Value) -> String {
+pub fn response_text(response: &Value) -> String {
     let content = response["choices"][0]["message"]["content"].as_str();
     content.unwrap_or_default().to_owned()
 }
--- a/crates/gradedyke/tests/differential.rs
+++ b/crates/gradedyke/tests/differential.rs
@@ -13,7 +13,7 @@
 use gradedyke_base::id;
 use gradedyke_client::{Caller, Options};
 use gradedyke_http::{Client, client};
-use gradedyke_world::{Config, MODEL, World, chat, text_of, user};
+use gradedyke_world::{Config, Deployment, MODEL_NAME, chat_body, response_text, user_message};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use serde_json::{Value, json};
@@ -79,7 +79,7 @@
                 | Step::Whole(text, tokens)
                 | Step::Stream(text, tokens) => {
                     let attempt = format!("naive-{name}-{number}");
-                    result.history.push(user(text));
+                    result.history.push(user_message(text));
                     let (text, spent) = self.chat(&attempt, &result.history, *tokens).await;
                     let message = json!({ "role": "assistant", "content": text });
                     result.history.push(message);
@@ -99,9 +99,9 @@
         let account = id::Account::parse("naive").unwrap();
         let call = Call {
             attempt_id: attempt.to_owned(),
-            chain: Chain::from_messages(&account, MODEL, &messages),
+            chain: Chain::from_messages(&account, MODEL_NAME, &messages),
             request: serde_json::from_value(json!({
-                "model": MODEL, "messages": messages, "stream": true, "max_tokens": tokens,
+                "model": MODEL_NAME, "messages": messages, "stream": true, "max_tokens": tokens,
             }))
             .unwrap(),
             priority: 0,
@@ -138,7 +138,7 @@
 ) -> ProgramResult {
     let mut entry = entries.iter().cycle();
     let mut next_address = || *entry.next().unwrap();
-    let opening = caller.open(next_address(), "minutes", Some(100_000), None, &name);
+    let opening = caller.open_program(next_address(), "minutes", Some(100_000), None, &name);
     let program = opening.await.unwrap();
     let mut answers: Vec<String> = Vec::new();
     let mut previous: Option<(usize, Step)> = None;
@@ -155,10 +155,13 @@
         answers.push(run_step(&caller, next_address(), &program, number, &step).await);
     }
     let history = caller
-        .program(next_address(), &program, "history")
+        .program_action(next_address(), &program, "history")
+        .await
+        .unwrap();
+    let info = caller
+        .program_action(next_address(), &program, "")
         .await
         .unwrap();
-    let info = caller.program(next_address(), &program, "").await.unwrap();
     ProgramResult {
         answers,
         history: history["messages"].as_array().unwrap().clone(),
@@ -178,33 +181,36 @@
     match step {
         Step::Append(text, tokens) => {
             options.append = true;
-            let mut body = chat(&[user(text)]);
+            let mut body = chat_body(&[user_message(text)]);
             body["max_tokens"] = json!(tokens);
             let call = caller.chat(address, program, &body, options);
-            text_of(&call.await.unwrap())
+            response_text(&call.await.unwrap())
         }
         Step::Stream(text, tokens) => {
             options.append = true;
-            let mut body = chat(&[user(text)]);
+            let mut body = chat_body(&[user_message(text)]);
             body["max_tokens"] = json!(tokens);
             let stream = caller.stream(address, program, &body, options);
-            stream.await.unwrap().rest().await.unwrap()
+            stream.await.unwrap().read_to_end().await.unwrap()
         }
         Step::Whole(text, tokens) => {
-            let current = caller.program(address, program, "history").await.unwrap();
+            let current = caller
+                .program_action(address, program, "history")
+                .await
+                .unwrap();
             let mut messages = current["messages"].as_array().unwrap().clone();
             // A repeated request must send the same messages as the first time.
-            let position = messages.iter().position(|m| *m == user(text));
+            let position = messages.iter().position(|m| *m == user_message(text));
             messages.truncate(position.unwrap_or(messages.len()));
-            messages.push(user(text));
-            let mut body = chat(&messages);
+            messages.push(user_message(text));
+            let mut body = chat_body(&messages);
             body["max_tokens"] = json!(tokens);
             let call = caller.chat(address, program, &body, options);
-            text_of(&call.await.unwrap())
+            response_text(&call.await.unwrap())
         }
         Step::Service(text, repeatable) => {
             options.repeatable = Some(*repeatable);
-            let call = caller.service(address, program, "records/export", text, options);
+            let call = caller.call_service(address, program, "records/export", text, options);
             call.await.unwrap()
         }
         Step::Repeat => unreachable!("repeats are replaced by the repeated step"),
@@ -218,11 +224,13 @@
             defaults: json!({ "budget_tokens": 100_000 }),
             ..Config::default()
         };
-        let world = World::start(config).await.unwrap();
+        let deployment = Deployment::start(config).await.unwrap();
         // The reference implementation has backend servers of its own.
-        let reference_world = World::surroundings(Config::default()).await.unwrap();
+        let reference_deployment = Deployment::start_stand_ins(Config::default())
+            .await
+            .unwrap();
         let address = |name: &str| {
-            let address = reference_world.tree["backends"][name]["address"].as_str();
+            let address = reference_deployment.tree["backends"][name]["address"].as_str();
             address.unwrap().parse::<SocketAddr>().unwrap()
         };
         let client = Client::new(&client::Config::default());
@@ -241,9 +249,14 @@
             }
             // The system runs the programs concurrently.
             let running = programs.iter().map(|(name, steps)| {
-                let entries = (0..3).map(|n| world.entry(n)).collect();
+                let entries = (0..3).map(|n| deployment.entry_address(n)).collect();
                 let (name, steps) = (name.clone(), steps.clone());
-                tokio::spawn(run_program(world.kestrel(), entries, name, steps))
+                tokio::spawn(run_program(
+                    deployment.kestrel_caller(),
+                    entries,
+                    name,
+                    steps,
+                ))
             });
             let running: Vec<_> = running.collect();
             for (running, (name, steps)) in running.into_iter().zip(&programs) {
@@ -252,6 +265,6 @@
                 assert_eq!(actual, expected, "seed {seed}, program {name}: {steps:?}");
             }
         }
-        world.stop().await;
+        deployment.stop().await;
     });
 }
--- a/crates/gradedyke/tests/failures.rs
+++ b/crates/gradedyke/tests/failures.rs
@@ -6,7 +6,7 @@
 use gradedyke_client::Options;
 use gradedyke_standin::engine;
 use gradedyke_standin::service::Mode;
-use gradedyke_world::{Config, World, chat, text_of, user};
+use gradedyke_world::{Config, Deployment, chat_body, response_text, user_message};
 use serde_json::json;
 use support::{
     entry_address, kill_instance, non_owner_index, open_program, owner_index, rejection_kind,
@@ -25,29 +25,29 @@
 }
 
 /// Makes the engines pause after a number of tokens, or resume on `None`.
-fn pause_engines_after(world: &World, tokens: Option<u64>) {
-    world.engines.iter().for_each(|e| e.hold_at(tokens));
+fn pause_engines_after(deployment: &Deployment, tokens: Option<u64>) {
+    deployment.engines.iter().for_each(|e| e.stall_at(tokens));
 }
 
 /// Returns the attempts of a call that the engines have received.
-fn attempts(world: &World, program: &str, request: &str) -> Vec<engine::Run> {
+fn attempts(deployment: &Deployment, program: &str, request: &str) -> Vec<engine::Record> {
     let prefix = format!("{program}:{request}:");
-    let runs = world.engines.iter().flat_map(|e| e.runs());
+    let runs = deployment.engines.iter().flat_map(|e| e.runs());
     runs.filter(|r| r.attempt.starts_with(&prefix)).collect()
 }
 
 #[test]
 fn an_answer_is_fetched_through_another_entry_after_a_crash() {
     run_test(async {
-        let mut world = World::start(Config::default()).await.unwrap();
-        let caller = world.kestrel();
-        let program = open_program(&caller, world.entry(0), "minutes").await;
-        let killed = non_owner_index(&world, &program);
-        pause_engines_after(&world, Some(PAUSE_AFTER_TOKENS));
-        let body = chat(&[user("Draft the minutes.")]);
+        let mut deployment = Deployment::start(Config::default()).await.unwrap();
+        let caller = deployment.kestrel_caller();
+        let program = open_program(&caller, deployment.entry_address(0), "minutes").await;
+        let killed = non_owner_index(&deployment, &program);
+        pause_engines_after(&deployment, Some(PAUSE_AFTER_TOKENS));
+        let body = chat_body(&[user_message("Draft the minutes.")]);
         let options = Options::request("draft");
         let streaming = caller.stream(
-            entry_address(&world, killed),
+            entry_address(&deployment, killed),
             &program,
             &body,
             options.clone(),
@@ -57,221 +57,229 @@
         let offset = stream.offset;
         assert_eq!(offset, received.len() as u64);
 
-        kill_instance(&mut world, killed).await;
-        pause_engines_after(&world, None);
-        let result = stream.rest().await;
+        kill_instance(&mut deployment, killed).await;
+        pause_engines_after(&deployment, None);
+        let result = stream.read_to_end().await;
         assert!(result.is_err(), "the stream should have broken");
 
-        let other_entry = entry_address(&world, owner_index(&world, &program));
-        let whole = caller.fetch(other_entry, &program, "draft").await.unwrap();
+        let other_entry = entry_address(&deployment, owner_index(&deployment, &program));
+        let whole = caller
+            .fetch_response(other_entry, &program, "draft")
+            .await
+            .unwrap();
         let resuming = caller.resume(other_entry, &program, "draft", offset);
-        let rest = resuming.await.unwrap().rest().await.unwrap();
-        assert_eq!(format!("{received}{rest}"), text_of(&whole));
-        let runs = attempts(&world, &program, "draft");
+        let rest = resuming.await.unwrap().read_to_end().await.unwrap();
+        assert_eq!(format!("{received}{rest}"), response_text(&whole));
+        let runs = attempts(&deployment, &program, "draft");
         assert_eq!(runs.len(), 1, "the engine must get the call only once");
-        assert_eq!(runs[0].text, text_of(&whole));
-        world.stop().await;
+        assert_eq!(runs[0].text, response_text(&whole));
+        deployment.stop().await;
     });
 }
 
 #[test]
 fn a_stream_continues_after_the_owner_crashes() {
     run_test(async {
-        let mut world = World::start(Config::default()).await.unwrap();
-        let caller = world.kestrel();
-        let address = world.entry(0);
+        let mut deployment = Deployment::start(Config::default()).await.unwrap();
+        let caller = deployment.kestrel_caller();
+        let address = deployment.entry_address(0);
         let program = open_program(&caller, address, "minutes").await;
-        let body = chat(&[user("Draft the minutes.")]);
+        let body = chat_body(&[user_message("Draft the minutes.")]);
         let options = Options::request("first");
         let first = caller
             .chat(address, &program, &body, options.clone())
             .await
             .unwrap();
 
-        let entry = entry_address(&world, non_owner_index(&world, &program));
-        let killed = owner_index(&world, &program);
-        pause_engines_after(&world, Some(PAUSE_AFTER_TOKENS));
-        let body = chat(&[user("And item four?")]);
+        let entry = entry_address(&deployment, non_owner_index(&deployment, &program));
+        let killed = owner_index(&deployment, &program);
+        pause_engines_after(&deployment, Some(PAUSE_AFTER_TOKENS));
+        let body = chat_body(&[user_message("And item four?")]);
         let options = append("second");
         let streaming = caller.stream(entry, &program, &body, options.clone());
         let mut stream = streaming.await.unwrap();
         stream.next().await.unwrap().unwrap();
-        kill_instance(&mut world, killed).await;
-        pause_engines_after(&world, None);
+        kill_instance(&mut deployment, killed).await;
+        pause_engines_after(&deployment, None);
         let mut text = stream.text.clone();
         while let Some(more) = stream.next().await.unwrap() {
             text.push_str(&more);
         }
 
-        let runs = attempts(&world, &program, "second");
+        let runs = attempts(&deployment, &program, "second");
         assert_eq!(
             runs.len(),
             1,
             "the attempt should have been resumed: {runs:?}"
         );
         assert_eq!(runs[0].text, text);
-        let reading = caller.program(entry, &program, "history");
+        let reading = caller.program_action(entry, &program, "history");
         let expected = json!([
-            user("Draft the minutes."),
+            user_message("Draft the minutes."),
             first["choices"][0]["message"],
-            user("And item four?"),
+            user_message("And item four?"),
             { "role": "assistant", "content": text },
         ]);
         assert_eq!(reading.await.unwrap()["messages"], expected);
-        world.stop().await;
+        deployment.stop().await;
     });
 }
 
 #[test]
 fn engine_memory_is_released_after_the_owner_crashes() {
     run_test(async {
-        let mut world = World::start(Config::default()).await.unwrap();
-        let caller = world.kestrel();
-        let program = open_program(&caller, world.entry(0), "minutes").await;
-        let entry = entry_address(&world, non_owner_index(&world, &program));
-        let killed = owner_index(&world, &program);
-        let body = chat(&[user("Draft.")]);
+        let mut deployment = Deployment::start(Config::default()).await.unwrap();
+        let caller = deployment.kestrel_caller();
+        let program = open_program(&caller, deployment.entry_address(0), "minutes").await;
+        let entry = entry_address(&deployment, non_owner_index(&deployment, &program));
+        let killed = owner_index(&deployment, &program);
+        let body = chat_body(&[user_message("Draft.")]);
         let call = caller.chat(entry, &program, &body, Options::request("draft"));
         call.await.unwrap();
-        for engine in &world.engines {
+        for engine in &deployment.engines {
             let ran = !engine.runs().is_empty();
-            engine.until(|e| !ran || !e.pins().is_empty()).await;
+            engine.wait_until(|e| !ran || !e.pins().is_empty()).await;
         }
-        kill_instance(&mut world, killed).await;
+        kill_instance(&mut deployment, killed).await;
         // The new owner has no record of which engines hold memory for the
         // program, and must ask all of them.
-        caller.program(entry, &program, "end").await.unwrap();
-        world.released().await;
-        world.stop().await;
+        caller.program_action(entry, &program, "end").await.unwrap();
+        deployment.wait_until_released().await;
+        deployment.stop().await;
     });
 }
 
 #[test]
 fn a_lost_response_to_a_non_repeatable_call_is_recovered() {
     run_test(async {
-        let world = World::start(Config::default()).await.unwrap();
-        let caller = world.jordan();
-        let (one, two) = (world.entry(0), world.entry(1));
+        let deployment = Deployment::start(Config::default()).await.unwrap();
+        let caller = deployment.jordan_caller();
+        let (one, two) = (deployment.entry_address(0), deployment.entry_address(1));
         let program = open_program(&caller, one, "valuation").await;
-        world.orders.set(Mode::LoseAnswer);
+        deployment.orders.set_mode(Mode::LoseAnswer);
         let options = Options::request("order");
         let path = "orders/place";
         let first = caller
-            .service(one, &program, path, "{}", options.clone())
+            .call_service(one, &program, path, "{}", options.clone())
             .await;
         let second = caller
-            .service(two, &program, path, "{}", options.clone())
+            .call_service(two, &program, path, "{}", options.clone())
             .await;
         assert_eq!(first.unwrap(), second.unwrap());
-        assert_eq!(world.orders.runs().len(), 1);
-        world.stop().await;
+        assert_eq!(deployment.orders.runs().len(), 1);
+        deployment.stop().await;
     });
 }
 
 #[test]
 fn a_lost_response_that_cannot_be_recovered_is_an_unknown_outcome() {
     run_test(async {
-        let mut world = World::start(Config::default()).await.unwrap();
-        world.tree["backends"]["orders"]["outcome_path"] = json!(null);
-        world.apply().await.unwrap();
-        let caller = world.jordan();
-        let address = world.entry(0);
+        let mut deployment = Deployment::start(Config::default()).await.unwrap();
+        deployment.tree["backends"]["orders"]["outcome_path"] = json!(null);
+        deployment.apply_settings().await.unwrap();
+        let caller = deployment.jordan_caller();
+        let address = deployment.entry_address(0);
         let program = open_program(&caller, address, "valuation").await;
         // On the second request the service would respond, but must not be
         // called.
-        for mode in [Mode::LoseAnswer, Mode::Well] {
-            world.orders.set(mode);
+        for mode in [Mode::LoseAnswer, Mode::Normal] {
+            deployment.orders.set_mode(mode);
             let options = Options::request("order");
-            let calling = caller.service(address, &program, "orders/place", "{}", options.clone());
+            let calling =
+                caller.call_service(address, &program, "orders/place", "{}", options.clone());
             assert_eq!(rejection_kind(calling.await), Kind::OutcomeUnknown);
         }
-        assert_eq!(world.orders.runs().len(), 1);
-        world.stop().await;
+        assert_eq!(deployment.orders.runs().len(), 1);
+        deployment.stop().await;
     });
 }
 
 #[test]
 fn a_non_repeatable_call_runs_once_when_its_owner_crashes() {
     run_test(async {
-        let mut world = World::start(Config::default()).await.unwrap();
-        let caller = world.jordan();
-        let program = open_program(&caller, world.entry(0), "valuation").await;
-        let entry = entry_address(&world, non_owner_index(&world, &program));
-        let killed = owner_index(&world, &program);
-        world.orders.set(Mode::Hang);
+        let mut deployment = Deployment::start(Config::default()).await.unwrap();
+        let caller = deployment.jordan_caller();
+        let program = open_program(&caller, deployment.entry_address(0), "valuation").await;
+        let entry = entry_address(&deployment, non_owner_index(&deployment, &program));
+        let killed = owner_index(&deployment, &program);
+        deployment.orders.set_mode(Mode::Hang);
         let ordering = tokio::spawn(async move {
             let options = Options::request("order");
-            let calling = caller.service(entry, &program, "orders/place", "{}", options.clone());
+            let calling =
+                caller.call_service(entry, &program, "orders/place", "{}", options.clone());
             calling.await
         });
-        world.orders.until(|s| !s.runs().is_empty()).await;
-        kill_instance(&mut world, killed).await;
-        world.orders.set(Mode::Well);
+        deployment.orders.wait_until(|s| !s.runs().is_empty()).await;
+        kill_instance(&mut deployment, killed).await;
+        deployment.orders.set_mode(Mode::Normal);
         let answer = ordering.await.unwrap().unwrap();
         assert!(answer.contains("/place"), "{answer}");
-        assert_eq!(world.orders.runs().len(), 1);
-        world.stop().await;
+        assert_eq!(deployment.orders.runs().len(), 1);
+        deployment.stop().await;
     });
 }
 
 #[test]
 fn a_call_sent_by_an_earlier_owner_is_never_reported_as_not_run() {
     run_test(async {
-        let mut world = World::start(Config::default()).await.unwrap();
-        let caller = world.jordan();
-        let program = open_program(&caller, world.entry(0), "valuation").await;
-        let entry = entry_address(&world, non_owner_index(&world, &program));
-        let killed = owner_index(&world, &program);
-        world.orders.set(Mode::Hang);
+        let mut deployment = Deployment::start(Config::default()).await.unwrap();
+        let caller = deployment.jordan_caller();
+        let program = open_program(&caller, deployment.entry_address(0), "valuation").await;
+        let entry = entry_address(&deployment, non_owner_index(&deployment, &program));
+        let killed = owner_index(&deployment, &program);
+        deployment.orders.set_mode(Mode::Hang);
         let calling = tokio::spawn(async move {
             let options = Options {
                 repeatable: Some(true),
                 ..Options::request("order")
             };
-            let calling = caller.service(entry, &program, "orders/place", "{}", options);
+            let calling = caller.call_service(entry, &program, "orders/place", "{}", options);
             calling.await
         });
-        world.orders.until(|s| !s.runs().is_empty()).await;
+        deployment.orders.wait_until(|s| !s.runs().is_empty()).await;
         // The new owner cannot connect to the service.
-        world.tree["backends"]["orders"]["address"] = json!("127.0.0.1:1");
-        world.apply().await.unwrap();
-        kill_instance(&mut world, killed).await;
+        deployment.tree["backends"]["orders"]["address"] = json!("127.0.0.1:1");
+        deployment.apply_settings().await.unwrap();
+        kill_instance(&mut deployment, killed).await;
         let error = calling.await.unwrap().unwrap_err();
         let problem = gradedyke_client::problem(&error).unwrap();
         assert!(!problem.not_run, "the call ran: {problem}");
-        world.stop().await;
+        deployment.stop().await;
     });
 }
 
 #[test]
 fn draining_breaks_no_stream_and_loses_no_history() {
     run_test(async {
-        let mut world = World::start(Config::default()).await.unwrap();
-        let caller = world.kestrel();
-        pause_engines_after(&world, Some(PAUSE_AFTER_TOKENS));
+        let mut deployment = Deployment::start(Config::default()).await.unwrap();
+        let caller = deployment.kestrel_caller();
+        pause_engines_after(&deployment, Some(PAUSE_AFTER_TOKENS));
         let mut streams = Vec::new();
         for number in 0..9 {
             let opened = format!("open-{number}");
-            let address = world.entry(number);
-            let opening = caller.open(address, "minutes", None, None, &opened);
+            let address = deployment.entry_address(number);
+            let opening = caller.open_program(address, "minutes", None, None, &opened);
             let program = opening.await.unwrap();
-            let body = chat(&[user(&format!("Draft number {number}."))]);
+            let body = chat_body(&[user_message(&format!("Draft number {number}."))]);
             let options = Options::request("draft");
             let streaming = caller.stream(address, &program, &body, options.clone());
             let mut stream = streaming.await.unwrap();
             stream.next().await.unwrap().unwrap();
             streams.push((program, stream));
         }
-        let process = world.processes[0].take().unwrap();
+        let process = deployment.processes[0].take().unwrap();
         let drain_started = process.kernel().draining.clone();
         let draining = tokio::spawn(process.drain());
         drain_started.cancelled().await;
-        pause_engines_after(&world, None);
+        pause_engines_after(&deployment, None);
         let mut texts = Vec::new();
         for (program, stream) in streams {
             texts.push((
                 program,
-                stream.rest().await.expect("the stream should not break"),
+                stream
+                    .read_to_end()
+                    .await
+                    .expect("the stream should not break"),
             ));
         }
         assert!(
@@ -279,22 +287,22 @@
             "the process should have drained in time"
         );
         for (number, (program, text)) in texts.iter().enumerate() {
-            let runs = attempts(&world, program, "draft");
+            let runs = attempts(&deployment, program, "draft");
             assert_eq!(runs.len(), 1);
             assert_eq!(&runs[0].text, text);
-            let address = world.entry(number);
-            let body = chat(&[user("Go on.")]);
+            let address = deployment.entry_address(number);
+            let body = chat_body(&[user_message("Go on.")]);
             let options = append("next");
             caller
                 .chat(address, program, &body, options.clone())
                 .await
                 .unwrap();
-            let reading = caller.program(address, program, "history");
+            let reading = caller.program_action(address, program, "history");
             let history = reading.await.unwrap();
             let messages = history["messages"].as_array().unwrap();
             assert_eq!(messages.len(), 4);
             assert_eq!(messages[1]["content"], text.as_str());
         }
-        world.stop().await;
+        deployment.stop().await;
     });
 }
--- a/crates/gradedyke/tests/platform_faults.rs
+++ b/crates/gradedyke/tests/platform_faults.rs
@@ -8,41 +8,48 @@
 use gradedyke::current;
 use gradedyke_base::settings::check;
 use gradedyke_client::Options;
-use gradedyke_world::{Config, World, chat, user};
+use gradedyke_world::{Config, Deployment, chat_body, user_message};
 use serde_json::json;
 use support::{open_program, run_test};
 
 #[test]
 fn calls_succeed_while_the_key_value_service_is_down() {
     run_test(async {
-        let world = World::start(Config::default()).await.unwrap();
-        let caller = world.kestrel();
-        world.platform.faults.down.store(true, Ordering::Relaxed);
+        let deployment = Deployment::start(Config::default()).await.unwrap();
+        let caller = deployment.kestrel_caller();
+        deployment
+            .platform
+            .faults
+            .down
+            .store(true, Ordering::Relaxed);
         for number in 0..4 {
             let opened = format!("open-{number}");
-            let address = world.entry(number);
-            let opening = caller.open(address, "minutes", None, None, &opened);
+            let address = deployment.entry_address(number);
+            let opening = caller.open_program(address, "minutes", None, None, &opened);
             let program = opening.await.unwrap();
-            let body = chat(&[user("Draft.")]);
+            let body = chat_body(&[user_message("Draft.")]);
             let call = caller.chat(address, &program, &body, Options::request("draft"));
             call.await.unwrap();
-            caller.program(address, &program, "end").await.unwrap();
+            caller
+                .program_action(address, &program, "end")
+                .await
+                .unwrap();
         }
-        world.released().await;
-        world.stop().await;
+        deployment.wait_until_released().await;
+        deployment.stop().await;
     });
 }
 
 #[test]
 fn calls_succeed_when_all_leases_expire() {
     run_test(async {
-        let world = World::start(Config::default()).await.unwrap();
-        let caller = world.kestrel();
-        let address = world.entry(0);
+        let deployment = Deployment::start(Config::default()).await.unwrap();
+        let caller = deployment.kestrel_caller();
+        let address = deployment.entry_address(0);
         let program = open_program(&caller, address, "minutes").await;
         for turn in 0..3 {
-            world.platform.lapse();
-            let body = chat(&[user("More.")]);
+            deployment.platform.expire_all_leases();
+            let body = chat_body(&[user_message("More.")]);
             let options = Options {
                 append: true,
                 ..Options::request(format!("r{turn}"))
@@ -52,24 +59,27 @@
                 .await
                 .unwrap();
         }
-        let history = caller.program(address, &program, "history").await.unwrap();
+        let history = caller
+            .program_action(address, &program, "history")
+            .await
+            .unwrap();
         assert_eq!(history["messages"].as_array().unwrap().len(), 6);
-        world.stop().await;
+        deployment.stop().await;
     });
 }
 
 #[test]
 fn concurrent_settings_changes_have_one_winner() {
     run_test(async {
-        let world = World::start(Config::default()).await.unwrap();
+        let deployment = Deployment::start(Config::default()).await.unwrap();
         let tree = |max_tokens: u64| {
-            let mut tree = world.tree.clone();
+            let mut tree = deployment.tree.clone();
             tree["defaults"]["max_tokens"] = json!(max_tokens);
             check::read("race", &tree.to_string()).unwrap()
         };
         for round in 0..10 {
             let base_revision = 1 + round;
-            let processes = world.processes.iter().flatten();
+            let processes = deployment.processes.iter().flatten();
             let changes: Vec<_> = processes
                 .zip(100..)
                 .map(|(process, max_tokens)| {
@@ -88,25 +98,29 @@
             }
             assert_eq!(winners.len(), 1);
             // The winner's settings become active on every instance.
-            for process in world.processes.iter().flatten() {
+            for process in deployment.processes.iter().flatten() {
                 let mut revision = process.kernel().active_settings.subscribe();
                 revision.wait_for(|r| *r > base_revision).await.unwrap();
                 let active = process.kernel().active_settings.get();
                 assert_eq!(*active, winners[0]);
             }
         }
-        world.stop().await;
+        deployment.stop().await;
     });
 }
 
 #[test]
 fn a_settings_change_whose_response_is_lost_is_applied_once() {
     run_test(async {
-        let world = World::start(Config::default()).await.unwrap();
-        let process = world.processes[0].as_ref().unwrap();
+        let deployment = Deployment::start(Config::default()).await.unwrap();
+        let process = deployment.processes[0].as_ref().unwrap();
         let kv = &process.kernel().kv;
-        let tree = check::read("lost", &world.tree.to_string()).unwrap();
-        world.platform.faults.lose.store(1, Ordering::Relaxed);
+        let tree = check::read("lost", &deployment.tree.to_string()).unwrap();
+        deployment
+            .platform
+            .faults
+            .replies_to_lose
+            .store(1, Ordering::Relaxed);
         let applied = current::apply(&**kv, tree, 1).await;
         let (active, _) = current::read(&**kv).await.unwrap();
         match applied {
@@ -114,6 +128,6 @@
             Err(error) => panic!("applying the settings failed: {error}"),
         }
         assert_eq!(active.revision, 2);
-        world.stop().await;
+        deployment.stop().await;
     });
 }
--- a/crates/gradedyke/tests/refusals.rs
+++ b/crates/gradedyke/tests/refusals.rs
@@ -7,7 +7,9 @@
 
 use gradedyke_base::problem::{Kind, Problem};
 use gradedyke_client::Options;
-use gradedyke_world::{Config, JORDAN, KESTREL, OPERATOR, World, chat, user};
+use gradedyke_world::{
+    Config, Deployment, JORDAN_KEY, KESTREL_KEY, OPERATOR_KEY, chat_body, user_message,
+};
 use http::{Method, StatusCode, header};
 use serde_json::json;
 use support::{open_program, rejection_kind, run_test};
@@ -49,7 +51,7 @@
 /// Returns the cases for callers. `own` is a program of the client account
 /// `kestrel`, `foreign` one of `jordan`.
 fn caller_cases(own: &str, foreign: &str) -> Vec<Case> {
-    let draft = chat(&[user("Draft.")]).to_string();
+    let draft = chat_body(&[user_message("Draft.")]).to_string();
     let completions = "/v1/chat/completions";
     let case = |name, method, path: &str, key, program: Option<&str>, body: &str, expected| Case {
         name,
@@ -65,7 +67,7 @@
             name,
             Method::POST,
             path,
-            Some(KESTREL),
+            Some(KESTREL_KEY),
             None,
             body,
             expected,
@@ -77,14 +79,14 @@
             name,
             Method::POST,
             completions,
-            Some(KESTREL),
+            Some(KESTREL_KEY),
             program,
             body,
             expected,
         )
     };
-    let no_model = json!({ "model": "other", "messages": [user("x")] }).to_string();
-    let two = json!({ "model": "demo-7b", "messages": [user("x")], "n": 2 }).to_string();
+    let no_model = json!({ "model": "other", "messages": [user_message("x")] }).to_string();
+    let two = json!({ "model": "demo-7b", "messages": [user_message("x")], "n": 2 }).to_string();
     let large = "x".repeat(70_000);
     vec![
         case(
@@ -109,7 +111,7 @@
             "operator's key",
             Method::GET,
             "/v1/models",
-            Some(OPERATOR),
+            Some(OPERATOR_KEY),
             None,
             "",
             Kind::Unauthorized,
@@ -140,7 +142,7 @@
             "foreign history",
             Method::GET,
             &format!("/v1/programs/{foreign}/history"),
-            Some(KESTREL),
+            Some(KESTREL_KEY),
             None,
             "",
             Kind::NotFound,
@@ -149,7 +151,7 @@
             "foreign end",
             Method::POST,
             &format!("/v1/programs/{foreign}/end"),
-            Some(KESTREL),
+            Some(KESTREL_KEY),
             None,
             "",
             Kind::NotFound,
@@ -158,7 +160,7 @@
             "unknown request",
             Method::GET,
             &format!("/v1/programs/{own}/requests/none"),
-            Some(KESTREL),
+            Some(KESTREL_KEY),
             None,
             "",
             Kind::NotFound,
@@ -167,7 +169,7 @@
             "foreign service",
             Method::POST,
             "/v1/services/orders/place",
-            Some(KESTREL),
+            Some(KESTREL_KEY),
             Some(own),
             "{}",
             Kind::NotFound,
@@ -176,7 +178,7 @@
             "child of a foreign program",
             Method::POST,
             &format!("/v1/programs/{foreign}/children"),
-            Some(KESTREL),
+            Some(KESTREL_KEY),
             None,
             "{\"agent\":\"minutes\"}",
             Kind::NotFound,
@@ -191,12 +193,12 @@
             limits: json!({ "leave_ms": 0, "body_bytes": 65_536 }),
             ..Config::default()
         };
-        let world = World::start(config).await.unwrap();
-        let address = world.entry(0);
-        let (kestrel, jordan) = (world.kestrel(), world.jordan());
-        let own = kestrel.open(address, "minutes", None, None, "open");
+        let deployment = Deployment::start(config).await.unwrap();
+        let address = deployment.entry_address(0);
+        let (kestrel, jordan) = (deployment.kestrel_caller(), deployment.jordan_caller());
+        let own = kestrel.open_program(address, "minutes", None, None, "open");
         let own = own.await.unwrap();
-        let foreign = jordan.open(address, "valuation", None, None, "open");
+        let foreign = jordan.open_program(address, "valuation", None, None, "open");
         let foreign = foreign.await.unwrap();
         let mut messages = std::collections::BTreeMap::new();
         for case in caller_cases(&own, &foreign) {
@@ -213,12 +215,16 @@
         assert_eq!(messages["no key"], messages["wrong key"]);
         insta::assert_json_snapshot!(messages);
         // The rejected requests have changed nothing.
-        let body = chat(&[user("Draft.")]);
+        let body = chat_body(&[user_message("Draft.")]);
         let call = kestrel.chat(address, &own, &body, Options::request("draft"));
         call.await.unwrap();
-        let info = world.jordan().program(address, &foreign, "").await.unwrap();
+        let info = deployment
+            .jordan_caller()
+            .program_action(address, &foreign, "")
+            .await
+            .unwrap();
         assert_eq!(info["ended"], json!(null));
-        world.stop().await;
+        deployment.stop().await;
     });
 }
 
@@ -229,10 +235,10 @@
             limits: json!({ "leave_ms": 0, "head_ms": 1_000, "body_ms": 1_000, "connections": 4 }),
             ..Config::default()
         };
-        let world = World::start(config).await.unwrap();
-        let address = world.entry(0);
+        let deployment = Deployment::start(config).await.unwrap();
+        let address = deployment.entry_address(0);
         let head = format!(
-            "POST /v1/programs HTTP/1.1\r\nhost: x\r\nauthorization: Bearer {KESTREL}\r\n\
+            "POST /v1/programs HTTP/1.1\r\nhost: x\r\nauthorization: Bearer {KESTREL_KEY}\r\n\
              content-length: 100\r\n\r\n"
         );
         // Each case: what the caller sends before it stops sending, whether it
@@ -253,26 +259,26 @@
             stream.read_to_string(&mut response).await.unwrap();
             assert!(response.contains(expected), "{sent:?}: {response:?}");
         }
-        let caller = world.jordan();
-        let opening = caller.open(address, "valuation", None, None, "open");
+        let caller = deployment.jordan_caller();
+        let opening = caller.open_program(address, "valuation", None, None, "open");
         opening
             .await
             .expect("the connections should have been freed");
-        world.stop().await;
+        deployment.stop().await;
     });
 }
 
 #[test]
 fn a_client_account_at_its_limit_gets_a_retry_delay() {
     run_test(async {
-        let mut world = World::start(Config::default()).await.unwrap();
-        world.tree["accounts"]["kestrel"]["concurrent"] = json!(1);
-        world.apply().await.unwrap();
-        let address = world.entry(0);
-        let caller = world.kestrel();
+        let mut deployment = Deployment::start(Config::default()).await.unwrap();
+        deployment.tree["accounts"]["kestrel"]["concurrent"] = json!(1);
+        deployment.apply_settings().await.unwrap();
+        let address = deployment.entry_address(0);
+        let caller = deployment.kestrel_caller();
         let program = open_program(&caller, address, "minutes").await;
-        world.engines.iter().for_each(|e| e.hold_at(Some(1)));
-        let body = chat(&[user("Draft.")]);
+        deployment.engines.iter().for_each(|e| e.stall_at(Some(1)));
+        let body = chat_body(&[user_message("Draft.")]);
         let options = Options::request("draft");
         let mut stream = caller
             .stream(address, &program, &body, options.clone())
@@ -285,20 +291,20 @@
         assert_eq!(problem.kind, Kind::Overloaded);
         assert!(problem.retry_after_ms.is_some() && problem.not_run);
         // Another client account is not affected.
-        let jordan = world.jordan();
-        let opening = jordan.open(address, "valuation", None, None, "open");
+        let jordan = deployment.jordan_caller();
+        let opening = jordan.open_program(address, "valuation", None, None, "open");
         opening.await.unwrap();
-        world.engines.iter().for_each(|e| e.hold_at(None));
-        stream.rest().await.unwrap();
-        world.stop().await;
+        deployment.engines.iter().for_each(|e| e.stall_at(None));
+        stream.read_to_end().await.unwrap();
+        deployment.stop().await;
     });
 }
 
 #[test]
 fn operators_get_typed_refusals() {
     run_test(async {
-        let world = World::start(Config::default()).await.unwrap();
-        let process = world.processes[0].as_ref().unwrap();
+        let deployment = Deployment::start(Config::default()).await.unwrap();
+        let process = deployment.processes[0].as_ref().unwrap();
         let address = process.addresses().admin;
         let path = "/admin/v1/settings";
         let case = |name, method, key, body: &str, expected| Case {
@@ -315,21 +321,21 @@
             case(
                 "a caller's key",
                 Method::GET,
-                Some(JORDAN),
+                Some(JORDAN_KEY),
                 "",
                 Kind::Unauthorized,
             ),
             case(
                 "no revision",
                 Method::PUT,
-                Some(OPERATOR),
+                Some(OPERATOR_KEY),
                 "{}",
                 Kind::BadRequest,
             ),
             case(
                 "wrong method",
                 Method::DELETE,
-                Some(OPERATOR),
+                Some(OPERATOR_KEY),
                 "",
                 Kind::BadMethod,
             ),
@@ -340,8 +346,13 @@
             assert_eq!(problem.kind, case.expected, "{}: {problem}", case.name);
             assert_eq!(status.as_u16(), problem.kind.status(), "{}", case.name);
         }
-        let rejection = rejection_kind(world.jordan().program(address, "x", "").await);
+        let rejection = rejection_kind(
+            deployment
+                .jordan_caller()
+                .program_action(address, "x", "")
+                .await,
+        );
         assert_eq!(rejection, Kind::Unauthorized);
-        world.stop().await;
+        deployment.stop().await;
     });
 }
--- a/crates/gradedyke/tests/support/mod.rs
+++ b/crates/gradedyke/tests/support/mod.rs
@@ -10,7 +10,7 @@
 use gradedyke_base::problem::Kind;
 use gradedyke_client::Caller;
 use gradedyke_http::client::Error;
-use gradedyke_world::World;
+use gradedyke_world::Deployment;
 use tracing_subscriber::EnvFilter;
 use tracing_subscriber::layer::SubscriberExt;
 use tracing_subscriber::util::SubscriberInitExt;
@@ -46,43 +46,43 @@
     });
 }
 
-/// Returns the index in `world.processes` of the instance that owns a program.
-pub fn owner_index(world: &World, program: &str) -> usize {
+/// Returns the index in `deployment.processes` of the instance that owns a program.
+pub fn owner_index(deployment: &Deployment, program: &str) -> usize {
     let slot = id::Program::parse(program).unwrap().slot();
-    let process = world.processes.iter().flatten().next().unwrap();
+    let process = deployment.processes.iter().flatten().next().unwrap();
     let holder = process.kernel().slot_map.holder(slot).unwrap();
     let is_owner = |p: &Option<Process>| {
         p.as_ref()
             .is_some_and(|p| p.kernel().settings.id == holder.owner)
     };
-    world.processes.iter().position(is_owner).unwrap()
+    deployment.processes.iter().position(is_owner).unwrap()
 }
 
 /// Returns the index of an instance that does not own a program.
-pub fn non_owner_index(world: &World, program: &str) -> usize {
-    let owner = owner_index(world, program);
-    let indices = 0..world.processes.len();
-    let mut others = indices.filter(|i| *i != owner && world.processes[*i].is_some());
+pub fn non_owner_index(deployment: &Deployment, program: &str) -> usize {
+    let owner = owner_index(deployment, program);
+    let indices = 0..deployment.processes.len();
+    let mut others = indices.filter(|i| *i != owner && deployment.processes[*i].is_some());
     others.next().unwrap()
 }
 
 /// Returns the address for callers of the instance at an index.
-pub fn entry_address(world: &World, index: usize) -> SocketAddr {
-    let process = world.processes[index].as_ref().unwrap();
+pub fn entry_address(deployment: &Deployment, index: usize) -> SocketAddr {
+    let process = deployment.processes[index].as_ref().unwrap();
     process.addresses().caller.unwrap()
 }
 
 /// Opens a program of an agent, always with the request id `open`.
 pub async fn open_program(caller: &Caller, address: SocketAddr, agent: &str) -> String {
     caller
-        .open(address, agent, None, None, "open")
+        .open_program(address, agent, None, None, "open")
         .await
         .unwrap()
 }
 
 /// Kills the instance at an index.
-pub async fn kill_instance(world: &mut World, index: usize) {
-    world.processes[index].take().unwrap().kill().await;
+pub async fn kill_instance(deployment: &mut Deployment, index: usize) {
+    deployment.processes[index].take().unwrap().kill().await;
 }
 
 /// Returns the kind of problem that a call was rejected with.
