--- a/crates/gradedyke-backend/src/chat.rs
+++ b/crates/gradedyke-backend/src/chat.rs
@@ -2,7 +2,7 @@
 //!
 //! Unknown fields of requests are preserved and forwarded unchanged, so that engines
 //! may support more than gradedyke does. Messages are kept as JSON for the same reason;
-//! [`same`] compares two of them.
+//! [`is_same_message`] compares two of them.
 
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
@@ -71,18 +71,18 @@
     }
 }
 
-/// Fields of messages that [`same`] compares. Clients may add others.
+/// Fields of messages that [`is_same_message`] compares. Clients may add others.
 const COMPARED_FIELDS: [&str; 5] = ["role", "content", "tool_calls", "tool_call_id", "name"];
 
 /// Returns whether two messages have the same role, content and tool calls.
 ///
 /// ```
-/// use gradedyke_backend::chat::{Message, same};
+/// use gradedyke_backend::chat::{Message, is_same_message};
 ///
 /// let a: Message = serde_json::from_str(r#"{"role":"user","content":"hi"}"#).unwrap();
 /// let mut b = a.clone();
 /// b.insert("refusal".to_owned(), serde_json::Value::Null);
-/// assert!(same(&a, &b));
+/// assert!(is_same_message(&a, &b));
 /// ```
 pub fn is_same_message(a: &Message, b: &Message) -> bool {
     let field = |m: &Message, name: &str| m.get(name).cloned().unwrap_or(Value::Null);
--- a/crates/gradedyke-backend/src/engine.rs
+++ b/crates/gradedyke-backend/src/engine.rs
@@ -101,7 +101,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Broken`] if the stream was interrupted.
+    /// Returns [`Error::Interrupted`] if the stream was interrupted.
     async fn next(&mut self) -> Result<Option<Chunk>, Error>;
 }
 
--- a/crates/gradedyke-backend/src/prefix.rs
+++ b/crates/gradedyke-backend/src/prefix.rs
@@ -76,7 +76,7 @@
     /// use gradedyke_base::id::Account;
     ///
     /// let hi: Message = serde_json::from_str(r#"{"role":"user","content":"hi"}"#).unwrap();
-    /// let chain = |name| Chain::over(&Account::parse(name).unwrap(), "m", std::slice::from_ref(&hi));
+    /// let chain = |name| Chain::from_messages(&Account::parse(name).unwrap(), "m", std::slice::from_ref(&hi));
     /// assert_ne!(chain("kestrel").keys(), chain("jordan").keys());
     /// ```
     pub fn from_messages(account: &id::Account, model: &str, messages: &[Message]) -> Self {
--- a/crates/gradedyke-backend/src/service.rs
+++ b/crates/gradedyke-backend/src/service.rs
@@ -53,7 +53,7 @@
     /// # Errors
     ///
     /// Returns [`Error::NotSent`] if the call certainly did not run and
-    /// [`Error::Broken`] if it may have. An HTTP error status is returned as a [`Reply`].
+    /// [`Error::Interrupted`] if it may have. An HTTP error status is returned as a [`Reply`].
     async fn call(&self, key: &str, call: &Call, timeout: Duration) -> Result<Reply, Error>;
 
     /// Queries the outcome of a call. `None` means that the service has not received
--- a/crates/gradedyke-backend/tests/contract.rs
+++ b/crates/gradedyke-backend/tests/contract.rs
@@ -169,8 +169,8 @@
 async fn a_service_reports_whether_a_call_ran() {
     let stand_in = gradedyke_standin::service::Service::default();
     let stop = CancellationToken::new();
-    let listener = Arc::new(stand_in.clone());
-    let address = gradedyke_standin::serve(listener, any_port(), &stop)
+    let handler = Arc::new(stand_in.clone());
+    let address = gradedyke_standin::serve(handler, any_port(), &stop)
         .await
         .unwrap();
     let path = Some("/outcomes/{key}".to_owned());
--- a/crates/gradedyke-base/src/id.rs
+++ b/crates/gradedyke-base/src/id.rs
@@ -163,8 +163,8 @@
     ///
     /// let account = Account::parse("kestrel").unwrap();
     /// let request = Request::parse("r-1").unwrap();
-    /// let first = Program::opened(&account, &request);
-    /// assert_eq!(first, Program::opened(&account, &request));
+    /// let first = Program::from_request(&account, &request);
+    /// assert_eq!(first, Program::from_request(&account, &request));
     /// ```
     pub fn from_request(account: &Account, request: &Request) -> Self {
         let mut hasher = blake3::Hasher::new();
@@ -199,7 +199,7 @@
     /// use gradedyke_base::id::{Program, Request};
     ///
     /// let root = Program::parse("a1").unwrap();
-    /// let child = root.child(&Request::parse("r").unwrap());
+    /// let child = root.sub_agent(&Request::parse("r").unwrap());
     /// assert_eq!(root.slot(), child.slot());
     /// assert_eq!(child.parent(), Some(root));
     /// ```
--- a/crates/gradedyke-base/src/retry.rs
+++ b/crates/gradedyke-base/src/retry.rs
@@ -24,9 +24,9 @@
     ///
     /// let second = Duration::from_secs(1);
     /// let mut backoff = Backoff::new(second, second * 4, 2);
-    /// assert!(backoff.wait(0.0).unwrap() <= second);
-    /// assert!(backoff.wait(1.0).unwrap() <= second * 2);
-    /// assert!(backoff.wait(0.5).is_none());
+    /// assert!(backoff.next_retry_delay(0.0).unwrap() <= second);
+    /// assert!(backoff.next_retry_delay(1.0).unwrap() <= second * 2);
+    /// assert!(backoff.next_retry_delay(0.5).is_none());
     /// ```
     pub fn new(initial_delay: Duration, max_delay: Duration, max_retries: u32) -> Self {
         Self {
@@ -43,8 +43,8 @@
     /// use std::time::Duration;
     ///
     /// let second = Duration::from_secs(1);
-    /// let mut backoff = Backoff::endless(second, second * 2);
-    /// let delays: Vec<Duration> = (0..3).map(|_| backoff.step(1.0)).collect();
+    /// let mut backoff = Backoff::unlimited(second, second * 2);
+    /// let delays: Vec<Duration> = (0..3).map(|_| backoff.next_delay(1.0)).collect();
     /// assert_eq!(delays, [second, second * 2, second * 2]);
     /// ```
     pub fn unlimited(initial_delay: Duration, max_delay: Duration) -> Self {
--- a/crates/gradedyke-http/src/client.rs
+++ b/crates/gradedyke-http/src/client.rs
@@ -143,7 +143,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error::NotSent`] or [`Error::Broken`]. A reply with an error status is not
+    /// [`Error::NotSent`] or [`Error::ConnectionLost`]. A reply with an error status is not
     /// an error here.
     pub async fn send(
         &self,
@@ -244,7 +244,7 @@
 ///
 /// # Errors
 ///
-/// [`Error::Broken`] if the body ends early or is longer than [`MAX_REPLY_BYTES`].
+/// [`Error::ConnectionLost`] if the body ends early or is longer than [`MAX_REPLY_BYTES`].
 pub async fn read_body(address: SocketAddr, incoming: Incoming) -> Result<Bytes, Error> {
     let limited = http_body_util::Limited::new(incoming, MAX_REPLY_BYTES);
     let collected = limited.collect().await.map_err(|e| Error::ConnectionLost {
--- a/crates/gradedyke-http/src/server.rs
+++ b/crates/gradedyke-http/src/server.rs
@@ -148,16 +148,16 @@
     }
 }
 
-/// Waits until no request has started for the time `idle`, or until `stop` is
+/// Waits until no request has started for the time `idle_timeout`, or until `stop` is
 /// cancelled.
 async fn wait_idle_or_stopped(
     mut requests: watch::Receiver<()>,
-    idle: Option<Duration>,
+    idle_timeout: Option<Duration>,
     stop: &CancellationToken,
 ) {
-    let idle = idle.unwrap_or(Duration::MAX);
+    let idle_timeout = idle_timeout.unwrap_or(Duration::MAX);
     let idle_elapsed = async {
-        while tokio::time::timeout(idle, requests.changed())
+        while tokio::time::timeout(idle_timeout, requests.changed())
             .await
             .is_ok_and(|r| r.is_ok())
         {}
--- a/crates/gradedyke-platform/src/kv.rs
+++ b/crates/gradedyke-platform/src/kv.rs
@@ -1,8 +1,8 @@
 //! The key-value service: compare-and-swap, leases and watches.
 //!
 //! A call can fail before or after its write has taken effect. After
-//! [`Error::Unavailable`] nothing was written. After [`Error::Unknown`] the write may
-//! have taken effect; [`settle`] finds out by reading the key.
+//! [`Error::Unavailable`] nothing was written. After [`Error::OutcomeUnknown`] the write may
+//! have taken effect; [`swap_and_verify`] finds out by reading the key.
 
 use std::time::Duration;
 
@@ -39,8 +39,8 @@
     pub revision: Revision,
 }
 
-/// A compare-and-swap: a write that succeeds only if the key's revision is
-/// `expected`.
+/// A compare-and-swap: a write that succeeds only if the key has the
+/// expected revision.
 #[derive(Clone, Debug)]
 pub struct Swap {
     /// The key.
@@ -89,7 +89,7 @@
     /// The lease has expired or was revoked.
     #[error("the lease has lapsed; take a new one and act on nothing done under the old")]
     LeaseExpired,
-    /// The value is larger than [`MAX_VALUE`]; this is its size in bytes.
+    /// The value is larger than [`MAX_VALUE_BYTES`]; this is its size in bytes.
     #[error("the value has {0} bytes, over a megabyte; split it")]
     TooLarge(usize),
     /// The start revision of the watch has been compacted.
@@ -121,14 +121,14 @@
     ///
     /// # Errors
     ///
-    /// Any [`Error`]; after [`Error::Unknown`] the write may have taken effect.
+    /// Any [`Error`]; after [`Error::OutcomeUnknown`] the write may have taken effect.
     async fn swap(&self, swap: Swap) -> Result<Outcome, Error>;
 
     /// Creates a lease that expires after `ttl`, rounded up to whole seconds.
     ///
     /// # Errors
     ///
-    /// Any [`Error`]; after [`Error::Unknown`] a lease may have been created, which
+    /// Any [`Error`]; after [`Error::OutcomeUnknown`] a lease may have been created, which
     /// then expires by itself.
     async fn grant_lease(&self, ttl: Duration) -> Result<Lease, Error>;
 
@@ -136,14 +136,14 @@
     ///
     /// # Errors
     ///
-    /// Any [`Error`]; [`Error::LeaseGone`] if the lease has expired.
+    /// Any [`Error`]; [`Error::LeaseExpired`] if the lease has expired.
     async fn renew_lease(&self, lease: Lease) -> Result<(), Error>;
 
     /// Revokes a lease and so deletes the keys attached to it.
     ///
     /// # Errors
     ///
-    /// Any [`Error`]; after [`Error::Unknown`] the lease may have been revoked.
+    /// Any [`Error`]; after [`Error::OutcomeUnknown`] the lease may have been revoked.
     async fn revoke_lease(&self, lease: Lease) -> Result<(), Error>;
 
     /// Watches the keys with the given prefix for changes from revision `from` on. If
@@ -178,7 +178,7 @@
 ///
 /// # Errors
 ///
-/// Any [`Error`]; [`Error::Unknown`] if reading the key failed too.
+/// Any [`Error`]; [`Error::OutcomeUnknown`] if reading the key failed too.
 pub async fn swap_and_verify(kv: &dyn KeyValue, swap: Swap) -> Result<Outcome, Error> {
     let key = swap.key.clone();
     let value = swap.value.clone();
--- a/crates/gradedyke-standin/src/engine.rs
+++ b/crates/gradedyke-standin/src/engine.rs
@@ -179,7 +179,7 @@
 
     /// Stalls each call once it has generated this many tokens; `None` lets all calls continue.
     pub fn stall_at(&self, tokens: Option<u64>) {
-        self.lock().hold_at = tokens;
+        self.lock().stall_at = tokens;
         self.work.notify_one();
     }
 
--- a/crates/gradedyke-standin/src/engine/batch.rs
+++ b/crates/gradedyke-standin/src/engine/batch.rs
@@ -33,7 +33,7 @@
     pub(super) leaving: bool,
     pub(super) load_report_count: u64,
     /// Number of generated tokens at which calls stall.
-    pub(super) hold_at: Option<u64>,
+    pub(super) stall_at: Option<u64>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -84,7 +84,7 @@
 
     /// Whether no running attempt can make progress.
     pub(super) fn is_idle(&self) -> bool {
-        let limit = self.hold_at.unwrap_or(u64::MAX);
+        let limit = self.stall_at.unwrap_or(u64::MAX);
         let running = self.running.iter().filter_map(|id| self.attempts.get(id));
         running
             .into_iter()
@@ -147,7 +147,7 @@
     /// Advances every running attempt by one step and records a load report.
     pub(super) fn step(&mut self, config: &Config) {
         let running = std::mem::take(&mut self.running);
-        let limit = self.hold_at.unwrap_or(u64::MAX);
+        let limit = self.stall_at.unwrap_or(u64::MAX);
         for id in running {
             let Some(attempt) = self.attempts.get_mut(&id) else {
                 continue;
--- a/crates/gradedyke-standin/src/platform.rs
+++ b/crates/gradedyke-standin/src/platform.rs
@@ -294,7 +294,7 @@
         }
     }
 
-    /// Whether the reply to a write is to be lost; counts [`Faults::lose`] down.
+    /// Whether the reply to a write is to be lost; counts [`Faults::replies_to_lose`] down.
     fn take_lost_reply(&self) -> bool {
         let decrement = |count: u32| count.checked_sub(1);
         let lose = &self.faults.replies_to_lose;
--- a/crates/gradedyke/src/entry/api.rs
+++ b/crates/gradedyke/src/entry/api.rs
@@ -402,13 +402,13 @@
         let created = now.map_or(0, |d| d.as_secs());
         let renderer = Renderer::new(&call.request, created);
         let request = call.request.clone();
-        let whole = call.outcome_only;
+        let outcome_only = call.outcome_only;
         let mut relay = Relay::new(self.entry.clone(), call);
         let first = relay.next().await?;
         let mut response = match first {
             Part::End(Outcome::Failed(problem)) => return Err(problem),
             Part::End(Outcome::Service(reply)) => render::service_response(&reply),
-            Part::End(Outcome::Chat(completion)) if whole => renderer.document(&completion),
+            Part::End(Outcome::Chat(completion)) if outcome_only => renderer.document(&completion),
             first => {
                 let context = StreamContext {
                     model: relay.model.clone(),
--- a/crates/gradedyke/src/owner/accept.rs
+++ b/crates/gradedyke/src/owner/accept.rs
@@ -130,7 +130,7 @@
         key: ProgramKey,
     ) -> Result<Effective, Problem> {
         let agent = session.read(key, |p| p.agent.clone()).unwrap_or_default();
-        let tree = self.current.get();
+        let tree = self.active_settings.get();
         tree.tree.agent(&session.account, &agent).ok_or_else(|| {
             let message = format!("agent program {agent} is not in the settings any more");
             let message = format!("{message}; ask your operator to restore it");
@@ -225,13 +225,13 @@
 }
 
 /// Streams an answer to an entry, starting at byte `offset` of the text. With
-/// `whole`, only the end is sent.
-async fn stream(answer: Arc<Answer>, offset: usize, whole: bool, sender: Sender) {
+/// `outcome_only`, only the end is sent.
+async fn stream(answer: Arc<Answer>, offset: usize, outcome_only: bool, sender: Sender) {
     let mut changes = answer.subscribe();
     let mut offset = offset;
     loop {
         changes.borrow_and_update();
-        let end = if whole {
+        let end = if outcome_only {
             answer.end()
         } else {
             match send_update(&answer, &mut offset, &sender).await {
--- a/crates/gradedyke/src/owner/mod.rs
+++ b/crates/gradedyke/src/owner/mod.rs
@@ -48,8 +48,8 @@
     id: id::Instance,
     kv: Arc<dyn KeyValue>,
     members: Arc<Members>,
-    map: Arc<Map>,
-    current: Arc<Current>,
+    slot_map: Arc<Map>,
+    active_settings: Arc<Current>,
     fleet: Arc<Fleet>,
     policies: BTreeMap<&'static str, Arc<dyn Policy>>,
     journal: Arc<Journal>,
@@ -72,8 +72,8 @@
             id: kernel.settings.id.clone(),
             kv: kernel.kv.clone(),
             members: kernel.members.clone(),
-            map: kernel.slot_map.clone(),
-            current: kernel.active_settings.clone(),
+            slot_map: kernel.slot_map.clone(),
+            active_settings: kernel.active_settings.clone(),
             fleet: Arc::new(Fleet::new(&kernel.settings.data_centre)),
             policies: routing::policies(),
             journal: kernel.journal.clone(),
@@ -90,7 +90,7 @@
         let assigner = crate::ownership::assign::Assigner::new(
             self.kv.clone(),
             self.members.clone(),
-            self.map.clone(),
+            self.slot_map.clone(),
             kernel.settings.copies,
         );
         tokio::spawn(assigner.run(self.stop.clone()));
--- a/crates/gradedyke/src/owner/poll.rs
+++ b/crates/gradedyke/src/owner/poll.rs
@@ -26,15 +26,15 @@
 
 /// Runs a polling task for each engine in the current settings until the process
 /// stops.
-pub(super) async fn run(owner: Arc<Owner>, instances: Option<Arc<dyn List>>) {
-    if let Some(instances) = instances {
-        tokio::spawn(watch_instance_list(owner.clone(), instances));
+pub(super) async fn run(owner: Arc<Owner>, instance_list: Option<Arc<dyn List>>) {
+    if let Some(instance_list) = instance_list {
+        tokio::spawn(watch_instance_list(owner.clone(), instance_list));
     }
-    let mut revision = owner.current.subscribe();
+    let mut revision = owner.active_settings.subscribe();
     let mut polling_tasks: HashMap<ServerKey, CancellationToken> = HashMap::new();
     loop {
         revision.borrow_and_update();
-        owner.fleet.update(&owner.current.get().tree);
+        owner.fleet.update(&owner.active_settings.get().tree);
         let engines = owner.fleet.all_engines();
         polling_tasks.retain(|key, stop| {
             let is_configured = engines.iter().any(|(k, ..)| k == key);
@@ -107,9 +107,9 @@
     }
 }
 
-async fn watch_instance_list(owner: Arc<Owner>, instances: Arc<dyn List>) {
+async fn watch_instance_list(owner: Arc<Owner>, instance_list: Arc<dyn List>) {
     loop {
-        match instances.list(BACKEND_SERVICE).await {
+        match instance_list.list(BACKEND_SERVICE).await {
             Ok(list) => {
                 let leaving = list.into_iter().filter(|i| i.state == State::Leaving);
                 owner.fleet.set_leaving(&leaving.map(|i| i.id).collect());
--- a/crates/gradedyke/src/owner/rpc.rs
+++ b/crates/gradedyke/src/owner/rpc.rs
@@ -212,7 +212,7 @@
 
     /// Returns the token budget for a program to open.
     fn budget_limit(&self, opening: &Opening) -> Result<u64, Problem> {
-        let settings = self.current.get();
+        let settings = self.active_settings.get();
         let effective = settings.tree.agent(&opening.account, &opening.agent);
         let Some(effective) = effective else {
             let message = format!(
--- a/crates/gradedyke/src/owner/takeover.rs
+++ b/crates/gradedyke/src/owner/takeover.rs
@@ -28,7 +28,7 @@
 /// Follows the slot map and the members until the process stops. A pass goes
 /// through all slots, so it runs only after a change or an incomplete pass.
 pub(super) async fn run(owner: Arc<Owner>) {
-    let mut map = owner.map.subscribe();
+    let mut map = owner.slot_map.subscribe();
     let mut members = owner.members.subscribe();
     loop {
         map.borrow_and_update();
@@ -56,7 +56,7 @@
     /// Drops and recovers slots as the slot map says. Returns whether all slots
     /// that are assigned to this process are served.
     async fn claim_slots(self: &Arc<Self>) -> bool {
-        let view = self.map.view();
+        let view = self.slot_map.view();
         self.drop_moved_slots(&view);
         let mut complete = true;
         for (number, stored) in view.iter().enumerate() {
@@ -266,7 +266,7 @@
         moves: &[(u16, id::Instance, Epoch)],
         draining: bool,
     ) -> bool {
-        let stored = self.map.view()[usize::from(number)].clone();
+        let stored = self.slot_map.view()[usize::from(number)].clone();
         let still_owned = |(index, _, epoch): &&(u16, id::Instance, Epoch)| {
             stored
                 .shard
@@ -283,7 +283,7 @@
         }
         let shard = stored.shard.with_owners(&current);
         match self
-            .map
+            .slot_map
             .compare_and_swap(&*self.kv, number, &stored, shard)
             .await
         {
@@ -293,7 +293,7 @@
                     shard = number,
                     moves = current.len()
                 );
-                self.drop_moved_slots(&self.map.view());
+                self.drop_moved_slots(&self.slot_map.view());
                 true
             }
             result => {
--- a/crates/gradedyke/src/wire.rs
+++ b/crates/gradedyke/src/wire.rs
@@ -153,7 +153,7 @@
     ///
     /// # Errors
     ///
-    /// The frame is larger than [`MAX_FRAME`].
+    /// The frame is larger than [`MAX_FRAME_BYTES`].
     pub fn encode(&self) -> Result<Bytes, Error> {
         let bytes = postcard::to_stdvec(self).map_err(malformed)?;
         let mut buffer = BytesMut::with_capacity(bytes.len() + 4);
--- a/crates/gradedyke/tests/fleet.rs
+++ b/crates/gradedyke/tests/fleet.rs
@@ -52,13 +52,13 @@
     let fleet = fleet(&["north"]);
     let now = Instant::now();
     let before = candidates(&fleet, now)[0];
-    let booked = fleet
+    let guard = fleet
         .start_call(before.key, chain().keys(), &[10], 64)
         .unwrap();
     let during = candidates(&fleet, now)[0];
     assert_eq!((during.in_flight, during.pending_tokens), (1, 64));
     assert_eq!(during.cached_tokens, 10);
-    drop(booked);
+    drop(guard);
     let after = candidates(&fleet, now)[0];
     assert_eq!((after.in_flight, after.pending_tokens), (0, 0));
 }
@@ -86,7 +86,7 @@
     let fleet = fleet(&["north", "south"]);
     let now = Instant::now();
     let key = candidates(&fleet, now)[0].key;
-    let booked = fleet.start_call(key, chain().keys(), &[10], 64);
+    let guard = fleet.start_call(key, chain().keys(), &[10], 64);
     // Each step: the evacuated data centres, and the number of candidates.
     let steps: [(&[&str], usize); 4] = [
         (&["north"], 1),
@@ -102,7 +102,7 @@
     }
     // The server that was evacuated in between has kept its calls in progress.
     assert_eq!(candidates(&fleet, now)[0].in_flight, 1);
-    drop(booked);
+    drop(guard);
 }
 
 #[tokio::test]
