--- a/crates/gradedyke/src/routing/mod.rs
+++ b/crates/gradedyke/src/routing/mod.rs
@@ -64,14 +64,14 @@
 
 inventory::collect!(Plugin);
 
-/// Returns a fault for each routing policy in the settings that is not registered.
+/// Returns a violation for each routing policy in the settings that is not registered.
 ///
 /// ```
 /// use gradedyke_base::settings::tree::Tree;
 ///
 /// let mut tree = Tree::default();
 /// tree.defaults.routing = Some("fastest".to_owned());
-/// assert_eq!(gradedyke::routing::faults(&tree)[0].path, "defaults.routing");
+/// assert_eq!(gradedyke::routing::check_policies(&tree)[0].path, "defaults.routing");
 /// ```
 pub fn check_policies(tree: &Tree) -> Vec<Violation> {
     let mut policy_settings = vec![("defaults".to_owned(), &tree.defaults)];
