--- a/crates/gradedyke-backend/tests/contract.rs
+++ b/crates/gradedyke-backend/tests/contract.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use gradedyke_backend::chat::{Completion, Message};
-use gradedyke_backend::engine::{Action, Call, Chunks, Order, Pin};
+use gradedyke_backend::engine::{Action, Call, ChunkStream, Order, Pin};
 use gradedyke_backend::prefix::Chain;
 use gradedyke_backend::{Engine, Error, Service, engine_http, service};
 use gradedyke_base::id;
@@ -23,9 +23,9 @@
 
 async fn start(config: Config) -> (Arc<engine::Engine>, engine_http::Http) {
     let engine = engine::Engine::start(config);
-    let listener = Arc::new(engine::Listener(engine.clone()));
+    let handler = Arc::new(engine::EngineHandler(engine.clone()));
     let stop = CancellationToken::new();
-    let address = gradedyke_standin::serve(listener, any_port(), &stop)
+    let address = gradedyke_standin::serve(handler, any_port(), &stop)
         .await
         .unwrap();
     let client = Client::new(&client::Config::default());
@@ -40,8 +40,8 @@
     let messages: Vec<_> = texts.iter().map(|t| message(t)).collect();
     let account = id::Account::parse("kestrel").unwrap();
     Call {
-        attempt: attempt.to_owned(),
-        chain: Chain::over(&account, "m", &messages),
+        attempt_id: attempt.to_owned(),
+        chain: Chain::from_messages(&account, "m", &messages),
         request: serde_json::from_value(
             json!({ "model": "m", "messages": messages, "stream": true, "max_tokens": 16 }),
         )
@@ -50,7 +50,7 @@
     }
 }
 
-async fn collect(mut chunks: Box<dyn Chunks>) -> Result<Completion, Error> {
+async fn collect(mut chunks: Box<dyn ChunkStream>) -> Result<Completion, Error> {
     let mut completion = Completion::default();
     while let Some(chunk) = chunks.next().await? {
         for choice in chunk.choices {
@@ -93,12 +93,12 @@
 #[tokio::test]
 async fn a_cancelled_stream_ends_with_an_error() {
     let (stand_in, engine) = start(Config::default()).await;
-    stand_in.hold_at(Some(2));
+    stand_in.stall_at(Some(2));
     let mut chunks = engine.chat(&call("a", &["hello"])).await.unwrap();
     chunks.next().await.unwrap().unwrap();
     engine.cancel("a").await.unwrap();
     engine.cancel("a").await.unwrap();
-    assert!(matches!(collect(chunks).await, Err(Error::Broken(_))));
+    assert!(matches!(collect(chunks).await, Err(Error::Interrupted(_))));
 }
 
 #[tokio::test]
@@ -162,15 +162,15 @@
     let closed_port = SocketAddr::from(([127, 0, 0, 1], 1));
     let engine = engine_http::Http::new(closed_port, client, TIMEOUT);
     let error = engine.chat(&call("a", &["hello"])).await.err().unwrap();
-    assert!(error.not_run(), "{error}");
+    assert!(error.is_not_run(), "{error}");
 }
 
 #[tokio::test]
 async fn a_service_reports_whether_a_call_ran() {
     let stand_in = gradedyke_standin::service::Service::default();
     let stop = CancellationToken::new();
-    let listener = Arc::new(stand_in.clone());
-    let address = gradedyke_standin::serve(listener, any_port(), &stop)
+    let handler = Arc::new(stand_in.clone());
+    let address = gradedyke_standin::serve(handler, any_port(), &stop)
         .await
         .unwrap();
     let path = Some("/outcomes/{key}".to_owned());
@@ -183,27 +183,27 @@
     };
     // Behaviour of the service, status that the caller gets, whether the call ran.
     let cases = [
-        (Mode::Well, Some(200), true),
+        (Mode::Normal, Some(200), true),
         (Mode::Late(1), Some(200), true),
         (Mode::Fail(500), Some(500), false),
         (Mode::LoseAnswer, None, true),
         (Mode::Hang, None, true),
     ];
     for (i, (mode, status, ran)) in cases.into_iter().enumerate() {
-        stand_in.set(mode);
+        stand_in.set_mode(mode);
         let key = i.to_string();
         let timeout = Duration::from_millis(if status.is_some() { 5_000 } else { 50 });
         let reply = service.call(&key, &call, timeout).await;
         match (&reply, status) {
             (Ok(reply), Some(status)) => assert_eq!(reply.status, status),
-            (Err(error), None) => assert!(!error.not_run(), "{mode:?}: {error}"),
+            (Err(error), None) => assert!(!error.is_not_run(), "{mode:?}: {error}"),
             _ => panic!("{mode:?}: {reply:?}"),
         }
         if ran {
             // The caller may have timed out before the call arrived.
             let has_arrived =
                 |s: &gradedyke_standin::service::Service| s.runs().iter().any(|r| r.key == key);
-            stand_in.until(has_arrived).await;
+            stand_in.wait_until(has_arrived).await;
         }
         let runs = stand_in.runs();
         assert_eq!(runs.iter().any(|r| r.key == key), ran, "{mode:?}");
--- a/crates/gradedyke-gateway/src/entry/admission.rs
+++ b/crates/gradedyke-gateway/src/entry/admission.rs
@@ -108,7 +108,7 @@
             if now + MIN_BACKOFF >= deadline {
                 return Err(Refusal::NoKeepers);
             }
-            tokio::time::sleep(backoff.step(rand::random())).await;
+            tokio::time::sleep(backoff.next_delay(rand::random())).await;
         }
     }
 }
--- a/crates/gradedyke-load/src/memory.rs
+++ b/crates/gradedyke-load/src/memory.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use gradedyke_client::{Caller, Options};
-use gradedyke_world::{KESTREL, chat, user};
+use gradedyke_world::{KESTREL_KEY, chat_body, user_message};
 use serde_json::{Value, json};
 
 use crate::instance::Instance;
--- a/crates/gradedyke-load/src/overhead.rs
+++ b/crates/gradedyke-load/src/overhead.rs
@@ -9,7 +9,9 @@
 use gradedyke_base::settings::tree::hash_key;
 use gradedyke_client::{Caller, Options};
 use gradedyke_standin::engine;
-use gradedyke_world::{Config, KESTREL, OPERATOR, World, chat, loopback, user};
+use gradedyke_world::{
+    Config, Deployment, KESTREL_KEY, OPERATOR_KEY, chat_body, loopback_address, user_message,
+};
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
 
@@ -36,11 +38,11 @@
         "deployment": "load",
         "data_centre": "demo-1",
         "roles": ["entry", "owner", "keeper", "admin"],
-        "listen": { "caller": loopback(), "peer": loopback(), "admin": loopback() },
+        "listen": { "caller": loopback_address(), "peer": loopback_address(), "admin": loopback_address() },
         "platform": { "key_value": [platform] },
         "copies": copies,
         "lease_ms": lease_ms,
-        "operator_hash": hash_key(OPERATOR),
+        "operator_hash": hash_key(OPERATOR_KEY),
     })
 }
 
@@ -50,7 +52,7 @@
         addresses: vec![world.platform_address],
         time: CALL_TIMEOUT,
     });
-    let tree = gradedyke_base::settings::check::read("load", &world.tree.to_string());
+    let tree = gradedyke_base::settings::check::read("load", &deployment.tree.to_string());
     let tree = tree.map_err(|e| eyre::eyre!("{e:?}"))?;
     gradedyke::current::apply(&kv, tree, 0).await?;
     Ok(())
@@ -69,9 +71,9 @@
         defaults: json!({ "max_tokens": 4, "budget_tokens": 100_000_000 }),
         ..Config::default()
     };
-    let mut world = World::surroundings(config).await?;
-    world.tree["accounts"]["kestrel"]["concurrent"] = json!(100_000);
-    Ok(world)
+    let mut deployment = Deployment::start_stand_ins(config).await?;
+    deployment.tree["accounts"]["kestrel"]["concurrent"] = json!(100_000);
+    Ok(deployment)
 }
 
 /// Latencies in nanoseconds of the calls of one run, and its duration.
@@ -143,7 +145,7 @@
     engine: SocketAddr,
     request_id: String,
 ) -> eyre::Result<()> {
-    let mut body = chat(&[user("Draft.")]);
+    let mut body = chat_body(&[user_message("Draft.")]);
     body["max_tokens"] = json!(4);
     let body = gradedyke_http::body::full(body.to_string());
     let path = "/v1/chat/completions";
@@ -179,7 +181,12 @@
         ..Options::request(number.to_string())
     };
     caller
-        .chat(entry, &program, &chat(&[user("Draft.")]), options)
+        .chat(
+            entry,
+            &program,
+            &chat_body(&[user_message("Draft.")]),
+            options,
+        )
         .await?;
     if number % TURNS_PER_PROGRAM == TURNS_PER_PROGRAM - 1 {
         caller.program(entry, &program, "end").await?;
@@ -235,7 +242,7 @@
     duration: Duration,
     max_rate: f64,
 ) -> eyre::Result<Value> {
-    let tag = gradedyke_base::id::Request::fresh().to_string();
+    let tag = gradedyke_base::id::Request::generate().to_string();
     let client = gradedyke_http::Client::new(&gradedyke_http::client::Config::default());
     let direct_tag = tag.clone();
     let direct = generate_load(workers, duration, max_rate, move |worker, number| {
@@ -305,7 +312,7 @@
     let bytes_with_streams = instance.resident_bytes()?;
     world.engines[0].hold_at(None);
     for stream in streams {
-        stream.rest().await?;
+        stream.read_to_end().await?;
     }
     Ok(bytes_with_streams.saturating_sub(bytes_before) / OPEN_STREAM_COUNT as u64)
 }
--- a/crates/gradedyke-load/src/relay.rs
+++ b/crates/gradedyke-load/src/relay.rs
@@ -11,7 +11,7 @@
 use gradedyke::wire::{Frame, Reader};
 use gradedyke_http::server::{Config, Handler, Protocol, Server};
 use gradedyke_http::{Body, Client, body, client};
-use gradedyke_world::loopback;
+use gradedyke_world::loopback_address;
 use http::{Method, Request, Response};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
@@ -60,7 +60,7 @@
         protocol: Protocol::Both,
         ..Config::default()
     };
-    let server = Server::bind(loopback(), config).await?;
+    let server = Server::bind(loopback_address(), config).await?;
     let address = server.address()?;
     let stop = CancellationToken::new();
     tokio::spawn(server.serve(Arc::new(FrameHandler { tokens }), stop.clone()));
@@ -72,7 +72,7 @@
     let measured = measure(|| {
         let client = client.clone();
         async move {
-            let request = client::build(Method::GET, address, "/", body::empty())?;
+            let request = client::build_request(Method::GET, address, "/", body::empty())?;
             let mut incoming = client.send(address, request).await?.into_body();
             let mut reader = Reader::new();
             let mut received = 0;
@@ -111,7 +111,7 @@
         },
     )?;
     let server = jsonrpsee::server::Server::builder()
-        .build(loopback())
+        .build(loopback_address())
         .await?;
     let url = format!("ws://{}", server.local_addr()?);
     let handle = server.start(module);
--- a/crates/gradedyke-load/src/takeover.rs
+++ b/crates/gradedyke-load/src/takeover.rs
@@ -4,7 +4,7 @@
 
 use eyre::OptionExt;
 use gradedyke_client::{Caller, Options};
-use gradedyke_world::{KESTREL, chat, user};
+use gradedyke_world::{KESTREL_KEY, chat_body, user_message};
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
 
@@ -80,7 +80,7 @@
                 append: true,
                 ..Options::request("next")
             };
-            let body = chat(&[user("Go on.")]);
+            let body = chat_body(&[user_message("Go on.")]);
             let call = caller.chat(entry, &program, &body, options);
             let succeeded = call.await.is_ok();
             let elapsed_ms = u64::try_from(killed_at.elapsed().as_millis()).unwrap_or(u64::MAX);
--- a/crates/gradedyke/src/entry/mod.rs
+++ b/crates/gradedyke/src/entry/mod.rs
@@ -50,14 +50,14 @@
     /// Creates the entry role of a process from the process's shared state.
     pub fn new(kernel: &Kernel) -> Self {
         let config = client::Config {
-            connect: CONNECT_TIMEOUT,
+            connect_timeout: CONNECT_TIMEOUT,
             http2: false,
-            keep: true,
+            reuse_connections: true,
         };
         Self {
             members: kernel.members.clone(),
-            slot_map: kernel.map.clone(),
-            active_settings: kernel.current.clone(),
+            slot_map: kernel.slot_map.clone(),
+            active_settings: kernel.active_settings.clone(),
             limits: kernel.settings.limits.clone(),
             keys: keys::Keys::default(),
             admission: admission::Admission::default(),
--- a/crates/gradedyke/src/keeper.rs
+++ b/crates/gradedyke/src/keeper.rs
@@ -15,13 +15,13 @@
         mount: |kernel: &Arc<Kernel>, mounts: &mut Mounts| {
             let store = match &kernel.settings.data_folder {
                 Some(folder) => Store::open(folder)?,
-                None => Store::memory()?,
+                None => Store::in_memory()?,
             };
             let identity = store.identity().to_owned();
             let keeper = Arc::new(store);
             kernel.members.set_store(&identity);
             kernel.keepers.set_own(&identity, keeper.clone());
-            mounts.methods(Service::new(keeper, &identity).into_rpc())
+            mounts.add_rpc_methods(Service::new(keeper, &identity).into_rpc())
         },
     }
 }
--- a/crates/gradedyke/src/kernel/process.rs
+++ b/crates/gradedyke/src/kernel/process.rs
@@ -10,7 +10,7 @@
 use gradedyke_http::{Handler, Server};
 use gradedyke_journal::Journal;
 use gradedyke_platform::etcd::{self, Etcd};
-use gradedyke_platform::instances::{Consul, Instances};
+use gradedyke_platform::instances::{Consul, List};
 use gradedyke_platform::kv::KeyValue;
 use jsonrpsee::server::stop_channel;
 use tokio::task::JoinSet;
@@ -64,8 +64,8 @@
         let limits = &settings.limits;
         let public_config = Config {
             protocol: Protocol::Http1,
-            head: Duration::from_millis(limits.head_ms),
-            connections: limits.connections,
+            header_timeout: Duration::from_millis(limits.head_ms),
+            max_connections: limits.connections,
             ..Config::default()
         };
         let peer_config = Config {
@@ -77,7 +77,7 @@
             server.wrap_err_with(|| format!("cannot listen on {address}; free it or change listen"))
         };
         let caller = match settings.listen.caller {
-            Some(address) if settings.runs(Role::Entry) => {
+            Some(address) if settings.has_role(Role::Entry) => {
                 Some(bind(address, public_config.clone()).await?)
             }
             _ => None,
@@ -124,12 +124,12 @@
     pub async fn start(settings: Instance) -> eyre::Result<Self> {
         let kv = Etcd::new(etcd::Config {
             addresses: settings.platform.key_value.clone(),
-            time: PLATFORM_TIMEOUT,
+            timeout: PLATFORM_TIMEOUT,
         });
-        let instances = settings.platform.instances;
-        let instances =
-            instances.map(|a| Arc::new(Consul::new(a, PLATFORM_TIMEOUT)) as Arc<dyn Instances>);
-        Self::start_with_platform(settings, Arc::new(kv), instances).await
+        let address = settings.platform.instances;
+        let instance_list =
+            address.map(|a| Arc::new(Consul::new(a, PLATFORM_TIMEOUT)) as Arc<dyn List>);
+        Self::start_with_platform(settings, Arc::new(kv), instance_list).await
     }
 
     /// Starts a process that uses the given platform services.
@@ -140,7 +140,7 @@
     pub async fn start_with_platform(
         settings: Instance,
         kv: Arc<dyn KeyValue>,
-        instances: Option<Arc<dyn Instances>>,
+        instance_list: Option<Arc<dyn List>>,
     ) -> eyre::Result<Self> {
         metering::install();
         let listeners = Listeners::bind(&settings).await?;
@@ -152,12 +152,12 @@
             journal: Journal::new(keepers.clone(), stop.clone()),
             settings,
             kv,
-            instances,
+            instance_list,
             members,
-            map: Arc::default(),
-            current: Arc::default(),
+            slot_map: Arc::default(),
+            active_settings: Arc::default(),
             keepers,
-            drain: CancellationToken::new(),
+            draining: CancellationToken::new(),
             stop,
         });
         let mut mounts = Mounts::default();
@@ -219,16 +219,16 @@
         let Kernel {
             kv,
             members,
-            map,
-            current,
+            slot_map,
+            active_settings,
             stop,
             settings,
             ..
         } = &*kernel;
         let lease_ttl = Duration::from_millis(settings.lease_ms);
         let tasks = &mut self.tasks;
-        tasks.spawn(current.clone().follow(kv.clone(), stop.clone()));
-        tasks.spawn(map.clone().follow(kv.clone(), stop.clone()));
+        tasks.spawn(active_settings.clone().follow(kv.clone(), stop.clone()));
+        tasks.spawn(slot_map.clone().follow(kv.clone(), stop.clone()));
         tasks.spawn(members.clone().follow(kv.clone(), stop.clone()));
         tasks.spawn(
             members
@@ -248,7 +248,7 @@
     }
 
     /// Waits until callers may send requests to this process.
-    pub async fn ready(&self) {
+    pub async fn wait_ready(&self) {
         while !self.kernel.is_ready() {
             tokio::time::sleep(READY_POLL_INTERVAL).await;
         }
@@ -263,7 +263,7 @@
         let timeout = Duration::from_millis(limits.drain_ms);
         let leave_delay = Duration::from_millis(limits.leave_ms);
         tracing::info!(event = "draining", instance = %self.kernel.settings.id);
-        self.kernel.drain.cancel();
+        self.kernel.draining.cancel();
         self.kernel.members.set_draining();
         let draining = async {
             tokio::time::sleep(leave_delay).await;
--- a/crates/gradedyke/src/membership.rs
+++ b/crates/gradedyke/src/membership.rs
@@ -13,7 +13,7 @@
 
 use gradedyke_base::id;
 use gradedyke_base::settings::instance::Role;
-use gradedyke_platform::kv::{Error, Event, KeyValue, Lease, Swap, Swapped};
+use gradedyke_platform::kv::{Error, Event, KeyValue, Lease, Outcome, Swap};
 use serde::{Deserialize, Serialize};
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
@@ -21,7 +21,7 @@
 use crate::watching;
 
 /// Key prefix of the members' registrations.
-pub const PREFIX: &str = "gradedyke/members/";
+pub const MEMBER_KEY_PREFIX: &str = "gradedyke/members/";
 /// Delay before a failed registration is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 /// Number of times that a lease is renewed within its time to live.
@@ -59,7 +59,7 @@
     }
 
     /// Whether the process runs `role`.
-    pub fn runs(&self, role: Role) -> bool {
+    pub fn has_role(&self, role: Role) -> bool {
         self.roles.contains(&role)
     }
 }
@@ -138,7 +138,7 @@
         }
         if let Some(lease) = lease {
             // If this fails, the lease expires by itself.
-            let _ = kv.revoke(lease).await;
+            let _ = kv.revoke_lease(lease).await;
         }
     }
 
@@ -150,7 +150,7 @@
         ttl: Duration,
         current_lease: &mut Option<Lease>,
     ) -> Result<(), Error> {
-        let lease = kv.grant(ttl).await?;
+        let lease = kv.grant_lease(ttl).await?;
         *current_lease = Some(lease);
         let mut own = self.own.subscribe();
         loop {
@@ -171,8 +171,8 @@
     /// Renews the lease. Fails only if the lease has expired; other failures are
     /// logged, because a later renewal may still succeed in time.
     async fn renew(&self, kv: &dyn KeyValue, lease: Lease) -> Result<(), Error> {
-        match kv.renew(lease).await {
-            Err(Error::LeaseGone) => Err(Error::LeaseGone),
+        match kv.renew_lease(lease).await {
+            Err(Error::LeaseExpired) => Err(Error::LeaseExpired),
             Err(error) => {
                 tracing::warn!(event = "lease_not_renewed", %error);
                 Ok(())
@@ -188,40 +188,40 @@
         lease: Lease,
         member: &Member,
     ) -> Result<(), Error> {
-        let key = format!("{PREFIX}{}", member.id);
+        let key = format!("{MEMBER_KEY_PREFIX}{}", member.id);
         let value = serde_json::to_vec(member).map_err(|e| Error::Refused(e.to_string()))?;
-        let mut expected = 0;
+        let mut expected_revision = 0;
         loop {
             let swap = Swap {
                 key: key.clone(),
-                expected,
+                expected_revision,
                 value: Some(value.clone()),
                 lease: Some(lease),
             };
             // Only this instance writes this key, so an existing value is its
             // own earlier registration and can be replaced.
             match kv.swap(swap).await? {
-                Swapped::Done(_) => return Ok(()),
-                Swapped::Conflict(found) => expected = found.map_or(0, |e| e.revision),
+                Outcome::Written(_) => return Ok(()),
+                Outcome::Conflict(found) => expected_revision = found.map_or(0, |e| e.revision),
             }
         }
     }
 
     /// Watches the members until `stop` is cancelled.
     pub async fn follow(self: Arc<Self>, kv: Arc<dyn KeyValue>, stop: CancellationToken) {
-        watching::keep("members", stop, || self.watch(&*kv)).await;
+        watching::run_until_stopped("members", stop, || self.watch(&*kv)).await;
     }
 
     /// Reads the members and applies changes until the watch fails.
     async fn watch(&self, kv: &dyn KeyValue) -> Result<(), Error> {
-        let listing = kv.list(PREFIX).await?;
+        let listing = kv.list(MEMBER_KEY_PREFIX).await?;
         let members = listing
             .entries
             .iter()
             .filter_map(|e| parse_member(&e.value));
         let view: BTreeMap<_, _> = members.map(|m| (m.id.clone(), m)).collect();
         self.set_view(view);
-        let mut watch = kv.watch(PREFIX, listing.revision + 1).await?;
+        let mut watch = kv.watch(MEMBER_KEY_PREFIX, listing.revision + 1).await?;
         loop {
             let events = watch.next().await?;
             let mut view = BTreeMap::clone(&self.view());
@@ -258,7 +258,7 @@
             }
         }
         Event::Delete { key, .. } => {
-            let name = key.strip_prefix(PREFIX).unwrap_or(&key);
+            let name = key.strip_prefix(MEMBER_KEY_PREFIX).unwrap_or(&key);
             view.retain(|id, _| id.as_str() != name);
         }
     }
--- a/crates/gradedyke/src/owner/attempt.rs
+++ b/crates/gradedyke/src/owner/attempt.rs
@@ -5,7 +5,7 @@
 
 use gradedyke_backend::Error;
 use gradedyke_backend::chat::{Chunk, Completion, Usage};
-use gradedyke_backend::engine::{Call, Chunks};
+use gradedyke_backend::engine::{Call, ChunkStream};
 use gradedyke_base::retry::Backoff;
 use tokio::time::Instant;
 
@@ -50,22 +50,22 @@
         context.answer.restart();
         match read_stream(context, chunks, 0).await {
             Ok(result) => result,
-            Err(_) => resume(context, choice, &call.attempt, MAX_RESUMES).await,
+            Err(_) => resume(context, choice, &call.attempt_id, MAX_RESUMES).await,
         }
     };
     let result = tokio::select! {
         result = response => result,
         () = context.answer.cancel.cancelled() => {
-            AttemptResult::Lost(Error::Broken("cancelled".to_owned()))
+            AttemptResult::Lost(Error::Interrupted("cancelled".to_owned()))
         }
         () = tokio::time::sleep_until(context.deadline()) => {
-            AttemptResult::Lost(Error::Broken("the deadline passed".to_owned()))
+            AttemptResult::Lost(Error::Interrupted("the deadline passed".to_owned()))
         }
     };
     match &result {
-        AttemptResult::Complete(..) => fleet.succeeded(choice.key),
+        AttemptResult::Complete(..) => fleet.record_success(choice.key),
         AttemptResult::NotRun(_) | AttemptResult::Lost(_) => {
-            fleet.failed(choice.key, Instant::now())
+            fleet.record_failure(choice.key, Instant::now())
         }
         AttemptResult::Invalid(_) | AttemptResult::Diverged => {}
     }
@@ -75,7 +75,7 @@
 fn classify(error: Error) -> AttemptResult {
     match error {
         Error::Invalid { .. } => AttemptResult::Invalid(error),
-        Error::Broken(_) => AttemptResult::Lost(error),
+        Error::Interrupted(_) => AttemptResult::Lost(error),
         _ => AttemptResult::NotRun(error),
     }
 }
@@ -91,7 +91,7 @@
     let BackendClient::Engine(engine) = &choice.client else {
         return AttemptResult::NotRun(Error::NotSent("not an engine".to_owned()));
     };
-    let mut error = Error::Broken("the stream was cut".to_owned());
+    let mut error = Error::Interrupted("the stream was cut".to_owned());
     for _ in 0..tries {
         let offset = context.answer.len();
         let resumed = match engine.resume(attempt_id, offset as u64).await {
@@ -110,7 +110,7 @@
 /// byte offset `position`.
 async fn read_stream(
     context: &Context,
-    mut chunks: Box<dyn Chunks>,
+    mut chunks: Box<dyn ChunkStream>,
     mut position: usize,
 ) -> Result<AttemptResult, Error> {
     let mut completion = Completion::default();
@@ -162,7 +162,7 @@
     tokio::spawn(async move {
         let mut backoff = Backoff::new(MIN_CANCEL_BACKOFF, MAX_CANCEL_BACKOFF, MAX_CANCEL_RETRIES);
         while engine.cancel(&attempt_id).await.is_err() {
-            let Some(wait) = backoff.wait(rand::random()) else {
+            let Some(wait) = backoff.next_retry_delay(rand::random()) else {
                 return;
             };
             tokio::select! {
--- a/crates/gradedyke/src/owner/mod.rs
+++ b/crates/gradedyke/src/owner/mod.rs
@@ -48,8 +48,8 @@
     id: id::Instance,
     kv: Arc<dyn KeyValue>,
     members: Arc<Members>,
-    map: Arc<Map>,
-    current: Arc<Current>,
+    slot_map: Arc<Map>,
+    active_settings: Arc<Current>,
     fleet: Arc<Fleet>,
     policies: BTreeMap<&'static str, Arc<dyn Policy>>,
     journal: Arc<Journal>,
@@ -72,14 +72,14 @@
             id: kernel.settings.id.clone(),
             kv: kernel.kv.clone(),
             members: kernel.members.clone(),
-            map: kernel.map.clone(),
-            current: kernel.current.clone(),
+            slot_map: kernel.slot_map.clone(),
+            active_settings: kernel.active_settings.clone(),
             fleet: Arc::new(Fleet::new(&kernel.settings.data_centre)),
             policies: routing::policies(),
             journal: kernel.journal.clone(),
             served_slots: Mutex::default(),
             served_count: watch::Sender::new(0),
-            draining: kernel.drain.clone(),
+            draining: kernel.draining.clone(),
             stop: kernel.stop.clone(),
             tasks: TaskTracker::new(),
         })
@@ -90,13 +90,13 @@
         let assigner = crate::ownership::assign::Assigner::new(
             self.kv.clone(),
             self.members.clone(),
-            self.map.clone(),
+            self.slot_map.clone(),
             kernel.settings.copies,
         );
         tokio::spawn(assigner.run(self.stop.clone()));
         tokio::spawn(takeover::run(self.clone()));
         tokio::spawn(sweep::run(self.clone()));
-        tokio::spawn(poll::run(self.clone(), kernel.instances.clone()));
+        tokio::spawn(poll::run(self.clone(), kernel.instance_list.clone()));
     }
 
     /// Returns a slot that is served here.
@@ -135,7 +135,7 @@
 /// Returns the error for a slot whose owner is changing.
 pub fn slot_moving() -> Problem {
     let message = "the program's owner is changing; send the request again with the same id";
-    Problem::new(Kind::Moving, message).retry_after(MOVING_RETRY_AFTER)
+    Problem::new(Kind::Moving, message).with_retry_after(MOVING_RETRY_AFTER)
 }
 
 inventory::submit! {
@@ -144,8 +144,8 @@
         mount: |kernel: &Arc<Kernel>, mounts: &mut Mounts| {
             let owner = Owner::new(kernel);
             owner.start(kernel);
-            mounts.methods(rpc::methods(owner.clone()))?;
-            mounts.calls(Arc::new(accept::CallHandler::new(owner.clone())));
+            mounts.add_rpc_methods(rpc::methods(owner.clone()))?;
+            mounts.set_call_handler(Arc::new(accept::CallHandler::new(owner.clone())));
             mounts.on_drain(move || {
                 let owner = owner.clone();
                 Box::pin(async move { owner.wait_until_drained().await })
--- a/crates/gradedyke/src/owner/poll.rs
+++ b/crates/gradedyke/src/owner/poll.rs
@@ -7,7 +7,7 @@
 
 use gradedyke_backend::Engine;
 use gradedyke_base::id;
-use gradedyke_platform::instances::{Instances, State};
+use gradedyke_platform::instances::{List, State};
 use tokio_util::sync::CancellationToken;
 
 use super::Owner;
@@ -26,15 +26,15 @@
 
 /// Runs a polling task for each engine in the current settings until the process
 /// stops.
-pub(super) async fn run(owner: Arc<Owner>, instances: Option<Arc<dyn Instances>>) {
-    if let Some(instances) = instances {
-        tokio::spawn(watch_instance_list(owner.clone(), instances));
+pub(super) async fn run(owner: Arc<Owner>, instance_list: Option<Arc<dyn List>>) {
+    if let Some(instance_list) = instance_list {
+        tokio::spawn(watch_instance_list(owner.clone(), instance_list));
     }
-    let mut revision = owner.current.subscribe();
+    let mut revision = owner.active_settings.subscribe();
     let mut polling_tasks: HashMap<ServerKey, CancellationToken> = HashMap::new();
     loop {
         revision.borrow_and_update();
-        owner.fleet.update(&owner.current.get().tree);
+        owner.fleet.update(&owner.active_settings.get().tree);
         let engines = owner.fleet.all_engines();
         polling_tasks.retain(|key, stop| {
             let is_configured = engines.iter().any(|(k, ..)| k == key);
@@ -71,14 +71,14 @@
             () = stop.cancelled() => return,
         }
         match engine.load().await {
-            Ok(load) => owner.fleet.report(key, load),
+            Ok(load) => owner.fleet.set_load(key, load),
             Err(error) => {
                 tracing::debug!(event = "load_not_read", backend = %id, %error);
                 continue;
             }
         }
         if let Ok(events) = engine.cache_events(owner.fleet.last_event(key)).await {
-            owner.fleet.cache_events(key, &events);
+            owner.fleet.apply_cache_events(key, &events);
         }
         round += 1;
         if round % ROUNDS_PER_PIN_CHECK == 0 {
@@ -107,12 +107,12 @@
     }
 }
 
-async fn watch_instance_list(owner: Arc<Owner>, instances: Arc<dyn Instances>) {
+async fn watch_instance_list(owner: Arc<Owner>, instance_list: Arc<dyn List>) {
     loop {
-        match instances.list(BACKEND_SERVICE).await {
+        match instance_list.list(BACKEND_SERVICE).await {
             Ok(list) => {
                 let leaving = list.into_iter().filter(|i| i.state == State::Leaving);
-                owner.fleet.leaving(&leaving.map(|i| i.id).collect());
+                owner.fleet.set_leaving(&leaving.map(|i| i.id).collect());
             }
             Err(error) => tracing::warn!(event = "instance_list_not_read", %error),
         }
--- a/crates/gradedyke/src/owner/session.rs
+++ b/crates/gradedyke/src/owner/session.rs
@@ -13,7 +13,7 @@
 use super::answer::{Answer, End};
 use super::lock;
 use crate::program::budget::{Budget, MAX_TEMPLATE_TOKENS};
-use crate::program::record::{Intent, Record, Why};
+use crate::program::record::{Intent, Reason, Record};
 use crate::program::state::{Program, ProgramKey, Tree};
 use crate::routing::fleet;
 use crate::wire::{History, Outcome};
@@ -139,7 +139,7 @@
     }
 
     /// Returns the programs of the tree with the reason why they ended, root first.
-    pub fn programs(&self) -> Vec<(ProgramKey, id::Program, Option<Why>)> {
+    pub fn programs(&self) -> Vec<(ProgramKey, id::Program, Option<Reason>)> {
         let inner = lock(&self.inner);
         let program = |(key, p): (ProgramKey, &Program)| (key, p.id.clone(), p.ended);
         let mut programs: Vec<_> = inner.tree.programs().map(program).collect();
@@ -387,7 +387,11 @@
     if history == History::Append {
         return Ok(sent.to_vec());
     }
-    let agrees = known.len() <= sent.len() && known.iter().zip(sent).all(|(a, b)| chat::same(a, b));
+    let agrees = known.len() <= sent.len()
+        && known
+            .iter()
+            .zip(sent)
+            .all(|(a, b)| chat::is_same_message(a, b));
     if !agrees {
         let message = "the messages do not go on from the program's history; read it with GET \
                        /v1/programs/{id}/history, or send only what is new with the header \
--- a/crates/gradedyke/src/owner/tool.rs
+++ b/crates/gradedyke/src/owner/tool.rs
@@ -17,7 +17,7 @@
 use crate::program::record::Intent;
 use crate::routing::CallInfo;
 use crate::routing::fleet::{BackendClient, Choice, ServerKey};
-use crate::wire::{Outcome, Work};
+use crate::wire::{Operation, Outcome};
 
 /// First backoff before another attempt or outcome query.
 const MIN_RETRY_BACKOFF: Duration = Duration::from_millis(50);
@@ -33,7 +33,7 @@
 /// Runs a new call.
 pub(super) async fn call(
     context: &Context,
-    work: &Work,
+    work: &Operation,
     name: &str,
     call: &service::Call,
     repeatable: bool,
@@ -77,7 +77,7 @@
         now,
     };
     let key = context.route(&call_info, &candidates)?;
-    owner.fleet.book(key, &[], &[], 0)
+    owner.fleet.start_call(key, &[], &[], 0)
 }
 
 /// Makes attempts until one is answered or no retry is left. `may_have_run`
@@ -100,18 +100,21 @@
                 avoid.push(chosen.key);
                 match result {
                     Ok(reply) => {
-                        context.owner.fleet.succeeded(chosen.key);
+                        context.owner.fleet.record_success(chosen.key);
                         return Ok(finished(Outcome::Service(reply)));
                     }
                     Err(error) => {
-                        context.owner.fleet.failed(chosen.key, Instant::now());
+                        context
+                            .owner
+                            .fleet
+                            .record_failure(chosen.key, Instant::now());
                         error
                     }
                 }
             }
             None => Error::NotSent(format!("no backend server offers {name} now")),
         };
-        if !failed.not_run() {
+        if !failed.is_not_run() {
             may_have_run = true;
             if !repeatable {
                 return Ok(determine_outcome(context, choice.as_ref(), &failed.to_string()).await);
@@ -120,7 +123,10 @@
         tracing::warn!(event = "attempt_failed", program = %context.program,
             request = %context.request, error = %failed);
         let give_up = context.answer.cancel.is_cancelled() || Instant::now() >= context.deadline();
-        let Some(wait) = backoff.wait(rand::random()).filter(|_| !give_up) else {
+        let Some(wait) = backoff
+            .next_retry_delay(rand::random())
+            .filter(|_| !give_up)
+        else {
             return fail_unavailable(context, &failed, may_have_run).await;
         };
         tokio::select! {
@@ -147,7 +153,7 @@
     let response = service.call(&key, call, time_left);
     tokio::select! {
         result = response => result,
-        () = context.answer.cancel.cancelled() => Err(Error::Broken("cancelled".to_owned())),
+        () = context.answer.cancel.cancelled() => Err(Error::Interrupted("cancelled".to_owned())),
     }
 }
 
@@ -180,7 +186,7 @@
             Err(Error::Invalid { .. }) => return None,
             Ok(None) | Err(_) => {}
         }
-        tokio::time::sleep(backoff.wait(rand::random())?).await;
+        tokio::time::sleep(backoff.next_retry_delay(rand::random())?).await;
     }
 }
 
@@ -195,9 +201,9 @@
 ) -> Result<Finished, Abort> {
     let message = format!("no backend server ran the call ({error}); send it again later");
     if may_have_run {
-        let problem = Problem::new(Kind::BackendFailed, message).retry_after(RETRY_AFTER);
+        let problem = Problem::new(Kind::BackendFailed, message).with_retry_after(RETRY_AFTER);
         return Ok(finished(Outcome::Failed(problem)));
     }
-    let problem = Problem::new(Kind::Unavailable, message).retry_after(RETRY_AFTER);
+    let problem = Problem::new(Kind::Unavailable, message).with_retry_after(RETRY_AFTER);
     Err(context.withdraw(problem).await)
 }
--- a/crates/gradedyke/src/ownership/assign.rs
+++ b/crates/gradedyke/src/ownership/assign.rs
@@ -32,13 +32,13 @@
 
 /// Returns the members that may own slots, ordered by id.
 pub fn eligible_owners(members: &BTreeMap<id::Instance, Member>) -> Vec<&Member> {
-    let is_eligible = |m: &&Member| m.runs(Role::Owner) && !m.draining;
+    let is_eligible = |m: &&Member| m.has_role(Role::Owner) && !m.draining;
     members.values().filter(is_eligible).collect()
 }
 
 /// Returns the member with the highest rendezvous weight for `key`.
 pub fn highest_weight<'a>(key: &[u8], members: &[&'a Member]) -> Option<&'a Member> {
-    let weight = |m: &&&Member| id::weight(key, m.id.as_str());
+    let weight = |m: &&&Member| id::rendezvous_weight(key, m.id.as_str());
     members.iter().max_by_key(weight).copied()
 }
 
@@ -63,7 +63,7 @@
     let is_eligible = |m: &&Member| m.store.is_some() && !m.draining;
     let key = shard.to_le_bytes();
     let mut remaining: Vec<&Member> = members.values().filter(is_eligible).collect();
-    remaining.sort_by_key(|m| std::cmp::Reverse(id::weight(&key, m.id.as_str())));
+    remaining.sort_by_key(|m| std::cmp::Reverse(id::rendezvous_weight(&key, m.id.as_str())));
     let mut chosen: Vec<&Member> = Vec::new();
     while chosen.len() < copies && !remaining.is_empty() {
         let has_data_centre = |m: &Member| chosen.iter().any(|c| c.data_centre == m.data_centre);
@@ -119,7 +119,7 @@
     /// Creates an assigner that gives each shard `copies` keepers.
     pub fn new(kv: Arc<dyn KeyValue>, members: Arc<Members>, map: Arc<Map>, copies: usize) -> Self {
         let config = client::Config {
-            connect: PROBE_TIMEOUT,
+            connect_timeout: PROBE_TIMEOUT,
             ..client::Config::default()
         };
         Self {
@@ -156,7 +156,7 @@
             self.last_seen.insert(id.clone(), member.clone());
         }
         let own = self.members.own().id;
-        if !self.map.loaded() || !members.contains_key(&own) {
+        if !self.map.is_loaded() || !members.contains_key(&own) {
             return;
         }
         let owners = eligible_owners(&members);
@@ -207,7 +207,7 @@
     /// Returns whether an instance is registered in the key-value service. Also
     /// true if the service can't be read: writing would most likely fail as well.
     async fn is_registered(&self, owner: &id::Instance) -> bool {
-        let key = format!("{}{owner}", membership::PREFIX);
+        let key = format!("{}{owner}", membership::MEMBER_KEY_PREFIX);
         let found = self.kv.get(&key).await;
         found.map_or(true, |entry| entry.is_some())
     }
@@ -217,7 +217,7 @@
         let path = format!("/lives/{}", member.id);
         let answer: Result<bool, _> = self
             .client
-            .json(Method::GET, member.peer, &path, no_body, PROBE_TIMEOUT)
+            .send_json(Method::GET, member.peer, &path, no_body, PROBE_TIMEOUT)
             .await;
         answer.unwrap_or(false)
     }
