--- a/crates/gradedyke-gateway/src/entry/admission.rs
+++ b/crates/gradedyke-gateway/src/entry/admission.rs
@@ -91,7 +91,7 @@
             Decision::Unknown => {}
         }
         let deadline = call.deadline.min(now + USAGE_CHECK_TIMEOUT);
-        let mut backoff = Backoff::endless(MIN_BACKOFF, MAX_BACKOFF);
+        let mut backoff = Backoff::unlimited(MIN_BACKOFF, MAX_BACKOFF);
         loop {
             metrics::counter!("gradedyke_usage_asked_total").increment(1);
             let (report, snapshot) = self.limiter.report(charge, Instant::now());
--- a/crates/gradedyke-gateway/src/process.rs
+++ b/crates/gradedyke-gateway/src/process.rs
@@ -187,9 +187,9 @@
         }
         let config = Config {
             protocol: Protocol::Http1,
-            connections: MAX_CALLER_CONNECTIONS,
-            idle: Some(CALLER_IDLE_TIMEOUT),
-            unread: Some(CALLER_ACK_TIMEOUT),
+            max_connections: MAX_CALLER_CONNECTIONS,
+            idle_timeout: Some(CALLER_IDLE_TIMEOUT),
+            unread_timeout: Some(CALLER_ACK_TIMEOUT),
             ..Config::default()
         };
         let caller_server = bind(caller, config.clone(), "listen.caller").await?;
--- a/crates/gradedyke-gateway/tests/follow/network.rs
+++ b/crates/gradedyke-gateway/tests/follow/network.rs
@@ -159,7 +159,7 @@
         let reply = self.exchange(peer, request, timeout).await;
         // A process that failed during the call does not respond to it.
         let reply = match (reply, self.network.failure(peer)) {
-            (Ok(_), Some(_)) => Err(gradedyke_peer::Error::Broken(peer).into()),
+            (Ok(_), Some(_)) => Err(gradedyke_peer::Error::ConnectionLost(peer).into()),
             (reply, _) => reply,
         };
         self.record_result(peer, reply.is_err());
--- a/crates/gradedyke-load/src/memory.rs
+++ b/crates/gradedyke-load/src/memory.rs
@@ -8,7 +8,7 @@
 use serde_json::{Value, json};
 
 use crate::instance::Instance;
-use crate::overhead::{apply_settings, instance_settings, start_world};
+use crate::overhead::{apply_settings, instance_settings, start_deployment};
 
 /// Timeout of one call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(120);
@@ -23,20 +23,20 @@
 /// history. Uses fewer programs and messages if `short`.
 pub async fn run(short: bool) -> eyre::Result<Value> {
     let folder = tempfile::tempdir()?;
-    let world = start_world().await?;
-    let mut settings = instance_settings(1, world.platform_address, 1, 5_000);
+    let deployment = start_deployment().await?;
+    let mut settings = instance_settings(1, deployment.platform_address, 1, 5_000);
     // Keeps the journal on disk, out of the measured memory.
     settings["data_folder"] = json!(folder.path().join("data"));
     let mut instance = Instance::start(&settings, folder.path())?;
-    apply_settings(&world).await?;
+    apply_settings(&deployment).await?;
     instance.wait_until_ready()?;
-    let calls_before = world.platform.calls().values().sum::<u64>();
+    let calls_before = deployment.platform.calls_by_path().values().sum::<u64>();
     let cpu_before = instance.cpu_seconds()?;
     tokio::time::sleep(IDLE_PERIOD).await;
     let idle_cores = (instance.cpu_seconds()? - cpu_before) / IDLE_PERIOD.as_secs_f64();
-    let idle_calls = world.platform.calls().values().sum::<u64>() - calls_before;
+    let idle_calls = deployment.platform.calls_by_path().values().sum::<u64>() - calls_before;
     let empty_bytes = instance.resident_bytes()?;
-    let caller = Caller::new(KESTREL, CALL_TIMEOUT);
+    let caller = Caller::new(KESTREL_KEY, CALL_TIMEOUT);
     let program_counts: &[usize] = if short {
         &[1_000]
     } else {
@@ -72,7 +72,9 @@
     for batch in numbers.chunks(OPEN_CONCURRENCY) {
         let opening = batch.iter().map(|number| async move {
             let request = format!("memory-{number}");
-            caller.open(entry, "minutes", None, None, &request).await
+            caller
+                .open_program(entry, "minutes", None, None, &request)
+                .await
         });
         for result in futures_util::future::join_all(opening).await {
             result?;
@@ -87,7 +89,7 @@
     instance: &Instance,
     messages: usize,
 ) -> eyre::Result<Value> {
-    let program = caller.open(instance.caller_address, "minutes", None, None, "history");
+    let program = caller.open_program(instance.caller_address, "minutes", None, None, "history");
     let program = program.await?;
     let before = instance.resident_bytes()?;
     let text = "word ".repeat(MESSAGE_BYTES / 5);
@@ -96,7 +98,7 @@
             append: true,
             ..Options::request(number.to_string())
         };
-        let body = chat(&[user(&text)]);
+        let body = chat_body(&[user_message(&text)]);
         caller
             .chat(instance.caller_address, &program, &body, options)
             .await?;
--- a/crates/gradedyke-load/src/overhead.rs
+++ b/crates/gradedyke-load/src/overhead.rs
@@ -46,11 +46,11 @@
     })
 }
 
-/// Writes a world's settings tree to its platform.
-pub async fn apply_settings(world: &World) -> eyre::Result<()> {
+/// Writes a deployment's settings tree to its platform.
+pub async fn apply_settings(deployment: &Deployment) -> eyre::Result<()> {
     let kv = gradedyke_platform::etcd::Etcd::new(gradedyke_platform::etcd::Config {
-        addresses: vec![world.platform_address],
-        time: CALL_TIMEOUT,
+        addresses: vec![deployment.platform_address],
+        timeout: CALL_TIMEOUT,
     });
     let tree = gradedyke_base::settings::check::read("load", &deployment.tree.to_string());
     let tree = tree.map_err(|e| eyre::eyre!("{e:?}"))?;
@@ -59,7 +59,7 @@
 }
 
 /// Starts a stand-in platform and one engine that uses as little CPU time as possible.
-pub async fn start_world() -> eyre::Result<World> {
+pub async fn start_deployment() -> eyre::Result<Deployment> {
     let engine = engine::Config {
         batch: 4_096,
         cache_tokens: u64::MAX / 2,
@@ -149,11 +149,12 @@
     body["max_tokens"] = json!(4);
     let body = gradedyke_http::body::full(body.to_string());
     let path = "/v1/chat/completions";
-    let mut request = gradedyke_http::client::build(http::Method::POST, engine, path, body)?;
+    let mut request =
+        gradedyke_http::client::build_request(http::Method::POST, engine, path, body)?;
     request
         .headers_mut()
         .insert("x-request-id", request_id.parse()?);
-    client.whole(engine, request, CALL_TIMEOUT).await?;
+    client.send_and_read(engine, request, CALL_TIMEOUT).await?;
     Ok(())
 }
 
@@ -170,10 +171,10 @@
     // The program's ID follows from the request that opens it.
     let account = gradedyke_base::id::Account::parse("kestrel")?;
     let request = gradedyke_base::id::Request::parse(&opening_request)?;
-    let program = gradedyke_base::id::Program::opened(&account, &request).to_string();
+    let program = gradedyke_base::id::Program::from_request(&account, &request).to_string();
     if number.is_multiple_of(TURNS_PER_PROGRAM) {
         caller
-            .open(entry, "minutes", None, None, &opening_request)
+            .open_program(entry, "minutes", None, None, &opening_request)
             .await?;
     }
     let options = Options {
@@ -189,7 +190,7 @@
         )
         .await?;
     if number % TURNS_PER_PROGRAM == TURNS_PER_PROGRAM - 1 {
-        caller.program(entry, &program, "end").await?;
+        caller.program_action(entry, &program, "end").await?;
     }
     Ok(())
 }
@@ -199,15 +200,15 @@
 pub async fn run(short: bool) -> eyre::Result<Value> {
     let duration = Duration::from_secs(if short { 1 } else { 6 });
     let folder = tempfile::tempdir()?;
-    let world = start_world().await?;
+    let deployment = start_deployment().await?;
     let mut instance = Instance::start(
-        &instance_settings(1, world.platform_address, 1, 5_000),
+        &instance_settings(1, deployment.platform_address, 1, 5_000),
         folder.path(),
     )?;
-    apply_settings(&world).await?;
+    apply_settings(&deployment).await?;
     instance.wait_until_ready()?;
-    let engine = world.tree["backends"]["engine-1"]["address"].as_str();
-    let engine: SocketAddr = engine.ok_or_eyre("the world has no engine")?.parse()?;
+    let engine = deployment.tree["backends"]["engine-1"]["address"].as_str();
+    let engine: SocketAddr = engine.ok_or_eyre("the deployment has no engine")?.parse()?;
     let mut rows = Vec::new();
     let mut max_per_core = 0.0_f64;
     for workers in [1, 64, 1_000] {
@@ -219,7 +220,7 @@
     eprintln!("half load");
     let half = compare(&instance, engine, 64, duration, max_per_core / 2.0).await?;
     eprintln!("open streams");
-    let bytes = bytes_per_stream(&instance, &world).await?;
+    let bytes = bytes_per_stream(&instance, &deployment).await?;
     Ok(json!({
         "experiment": "overhead",
         "turns_per_program": TURNS_PER_PROGRAM,
@@ -253,7 +254,7 @@
         )
     });
     let direct = direct.await?;
-    let caller = Caller::new(KESTREL, CALL_TIMEOUT);
+    let caller = Caller::new(KESTREL_KEY, CALL_TIMEOUT);
     let entry = instance.caller_address;
     let cpu_before = instance.cpu_seconds()?;
     let relayed = generate_load(workers, duration, max_rate, move |worker, number| {
@@ -280,12 +281,12 @@
 }
 
 /// Measures the memory that the instance uses for each open stream that waits for tokens.
-async fn bytes_per_stream(instance: &Instance, world: &World) -> eyre::Result<u64> {
-    let caller = Caller::new(KESTREL, CALL_TIMEOUT);
+async fn bytes_per_stream(instance: &Instance, deployment: &Deployment) -> eyre::Result<u64> {
+    let caller = Caller::new(KESTREL_KEY, CALL_TIMEOUT);
     let mut programs = Vec::new();
     for number in 0..OPEN_STREAM_COUNT {
         let opening_request = format!("open-stream-{number}");
-        let opening = caller.open(
+        let opening = caller.open_program(
             instance.caller_address,
             "minutes",
             None,
@@ -295,10 +296,10 @@
         programs.push(opening.await?);
     }
     let bytes_before = instance.resident_bytes()?;
-    world.engines[0].hold_at(Some(1));
+    deployment.engines[0].stall_at(Some(1));
     let mut streams = Vec::new();
     for program in &programs {
-        let body = chat(&[user("Draft.")]);
+        let body = chat_body(&[user_message("Draft.")]);
         let opening = caller.stream(
             instance.caller_address,
             program,
@@ -310,7 +311,7 @@
         streams.push(stream);
     }
     let bytes_with_streams = instance.resident_bytes()?;
-    world.engines[0].hold_at(None);
+    deployment.engines[0].stall_at(None);
     for stream in streams {
         stream.read_to_end().await?;
     }
--- a/crates/gradedyke-load/src/takeover.rs
+++ b/crates/gradedyke-load/src/takeover.rs
@@ -9,7 +9,7 @@
 use serde_json::{Value, json};
 
 use crate::instance::Instance;
-use crate::overhead::{apply_settings, instance_settings, start_world};
+use crate::overhead::{apply_settings, instance_settings, start_deployment};
 
 /// Timeout of one call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(60);
@@ -47,25 +47,25 @@
 /// to the end of its next call in milliseconds, and whether the call succeeded.
 async fn kill_instance(kill: usize) -> eyre::Result<Vec<(u64, bool)>> {
     let folder = tempfile::tempdir()?;
-    let world = start_world().await?;
+    let deployment = start_deployment().await?;
     let start = |number| {
-        let settings = instance_settings(number, world.platform_address, 3, LEASE_MS);
+        let settings = instance_settings(number, deployment.platform_address, 3, LEASE_MS);
         Instance::start(&settings, folder.path())
     };
     let mut instances = (1..=3).map(start).collect::<eyre::Result<Vec<_>>>()?;
-    apply_settings(&world).await?;
+    apply_settings(&deployment).await?;
     for instance in &mut instances {
         instance.wait_until_ready()?;
     }
-    let caller = Caller::new(KESTREL, CALL_TIMEOUT);
+    let caller = Caller::new(KESTREL_KEY, CALL_TIMEOUT);
     let entry = instances[0].caller_address;
     let mut programs = Vec::new();
     for number in 0..PROGRAM_COUNT {
         let opening_request = format!("{kill}-{number}");
         let program = caller
-            .open(entry, "minutes", None, None, &opening_request)
+            .open_program(entry, "minutes", None, None, &opening_request)
             .await?;
-        let body = chat(&[user("Draft.")]);
+        let body = chat_body(&[user_message("Draft.")]);
         caller
             .chat(entry, &program, &body, Options::request("first"))
             .await?;
--- a/crates/gradedyke-turns/src/detour.rs
+++ b/crates/gradedyke-turns/src/detour.rs
@@ -206,9 +206,9 @@
         let answered_count = self
             .active_replicas
             .iter()
-            .filter(|c| c.heard() >= started)
+            .filter(|c| c.last_reply_at() >= started)
             .count();
-        answered_count < self.required_replies && self.direct.heard() < started
+        answered_count < self.required_replies && self.direct.last_reply_at() < started
     }
 
     /// Calls through neighbours, one after the other, if needed.
--- a/crates/gradedyke-turns/src/membership/mod.rs
+++ b/crates/gradedyke-turns/src/membership/mod.rs
@@ -271,8 +271,12 @@
                 self.replica.mirror().apply(vec![item], Instant::now());
                 self.replica.update_view(&view);
             }
-            Ok(Swapped::Conflict(held)) => {
-                tracing::info!(event = "view_conflict", version = view.version, expected);
+            Ok(Outcome::Conflict(held)) => {
+                tracing::info!(
+                    event = "view_conflict",
+                    version = view.version,
+                    expected = expected_revision
+                );
                 // The mirror gets the current value now; otherwise the next proposal could
                 // conflict again.
                 let items = held.map(mirror::Item::from).into_iter().collect();
