--- a/crates/gradedyke-gateway/src/allowance.rs
+++ b/crates/gradedyke-gateway/src/allowance.rs
@@ -1,10 +1,10 @@
 //! Rate limits of client accounts, enforced over all entries together.
 //!
 //! Each entry counts the requests that it admits and reports them to the keepers, which
-//! answer with the sum over all entries ([`gradedyke_turns::usage`]). A turn contacts the
-//! keepers before it starts in any case, so the sum by which it is admitted already includes
-//! it. A tool call does not contact them: it is admitted by the last known sum if that is
-//! recent and well below the limit, and otherwise the entry asks the keepers first. This bounds
+//! answer with the sum over all entries ([`gradedyke_turns::usage`]). An entry contacts
+//! the keepers before each turn anyway, so the sum used to admit a turn includes that turn. For a
+//! tool call it uses the last known sum if that is recent and well below the limit, and
+//! otherwise asks the keepers first. This bounds
 //! the excess over the limit that is caused by requests that the sum does not include yet.
 //!
 //! If one request of a program is refused, the whole program fails. A new program is therefore
@@ -21,17 +21,16 @@
 use crate::account::{Account, Allowance};
 
 /// Maximum age of a sum by which a tool call is admitted without asking the keepers.
-const MAX_SUM_AGE: Duration = Duration::from_millis(250);
+const MAX_USAGE_SUM_AGE: Duration = Duration::from_millis(250);
 /// Share of the limit up to which a tool call is admitted without asking the keepers. The rest
-/// is headroom for requests that a sum of age [`MAX_SUM_AGE`] does not include.
+/// is headroom for requests that a sum of age [`MAX_USAGE_SUM_AGE`] does not include.
 const LOCAL_ADMISSION_RATIO: f64 = 0.8;
-/// Number of entries assumed to admit tool calls of one account at the same time, unaware of
-/// each other. Each may admit the remaining requests divided by this number before it has to
-/// ask the keepers.
+/// Number of entries assumed to admit tool calls of one account concurrently. Each may admit the
+/// remaining requests divided by this number before it has to ask the keepers.
 const ASSUMED_CONCURRENT_ENTRIES: u32 = 16;
-/// Interval at which unchanged usage is reported again, so that a restarted keeper learns
-/// it.
-const REPORT_INTERVAL: Duration = Duration::from_secs(1);
+/// Time since an account's last report after which the next report includes its usage even if
+/// it is unchanged, so that a restarted keeper learns it.
+const USAGE_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Maximum number of requests of an account that are admitted in a window.
 ///
@@ -112,7 +111,8 @@
 #[derive(Clone, Copy, Debug)]
 struct Estimate {
     sum: Total,
-    /// Requests that this entry admitted since the report that the known sum answers.
+    /// Requests that this entry has admitted since it built the report to which the known sum is
+    /// the reply.
     admitted_since: u32,
     /// Time since the sum was received.
     age: Duration,
@@ -152,8 +152,8 @@
     i32::try_from(after.wrapping_sub(before)).map_or(0, i32::unsigned_abs)
 }
 
-/// The state when a report was built, which [`Limiter::record_sum`] needs to interpret the sum
-/// that answers it.
+/// State of the limiter when a report was built; passed to [`Limiter::record_sum`] with the
+/// reply.
 #[derive(Clone, Copy, Debug)]
 pub struct Snapshot {
     /// The request for which the report was made.
@@ -247,11 +247,13 @@
         let accounts = self.lock();
         let estimate = accounts.get(&charge.account).and_then(|u| u.estimate(now));
         match estimate {
-            Some(estimate) if estimate.age <= MAX_SUM_AGE => match charge.is_within(estimate.sum) {
-                false => Decision::Exceeded,
-                true if charge.has_headroom(&estimate) => Decision::Within,
-                true => Decision::Unknown,
-            },
+            Some(estimate) if estimate.age <= MAX_USAGE_SUM_AGE => {
+                match charge.is_within(estimate.sum) {
+                    false => Decision::Exceeded,
+                    true if charge.has_headroom(&estimate) => Decision::Within,
+                    true => Decision::Unknown,
+                }
+            }
             _ => Decision::Unknown,
         }
     }
@@ -277,7 +279,7 @@
         for (account, account_usage) in accounts.iter_mut() {
             let overdue = account_usage
                 .reported_at
-                .is_none_or(|t| now.saturating_duration_since(t) >= REPORT_INTERVAL);
+                .is_none_or(|t| now.saturating_duration_since(t) >= USAGE_REPORT_INTERVAL);
             if !account_usage.changed && !overdue && *account != charge.account {
                 continue;
             }
--- a/crates/gradedyke-gateway/src/config.rs
+++ b/crates/gradedyke-gateway/src/config.rs
@@ -166,8 +166,7 @@
     }
 
     /// The priority of a request at an engine; 0 is the highest. The priority of the account
-    /// takes precedence over that of the route, so that requests of one account on a
-    /// low-priority route do not wait behind those of a lower-priority account.
+    /// takes precedence over that of the route.
     pub fn priority(&self, account: Option<u8>, route: &Route) -> u8 {
         priority(account, route.priority, self.priority_count)
     }
@@ -211,7 +210,7 @@
     /// `affinity_id`, a session or program ID, get the same service.
     pub fn choose_service(&self, affinity_id: Option<&Id>) -> Option<&str> {
         let total: f64 = self.targets.iter().map(|t| t.weight).sum();
-        let mut remaining = total * hash_fraction(affinity_id);
+        let mut remaining = total * affinity_fraction(affinity_id);
         for target in &self.targets {
             if remaining < target.weight {
                 return Some(&target.service);
@@ -223,7 +222,7 @@
 }
 
 /// Hashes an ID to a number in `0.0..1.0`; without an ID the number is random.
-fn hash_fraction(id: Option<&Id>) -> f64 {
+fn affinity_fraction(id: Option<&Id>) -> f64 {
     use std::hash::{DefaultHasher, Hash, Hasher};
     let Some(id) = id else {
         return rand::random();
--- a/crates/gradedyke-gateway/src/demand.rs
+++ b/crates/gradedyke-gateway/src/demand.rs
@@ -8,8 +8,9 @@
 use tokio::time::Instant;
 
 /// Half-life of the counts.
-const HALF_LIFE: Duration = Duration::from_secs(20);
-/// Lowest count of programs and of turns from which an estimate is made.
+const COUNT_HALF_LIFE: Duration = Duration::from_secs(20);
+/// Minimum decayed count of the route's programs, and of the turns of all routes, for an
+/// estimate.
 const MIN_OBSERVATIONS: f64 = 4.0;
 
 #[derive(Debug, Default)]
@@ -40,7 +41,7 @@
     /// Records a turn. `is_program_start` says whether it is the first of its program.
     pub fn record_turn(&self, route: &str, is_program_start: bool, now: Instant) {
         let mut counts = self.lock();
-        counts.turns.increment(HALF_LIFE, now);
+        counts.turns.increment(COUNT_HALF_LIFE, now);
         if !counts.routes.contains_key(route) {
             counts
                 .routes
@@ -49,15 +50,15 @@
         let Some(route) = counts.routes.get_mut(route) else {
             return;
         };
-        route.turns.increment(HALF_LIFE, now);
+        route.turns.increment(COUNT_HALF_LIFE, now);
         if is_program_start {
-            route.started.increment(HALF_LIFE, now);
+            route.started.increment(COUNT_HALF_LIFE, now);
         }
     }
 
     /// Records a tool call of a program.
     pub fn record_tool_call(&self, now: Instant) {
-        self.lock().tool_calls.increment(HALF_LIFE, now);
+        self.lock().tool_calls.increment(COUNT_HALF_LIFE, now);
     }
 
     /// Expected number of requests of a program on a route, including its tool calls; 1 if
@@ -81,13 +82,14 @@
         let Some(route) = counts.routes.get(route) else {
             return 1;
         };
-        let started = route.started.value_at(HALF_LIFE, now);
-        let turns = counts.turns.value_at(HALF_LIFE, now);
+        let started = route.started.value_at(COUNT_HALF_LIFE, now);
+        let turns = counts.turns.value_at(COUNT_HALF_LIFE, now);
         if started < MIN_OBSERVATIONS || turns < MIN_OBSERVATIONS {
             return 1;
         }
-        let tool_calls_per_turn = counts.tool_calls.value_at(HALF_LIFE, now) / turns;
-        let requests = route.turns.value_at(HALF_LIFE, now) / started * (1.0 + tool_calls_per_turn);
+        let tool_calls_per_turn = counts.tool_calls.value_at(COUNT_HALF_LIFE, now) / turns;
+        let requests =
+            route.turns.value_at(COUNT_HALF_LIFE, now) / started * (1.0 + tool_calls_per_turn);
         requests.round().clamp(1.0, f64::from(u32::MAX)) as u32
     }
 }
--- a/crates/gradedyke-gateway/src/dialect.rs
+++ b/crates/gradedyke-gateway/src/dialect.rs
@@ -40,7 +40,7 @@
     pub key: Option<Key>,
 }
 
-/// Sizes of the prompt and the response of a turn, in tokens.
+/// Size of the prompt and maximum size of the response of a turn, in tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Size {
     /// Size of the whole prompt.
--- a/crates/gradedyke-gateway/src/entry/attempt.rs
+++ b/crates/gradedyke-gateway/src/entry/attempt.rs
@@ -24,7 +24,7 @@
 use crate::mechanism::Mechanism;
 
 /// A request is not sent when less time than this is left until its deadline.
-pub const MIN_SEND_TIME: Duration = Duration::from_millis(5);
+pub const MIN_TIME_LEFT_TO_SEND: Duration = Duration::from_millis(5);
 
 /// A backend server's response: its head was read, its body was not.
 pub struct ServerResponse {
@@ -143,12 +143,12 @@
     Err(Refusal::NoCapacity)
 }
 
-/// A request is refused at once if its expected wait for a slot is longer than its time left
-/// times this factor, which allows for errors of the estimate.
+/// A request is refused at once if its expected wait for a slot is longer than the
+/// time left until its deadline multiplied by this factor.
 const MAX_WAIT_RATIO: f64 = 2.0;
 
-/// Whether the expected wait for a slot at the chosen server exceeds the time left by more than
-/// the factor [`MAX_WAIT_RATIO`].
+/// Whether the expected wait for a slot at the chosen server exceeds the time left multiplied by
+/// [`MAX_WAIT_RATIO`].
 fn will_miss_deadline(call: &Call, choice: &Choice) -> bool {
     let left_ms = call.time_left(Instant::now()).as_secs_f64() * 1e3;
     choice.candidate.wait_ms() > MAX_WAIT_RATIO * left_ms
@@ -165,7 +165,7 @@
 ) -> Outcome {
     let now = Instant::now();
     let time_left = call.time_left(now);
-    if time_left < MIN_SEND_TIME {
+    if time_left < MIN_TIME_LEFT_TO_SEND {
         return Outcome::NotRun(NotRunReason::NoTime);
     }
     let outbound = Outbound {
@@ -202,7 +202,7 @@
     classify_response(entry, call, choice, connection, response, now)
 }
 
-/// Returns the priority that is sent to an engine; 0 comes first. `None` if the service runs no
+/// Returns the priority that is sent to an engine; 0 is the highest. `None` if the service runs no
 /// models or the mechanism is switched off.
 fn engine_priority(entry: &Entry, call: &Call) -> Option<u8> {
     let has_priority = call.engine().is_some() && entry.mechanisms.is_enabled(Mechanism::Urgency);
--- a/crates/gradedyke-gateway/src/entry/door.rs
+++ b/crates/gradedyke-gateway/src/entry/door.rs
@@ -28,8 +28,8 @@
 pub(super) struct RefusedRequest {
     pub(super) refusal: Refusal,
     pub(super) meta: Meta,
-    /// Expected time until a backend server has a free slot or the keepers are no longer
-    /// overloaded.
+    /// Expected time until a backend server has a free slot, or the delay from
+    /// `Throttle::retry_after`.
     pub(super) expected_wait: Duration,
 }
 
@@ -77,7 +77,11 @@
         metrics::histogram!("gradedyke_head_seconds").record(seconds);
         let mut response = result.unwrap_or_else(|refused| {
             let config = entry.config.load().as_ref().map(|c| c.version);
-            refused.response(arrived.elapsed(), config, entry.max_data_age(arrived))
+            refused.response(
+                arrived.elapsed(),
+                config,
+                entry.data_age_upper_bound(arrived),
+            )
         });
         // After an error response while this entry is not ready, the connection is closed, so
         // that the caller connects to another entry.
@@ -102,10 +106,10 @@
 }
 
 /// Answers the platform's readiness check.
-pub struct Readiness(pub Arc<Entry>);
+pub struct ReadinessHandler(pub Arc<Entry>);
 
 #[async_trait]
-impl Handler for Readiness {
+impl Handler for ReadinessHandler {
     async fn handle(&self, request: Request<Incoming>) -> Response<Body> {
         let is_ready_path = request.uri().path() == self.0.dialect.ready_path();
         let status = match (is_ready_path, self.0.is_ready()) {
--- a/crates/gradedyke-gateway/src/entry/mod.rs
+++ b/crates/gradedyke-gateway/src/entry/mod.rs
@@ -46,16 +46,16 @@
 use door::RefusedRequest;
 use refusal::Refusal;
 
-pub use door::{CallerHandler, Readiness};
+pub use door::{CallerHandler, ReadinessHandler};
 
 /// Timeout of a request whose caller sets none; the timeout of its route may be shorter.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Longest wait of a request for the first configuration. Waiting saves the caller a retry.
+/// Longest wait of a request for the first configuration.
 const INITIAL_CONFIG_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Share of the revocation time up to which local data may age before API keys are no longer
-/// accepted. The rest is a margin for clock drift.
+/// Maximum age of the local data at which API keys are accepted, as a fraction of the
+/// revocation time.
 const MAX_KEY_AGE_RATIO: f64 = 0.9;
 
 /// Returns the greatest age of the local data at which API keys are still accepted, if a
@@ -89,9 +89,9 @@
     pub drain: CancellationToken,
     /// Revision of the configuration that was last read from the mirror.
     pub config_revision: Mutex<u64>,
-    /// Time within which a configuration change must take effect. When the local data is
-    /// older, a request that it forbids (unknown key or route, body too large) gets a
-    /// retryable error instead of a final one.
+    /// Time within which a configuration change must take effect. If the local data is
+    /// older than this, a request that the configuration forbids (unknown key or route, body too
+    /// large) gets a retryable error instead of a final one.
     pub propagation_limit: Duration,
     /// Greatest age of the local data at which a key in it is accepted; `None` if there is
     /// no limit.
@@ -108,7 +108,7 @@
     pub fn is_ready(&self) -> bool {
         let started = self.config.load().is_some() && self.fleet.listed_count() > 0;
         let draining = self.drain.is_cancelled();
-        let can_use_keys = self.can_use_keys(self.max_data_age(Instant::now()));
+        let can_use_keys = self.can_use_keys(self.data_age_upper_bound(Instant::now()));
         started && !draining && self.quorum.is_majority_reachable() && can_use_keys
     }
 
@@ -126,7 +126,7 @@
     /// Returns the greatest possible age of the local data at `now`; `None` before the platform
     /// first confirmed it. The age counts from when the platform was asked, not from when it
     /// responded, so that network delay cannot make the data look newer than it is.
-    fn max_data_age(&self, now: Instant) -> Option<Duration> {
+    fn data_age_upper_bound(&self, now: Instant) -> Option<Duration> {
         let confirmed = self.mirror.complete_as_of()?;
         Some(now.saturating_duration_since(confirmed))
     }
@@ -136,7 +136,7 @@
         if let Some(config) = &*self.config.load() {
             metrics::gauge!("gradedyke_config_version").set(config.version as f64);
         }
-        if let Some(age) = self.max_data_age(now) {
+        if let Some(age) = self.data_age_upper_bound(now) {
             metrics::gauge!("gradedyke_config_age_seconds").set(age.as_secs_f64());
         }
     }
@@ -302,7 +302,7 @@
             .await
             .ok_or(Refusal::NoConfig)?;
         // Read before the configuration, so that the age is never understated.
-        let age = self.max_data_age(arrived);
+        let age = self.data_age_upper_bound(arrived);
         let config = self.load_latest_config().unwrap_or(config);
         let (head, incoming) = request.into_parts();
         let host = head.headers.get(header::HOST);
--- a/crates/gradedyke-gateway/src/entry/refusal.rs
+++ b/crates/gradedyke-gateway/src/entry/refusal.rs
@@ -31,8 +31,8 @@
     NoCapacity,
     /// The keepers cannot be reached, are starting or are overloaded. The request has not run.
     NoKeepers,
-    /// The throttle refuses the request, which may begin a program, because the keepers are
-    /// overloaded.
+    /// The request may begin a program, and the throttle does not admit it because the keepers
+    /// are overloaded.
     Throttled,
     /// The turn that the request continues does not exist.
     TurnNotFound,
@@ -48,8 +48,7 @@
 
 /// Shortest retry delay that callers are given, apart from the jitter.
 pub(crate) const MIN_RETRY_AFTER: Duration = Duration::from_millis(250);
-/// Longest retry delay that callers are given, apart from the jitter. Estimates of a longer
-/// wait are unreliable.
+/// Longest retry delay that callers are given, apart from the jitter.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(2);
 /// Retry delay for a client account that has used its allowance.
 const ALLOWANCE_RETRY_AFTER: Duration = Duration::from_secs(1);
@@ -108,8 +107,8 @@
     }
 
     /// Returns the delay after which the caller should retry; `None` if a retry does not
-    /// help. `expected_wait` is the estimated time until a backend server has a free slot or
-    /// the keepers are no longer overloaded. `random`, from 0 to 1, selects the jitter.
+    /// help. `expected_wait` is the estimated time until a backend server has a free slot, or the
+    /// delay from `Throttle::retry_after`. `random`, from 0 to 1, selects the jitter.
     ///
     /// ```
     /// use gradedyke_gateway::entry::refusal::Refusal;
--- a/crates/gradedyke-gateway/src/entry/relay.rs
+++ b/crates/gradedyke-gateway/src/entry/relay.rs
@@ -287,7 +287,7 @@
         End::CallerDisconnected
     }
 
-    /// Returns the time from the choice of the server to its first event.
+    /// Returns the time from when the server was chosen to its first event.
     fn time_to_first_event(&self) -> Option<Duration> {
         self.event_times
             .map(|(first, _)| first - self.choice.chosen_at)
--- a/crates/gradedyke-gateway/src/entry/turn.rs
+++ b/crates/gradedyke-gateway/src/entry/turn.rs
@@ -28,8 +28,7 @@
 
 /// Timeout of one exchange with the keepers that begins a turn.
 const BEGIN_TIMEOUT: Duration = Duration::from_millis(300);
-/// Timeout of all attempts together to begin a turn. Waiting for restarting keepers saves the
-/// caller a retry.
+/// Timeout of all attempts together to begin a turn.
 const TOTAL_BEGIN_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Begins the turn, sends it to a backend server and starts forwarding the response.
--- a/crates/gradedyke-gateway/src/entry/upstream.rs
+++ b/crates/gradedyke-gateway/src/entry/upstream.rs
@@ -5,7 +5,7 @@
 use tokio::time::Instant;
 
 use super::Entry;
-use super::attempt::{self, Attempts, MIN_SEND_TIME, ServerResponse};
+use super::attempt::{self, Attempts, MIN_TIME_LEFT_TO_SEND, ServerResponse};
 use super::call::Call;
 use super::refusal::Refusal;
 use crate::fleet::Query;
@@ -53,12 +53,13 @@
     pub(super) fn can_resume(&self, call: &Call) -> bool {
         call.route.resumable
             && self.attempts.has_attempt_left(call)
-            && call.time_left(Instant::now()) > MIN_SEND_TIME
+            && call.time_left(Instant::now()) > MIN_TIME_LEFT_TO_SEND
     }
 }
 
 /// Estimates how many prompt tokens belong to the stored conversation, by its share of the
-/// bytes. The server that ran its last turn has them in its cache.
+/// bytes. The server that ran the conversation's last turn has these tokens in its
+/// cache.
 fn cached_tokens(call: &Call, transcript: &Transcript) -> u64 {
     let prompt = call.meta.size.map_or(0, |s| s.prompt_tokens);
     let (stored_bytes, new_bytes) = (transcript.body.len() as u64, call.body.len() as u64);
--- a/crates/gradedyke-gateway/src/estimate.rs
+++ b/crates/gradedyke-gateway/src/estimate.rs
@@ -140,7 +140,7 @@
 /// expected time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LatencyRatioSum {
-    /// Number of observed times.
+    /// Number of observations.
     pub responses: u32,
     /// Sum of the ratios of observed to expected time, each in hundredths.
     pub ratio_hundredths: u32,
@@ -157,9 +157,9 @@
     }
 }
 
-/// Number of responses with a ratio of 1 that are added to the observed ones, so that a
+/// Number of observations with a ratio of 1 that are added to the observed ones, so that a
 /// single slow response has little effect.
-const PRIOR_RESPONSES: f64 = 8.0;
+const PRIOR_OBSERVATIONS: f64 = 8.0;
 /// Upper limit on the ratio of a single response.
 const MAX_LATENCY_RATIO: f64 = 20.0;
 
@@ -172,7 +172,7 @@
         }
     }
 
-    /// The average ratio of observed to expected time, shrunk towards 1.
+    /// The average ratio of observed to expected time, including the prior observations of 1.
     ///
     /// ```
     /// use gradedyke_gateway::estimate::LatencyRatioSum;
@@ -183,15 +183,16 @@
     /// ```
     pub fn slowness(self) -> f64 {
         let sum = f64::from(self.ratio_hundredths) / 100.0;
-        (sum + PRIOR_RESPONSES) / (f64::from(self.responses) + PRIOR_RESPONSES)
+        (sum + PRIOR_OBSERVATIONS) / (f64::from(self.responses) + PRIOR_OBSERVATIONS)
     }
 }
 
 /// Expected times at a service, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Times {
-    /// Total time of a response, or for a plain service the time to its head, without queueing
-    /// and without reading the prompt.
+    /// For an engine, the time of a complete response without queueing, without reading the
+    /// prompt and without concurrent requests; for a plain service, the time to the response
+    /// head.
     pub response_ms: f64,
     /// Time to the first event, without queueing and without reading the prompt; 0 for a
     /// plain service.
@@ -300,7 +301,7 @@
 
     /// Records a streamed response of an engine.
     pub fn record_stream(&mut self, timing: &Timing) {
-        // With more requests in flight, the time may include waiting for a slot.
+        // With half the slots or more in use, the time may include waiting for a slot.
         if timing.concurrent < timing.slots / 2 {
             self.first_event
                 .add(timing.uncached_tokens as f64, timing.first_event_ms);
--- a/crates/gradedyke-gateway/src/fleet/mod.rs
+++ b/crates/gradedyke-gateway/src/fleet/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! The directory in the platform's key-value store lists the servers. While it is
 //! unavailable, the last known servers stay in use. A server whose record was deleted
-//! remains a fallback for a short time, or, after an outage of the directory, until
-//! running servers have had time to renew their records.
+//! remains a fallback for `UNLISTED_GRACE`, and after an outage of the directory at least
+//! for `DIRECTORY_RECOVERY_GRACE`.
 //!
 //! `registry` indexes the servers, `server_state` holds the state of one, and `topology`
 //! maps data centres to regions. `sample` selects the servers to compare if there are
@@ -251,8 +251,8 @@
         {
             registry.clear_peer_load();
         }
-        let use_backoff = self.mechanisms.is_enabled(Mechanism::Rests);
-        let keys = registry.eligible(query, &self.topology, use_backoff);
+        let avoid_backing_off = self.mechanisms.is_enabled(Mechanism::Rests);
+        let keys = registry.eligible(query, &self.topology, avoid_backing_off);
         if query.max_warm_up_rate_per_s.is_some() {
             registry.record_request(query, keys.is_empty());
         }
@@ -269,7 +269,7 @@
         let (key, candidate) = (keys[index], candidates[index]);
         let state = registry.servers.get_mut(key)?;
         state.in_flight += 1;
-        let capacity = state.own_share(query.now) * query.cache_capacity_tokens as f64;
+        let capacity = state.own_request_share(query.now) * query.cache_capacity_tokens as f64;
         if self.mechanisms.is_enabled(Mechanism::Prefixes) {
             state.cache.record_prompt(query.parts, 0, capacity as u64);
         }
--- a/crates/gradedyke-gateway/src/fleet/registry.rs
+++ b/crates/gradedyke-gateway/src/fleet/registry.rs
@@ -20,7 +20,7 @@
 use crate::window::Window;
 
 /// Largest number of directory changes in a batch that are logged one by one. Larger
-/// batches get a single log line, so that listing thousands of servers stays cheap.
+/// batches get a single log line.
 const MAX_LOGGED_CHANGES: usize = 64;
 /// Maximum number of unreadable records of unknown servers that are remembered, so that each is
 /// logged once.
@@ -86,12 +86,12 @@
     pub(super) fn set_peer_load(&mut self, load: &[ServerLoad], now: Instant) {
         self.clear_peer_load();
         self.peer_load_received = Some(now);
-        for busy in load {
-            let key = self.by_load_id.get(&busy.server).copied();
+        for server_load in load {
+            let key = self.by_load_id.get(&server_load.server).copied();
             let Some(state) = key.and_then(|key| self.servers.get_mut(key)) else {
                 continue;
             };
-            state.peer_load = *busy;
+            state.peer_load = *server_load;
             self.with_peer_load.extend(key);
         }
     }
@@ -104,12 +104,16 @@
             let Some(state) = servers.get(*key) else {
                 return false;
             };
-            let busy = state.load_report(now);
-            let is_reported = busy.requests + busy.failures + busy.unreached + busy.paced > 0;
+            let server_load = state.load_report(now);
+            let is_reported = server_load.requests
+                + server_load.failures
+                + server_load.unreached
+                + server_load.paced
+                > 0;
             if is_reported {
-                report.push(busy);
+                report.push(server_load);
             }
-            is_reported || busy.ended > 0
+            is_reported || server_load.ended > 0
         });
         report
     }
@@ -144,7 +148,7 @@
     }
 
     /// Removes a server from all indexes except `by_id`.
-    fn detach(&mut self, key: Key) -> Option<ServerState> {
+    fn remove_from_indexes(&mut self, key: Key) -> Option<ServerState> {
         let state = self.servers.remove(key)?;
         state.pool.close_idle();
         self.by_incarnation.remove(&state.incarnation);
@@ -256,7 +260,7 @@
     /// Replaces the state of a process that has ended by that of its successor. Load,
     /// health and cache contents start anew.
     fn replace_incarnation(&mut self, previous: Key, server: Server, read_at: Instant) {
-        let Some(state) = self.detach(previous) else {
+        let Some(state) = self.remove_from_indexes(previous) else {
             return;
         };
         tracing::info!(event = "server_restarted", server = %server.id,
@@ -301,7 +305,7 @@
         let Some(key) = self.by_id.remove(id) else {
             return;
         };
-        if self.detach(key).is_some() {
+        if self.remove_from_indexes(key).is_some() {
             tracing::info!(event = "server_gone", server = %id);
         }
     }
@@ -312,12 +316,15 @@
         &self,
         query: &Query<'_>,
         topology: &Topology,
-        use_backoff: bool,
+        avoid_backing_off: bool,
     ) -> Vec<Key> {
         let rank = |key: &Key| {
             let state = &self.servers[*key];
             let is_unlisted = state.directory_state != DirectoryState::Listed;
-            (is_unlisted, use_backoff && state.is_backing_off(query.now))
+            (
+                is_unlisted,
+                avoid_backing_off && state.is_backing_off(query.now),
+            )
         };
         let servers = self.limit_warming(query, topology, self.preselect(query, topology));
         let best = servers.iter().map(rank).min();
@@ -339,9 +346,9 @@
             && topology.is_in_regions(query.allowed_regions, data_centre)
     }
 
-    /// The servers to compare: all that can run the request or, if the service has very
-    /// many, a sample of them with the recently used ones and the server that caches the
-    /// conversation.
+    /// The servers to compare: all that can run the request or, if the service has more than
+    /// [`sample::MAX_UNSAMPLED_SERVERS`], a sample of them with the recently used ones and the
+    /// server that caches the conversation.
     fn preselect(&self, query: &Query<'_>, topology: &Topology) -> Vec<Key> {
         let Some(keys) = self.by_service.get(query.service) else {
             return Vec::new();
--- a/crates/gradedyke-gateway/src/fleet/sample.rs
+++ b/crates/gradedyke-gateway/src/fleet/sample.rs
@@ -1,6 +1,6 @@
-//! Selects a sample of servers for services with very many of them.
+//! Selects a sample of servers for services with more than `MAX_UNSAMPLED_SERVERS` servers.
 //!
-//! Comparing thousands of servers for each request would delay it too much. The sample is drawn
+//! This bounds the time that a choice takes. The sample is drawn
 //! anew for each request; recently used servers and the one that caches the conversation are
 //! added by the caller.
 
--- a/crates/gradedyke-gateway/src/fleet/server_state.rs
+++ b/crates/gradedyke-gateway/src/fleet/server_state.rs
@@ -16,7 +16,7 @@
 use crate::window::Window;
 
 /// Number of other entries that must report a server as unreachable before it is
-/// avoided. More than one, because a single entry may be cut off itself.
+/// avoided.
 const MIN_UNREACHABLE_REPORTS: u32 = 2;
 /// Time that servers have to renew their records after the directory becomes available again.
 const DIRECTORY_RECOVERY_GRACE: Duration = Duration::from_millis(2_500);
@@ -178,7 +178,7 @@
 
     /// This entry's share of the server's recent requests, 0 to 1. Estimates how much
     /// of the server's prompt cache this entry's requests occupy.
-    pub(super) fn own_share(&self, now: Instant) -> f64 {
+    pub(super) fn own_request_share(&self, now: Instant) -> f64 {
         let own = f64::from(self.health.report(now).counts.requests + 1);
         own / (own + f64::from(self.peer_load.ended))
     }
--- a/crates/gradedyke-gateway/src/fleet/slow_start.rs
+++ b/crates/gradedyke-gateway/src/fleet/slow_start.rs
@@ -3,13 +3,12 @@
 //! A server that has just started can handle only a few requests per second, over all
 //! entries together. Entries do not coordinate each request. Instead, each one
 //! considers a warming server for a random fraction of its requests, chosen so that the
-//! total rate stays below the limit even if some entries have outdated load figures.
+//! average total rate is [`TARGET_UTILIZATION`] of the limit.
 
 use crate::health::Counts;
 use crate::window;
 
-/// Fraction of the permitted rate that is used on average. Requests arrive at random, and
-/// the rate over any single second must stay below the limit.
+/// Target average rate, as a fraction of the maximum rate.
 const TARGET_UTILIZATION: f64 = 0.6;
 
 /// The load of a service over all entries.
--- a/crates/gradedyke-gateway/src/follow.rs
+++ b/crates/gradedyke-gateway/src/follow.rs
@@ -116,13 +116,13 @@
     pub(crate) quorum: Arc<Coordinator>,
     /// Decides when a keeper that is not a watcher reads the store.
     pub(crate) policy: Arc<feed::Policy>,
-    /// Decides when another watcher reads the store in place of the first one.
+    /// Decides when the standby reads the store in place of the primary watcher.
     pub(crate) standby: feed::Standby,
 }
 
 impl KeeperFollower {
-    /// How urgently this keeper must read the store itself. The first watcher always must; the
-    /// other watchers if the first fails, and all other keepers if no process sends them recent
+    /// How urgently this keeper must read the store itself. The primary watcher always must; the
+    /// other watchers if the primary fails, and all other keepers if no process sends them recent
     /// data. Without a view, the seeds must; without seeds, every keeper.
     fn need(&self, now: Instant) -> Need {
         let view = self.quorum.view();
--- a/crates/gradedyke-gateway/src/link.rs
+++ b/crates/gradedyke-gateway/src/link.rs
@@ -19,18 +19,16 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// Connect timeout; shorter than TCP's wait before it retransmits a lost SYN (1 s).
+/// Connect timeout.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// How long sent data may stay unacknowledged (`TCP_USER_TIMEOUT`). Detects a server that is
 /// powered off or disconnected. A slow server keeps its connection, because its kernel
 /// acknowledges the data, unless its receive buffer stays full for this long.
 const TCP_USER_TIMEOUT: Duration = Duration::from_millis(700);
-/// Idle time before the first TCP keepalive probe, and interval between probes: the minimum
-/// that the socket options allow.
+/// Idle time before the first TCP keepalive probe, and interval between probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 /// Maximum idle time of a connection that is used for a request which must not run twice.
-/// Shorter than the idle timeouts of servers: if the server closes the connection while the
-/// request is sent, the request may have run.
+/// If the server closes an idle connection while the request is sent, the request may have run.
 const MAX_IDLE_NON_REPEATABLE: Duration = Duration::from_millis(900);
 /// Maximum idle time of a connection that is used for a repeatable request. It may exceed
 /// the server's idle timeout: if the server closes the connection, the request is repeated.
@@ -60,7 +58,8 @@
 struct IdleConnection {
     sender: SendRequest<Body>,
     idle_since: Instant,
-    /// The server's idle timeout, less a margin.
+    /// The server's idle timeout less [`IDLE_TIMEOUT_MARGIN`]; [`MAX_IDLE_REPEATABLE`] if
+    /// unknown.
     max_idle: Duration,
 }
 
--- a/crates/gradedyke-gateway/src/meter.rs
+++ b/crates/gradedyke-gateway/src/meter.rs
@@ -1,8 +1,6 @@
 //! Metrics recorder, and the page that exports the metrics in Prometheus' text format.
 //!
-//! The recorder is custom because the `metrics-exporter-prometheus` crate delays the start of
-//! the process by calibrating a clock, and stores every histogram sample until the next
-//! scrape. Here a histogram is a fixed array of counters.
+//! A histogram is a fixed array of counters.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -112,8 +110,8 @@
         self.render_scalars(&mut text);
         let histograms = self.histograms.lock();
         let histograms = histograms.unwrap_or_else(PoisonError::into_inner);
-        for (key, buckets) in histograms.iter() {
-            write_histogram(&mut text, key, buckets);
+        for (key, histogram) in histograms.iter() {
+            write_histogram(&mut text, key, histogram);
         }
         text
     }
@@ -149,18 +147,18 @@
     let _ = writeln!(text, "{name}{labels} {value}");
 }
 
-fn write_histogram(text: &mut String, key: &Key, buckets: &HistogramData) {
+fn write_histogram(text: &mut String, key: &Key, histogram: &HistogramData) {
     let bounds = HISTOGRAM_BOUNDS_S.iter().map(ToString::to_string);
     let bounds = bounds.chain(["+Inf".to_owned()]);
     let bucket = format!("{}_bucket", key.name());
     let mut count = 0;
-    for (bound, samples) in bounds.zip(&buckets.counts) {
+    for (bound, samples) in bounds.zip(&histogram.counts) {
         count += samples.load(Ordering::Relaxed);
         let labels = format_labels(key, Some(format!("le=\"{bound}\"")));
         write_sample(text, &bucket, &labels, &count.to_string());
     }
     let labels = format_labels(key, None);
-    let sum = buckets.sum_micros.load(Ordering::Relaxed) as f64 / MICROS_PER_SECOND;
+    let sum = histogram.sum_micros.load(Ordering::Relaxed) as f64 / MICROS_PER_SECOND;
     write_sample(
         text,
         &format!("{}_sum", key.name()),
--- a/crates/gradedyke-gateway/src/placement/cost.rs
+++ b/crates/gradedyke-gateway/src/placement/cost.rs
@@ -2,11 +2,9 @@
 //! request and of the requests that share its server.
 //!
 //! An engine interleaves reading a prompt with generating tokens for its running
-//! requests, so each prompt token that is not cached delays all of them. A policy that
-//! counts only the request's own delay moves conversations away from busy engines; the
-//! prompts then have to be read again, which makes other engines busy too. Counting the
-//! delay of other requests keeps a conversation on the engine that caches it unless the
-//! queue there costs more than reading the prompt elsewhere.
+//! requests, so each prompt token that is not cached delays all of them. The cost
+//! therefore includes the delay of the other requests. This keeps a conversation on the engine
+//! that caches it unless the queue there costs more than reading the prompt elsewhere.
 
 use std::sync::Arc;
 
@@ -20,23 +18,22 @@
     pub mechanisms: Mechanisms,
 }
 
-/// Cost of using another data centre: the round trip and the price of the traffic.
+/// Cost of a server in another data centre, as equivalent delay.
 const REMOTE_DATA_CENTRE_COST_MS: f64 = 6.0;
 /// Cost saved by reusing an idle connection.
 const IDLE_CONNECTION_SAVING_MS: f64 = 15.0;
 
-/// Slowness up to which a server is treated as normal: response lengths differ, so the
-/// average of a few responses varies by chance.
+/// Slowness up to which a server is treated as normal.
 const SLOWNESS_TOLERANCE_RATIO: f64 = 1.5;
 
 /// Cost of a failed tool call that cannot be repeated: its program fails.
 const NON_REPEATABLE_FAILURE_MS: f64 = 5_000.0;
-/// Cost of a failed turn: the caller has waited in vain and has to send it again.
+/// Cost of a failed turn: the caller has to send it again.
 const TURN_FAILURE_MS: f64 = 1_500.0;
 /// Cost of a failed request that can be retried on another server.
 const REPEATABLE_FAILURE_MS: f64 = 200.0;
 
-/// Maximum number of considered engines that have cached none of the prompt. Load reports are
+/// Maximum number of considered engines with the least of the prompt cached. Load reports are
 /// slightly out of date, so if all entries considered all engines, they would send new prompts
 /// to the same few idle engines at once.
 const MAX_SAMPLED_ENGINES: usize = 8;
@@ -45,8 +42,8 @@
 const MAX_SAMPLED_LOCAL_ENGINES: usize = 4;
 
 impl Cost {
-    /// Indices of the candidates to compare: all engines that cache some of the prompt,
-    /// and a sample of the others that differs from request to request.
+    /// Indices of the candidates to compare: all engines that cache more of the prompt than the
+    /// one that caches least, and a sample of the others that differs from request to request.
     fn considered(self, candidates: &[Candidate]) -> Vec<usize> {
         let indices = 0..candidates.len();
         let engines = candidates.iter().all(|c| c.is_engine);
@@ -54,8 +51,10 @@
             return indices.collect();
         }
         let max_uncached = candidates.iter().map(|c| c.uncached_tokens).max();
-        let is_cached = |index: &usize| Some(candidates[*index].uncached_tokens) < max_uncached;
-        let (mut considered, mut others): (Vec<usize>, Vec<usize>) = indices.partition(is_cached);
+        let caches_more_than_least =
+            |index: &usize| Some(candidates[*index].uncached_tokens) < max_uncached;
+        let (mut considered, mut others): (Vec<usize>, Vec<usize>) =
+            indices.partition(caches_more_than_least);
         others.sort_unstable_by_key(|index| candidates[*index].hash);
         let local = others.iter().filter(|index| candidates[**index].is_local);
         let local: Vec<usize> = local.copied().take(MAX_SAMPLED_LOCAL_ENGINES).collect();
--- a/crates/gradedyke-gateway/src/process.rs
+++ b/crates/gradedyke-gateway/src/process.rs
@@ -26,7 +26,7 @@
 use crate::allowance::Limiter;
 use crate::demand::Demand;
 use crate::dialect::Dialect;
-use crate::entry::{self, CallerHandler, Entry, Readiness};
+use crate::entry::{self, CallerHandler, Entry, ReadinessHandler};
 use crate::fleet::Fleet;
 use crate::mechanism::Mechanisms;
 use crate::settings::Settings;
@@ -42,19 +42,18 @@
     pub kv: Arc<dyn KeyValue>,
 }
 
-/// Interval at which an entry removes expired servers and reconnects to keepers.
+/// Time without a mirror change after which an entry probes unreachable keepers and removes
+/// expired servers.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(250);
-/// Time until the load balancer notices that an entry is draining: it polls every second and
-/// needs two negative responses in a row.
+/// Time until the load balancer notices that an entry is draining.
 const BALANCER_NOTICE_DELAY: Duration = Duration::from_millis(2_300);
 /// Part of the grace period that is reserved for the shutdown itself.
 const SHUTDOWN_RESERVE: Duration = Duration::from_millis(400);
 /// Interval at which a draining entry checks whether all requests have ended.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(25);
-/// Maximum number of caller connections. Each may need another descriptor for a connection
-/// to a server, and both must fit in the process's limit of open files.
+/// Maximum number of caller connections.
 const MAX_CALLER_CONNECTIONS: usize = 1_500;
-/// Idle timeout of caller connections, counted from the start of the last request.
+/// Time from the start of the last request after which a caller connection is closed.
 const CALLER_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// How long a caller may leave sent data unacknowledged before its connection is closed.
@@ -197,7 +196,7 @@
         tasks.spawn(caller_server.serve(Arc::new(CallerHandler(entry.clone())), stop.clone()));
         let ready_server = bind(ready, config, "listen.ready").await?;
         process.addresses.ready = Some(ready_server.address()?);
-        tasks.spawn(ready_server.serve(Arc::new(Readiness(entry)), stop));
+        tasks.spawn(ready_server.serve(Arc::new(ReadinessHandler(entry)), stop));
         process.log_started("entry");
         Ok(process)
     }
--- a/crates/gradedyke-gateway/src/settings.rs
+++ b/crates/gradedyke-gateway/src/settings.rs
@@ -142,8 +142,8 @@
 /// exchange of usage between entries takes.
 const MIN_ALLOWANCE_WINDOW_S: f64 = 1.0;
 
-/// Minimum of `revocation_ms`, in milliseconds. An entry's data may be 2 s old in normal
-/// operation; with a smaller value it would reject valid keys.
+/// Minimum of `revocation_ms`, in milliseconds. With a smaller value, an entry could
+/// reject valid keys.
 const MIN_REVOCATION_MS: u64 = 3_000;
 
 impl Settings {
@@ -215,8 +215,7 @@
 
     /// Time within which any change in the platform's store must take effect: the shortest of
     /// the configured times, but at least `MIN_PROPAGATION_LIMIT_MS`. Only half of
-    /// `revocation_ms` counts, because the entry needs the same time again to confirm that its
-    /// data is current.
+    /// `revocation_ms` counts, because the other half is for the entry to confirm its data.
     ///
     /// ```
     /// use gradedyke_gateway::settings::Settings;
--- a/crates/gradedyke-gateway/src/throttle.rs
+++ b/crates/gradedyke-gateway/src/throttle.rs
@@ -119,10 +119,10 @@
         ratio.clamp(MIN_ADMISSION_RATIO, 1.0)
     }
 
-    /// Whether a program is admitted. `fraction`, in `0.0..1.0`, is random or from
+    /// Whether a program is admitted. `sample`, in `0.0..1.0`, is random or from
     /// [`hash_fraction`].
-    pub fn admits(&self, fraction: f64, now: Instant) -> bool {
-        fraction < self.admission_ratio(now)
+    pub fn admits(&self, sample: f64, now: Instant) -> bool {
+        sample < self.admission_ratio(now)
     }
 
     /// How long a caller whose program was refused should wait before it retries: the
--- a/crates/gradedyke-gateway/src/window.rs
+++ b/crates/gradedyke-gateway/src/window.rs
@@ -5,9 +5,9 @@
 
 use tokio::time::Instant;
 
-/// Duration of one bucket. A window has two buckets, so a sum covers at least this and less
-/// than three times this. A bucket starts with the first value that is added after the previous
-/// one has ended.
+/// Duration of one bucket. A sum covers two buckets and the gap between them, which is at least
+/// one and less than three bucket durations. A bucket starts with the first value that is added
+/// after the previous one has ended.
 pub const BUCKET_DURATION: Duration = Duration::from_secs(3);
 
 /// A sum over the last one to three [`BUCKET_DURATION`]s, kept in two buckets.
