--- a/crates/gradedyke-gateway/src/entry/relay.rs
+++ b/crates/gradedyke-gateway/src/entry/relay.rs
@@ -17,7 +17,7 @@
 use super::attempt::{self, ServerResponse};
 use super::budget::{Reservation, retention_ms};
 use super::call::Call;
-use super::upstream::Upstream;
+use super::upstream::StreamRequest;
 use crate::dialect::Head;
 use crate::estimate::Timing;
 use crate::event::Splitter;
@@ -38,7 +38,7 @@
     entry: &Arc<Entry>,
     call: Arc<Call>,
     reservation: Reservation,
-    upstream: Upstream,
+    upstream: StreamRequest,
     received: ServerResponse,
 ) -> Response<Body> {
     let headers = entry.dialect.response_headers(received.response.headers());
@@ -73,7 +73,7 @@
     call: Arc<Call>,
     reservation: Reservation,
     sender: Sender,
-    upstream: Upstream,
+    upstream: StreamRequest,
     /// Identifier of the last event that was forwarded.
     last_event_id: Option<Bytes>,
     choice: Choice,
--- a/crates/gradedyke-gateway/src/entry/turn.rs
+++ b/crates/gradedyke-gateway/src/entry/turn.rs
@@ -22,7 +22,7 @@
 use super::call::Call;
 use super::refusal::Refusal;
 use super::relay;
-use super::upstream::Upstream;
+use super::upstream::StreamRequest;
 use crate::mechanism::Mechanism;
 use crate::throttle;
 
@@ -43,7 +43,7 @@
         Some(transcript) => concat(&transcript.body, &call.body),
         None => call.body.clone(),
     };
-    let upstream = Upstream::new(transcript, body);
+    let upstream = StreamRequest::new(transcript, body);
     let response = match upstream.open(entry, &call, None).await {
         Ok(response) => response,
         Err(refusal) => {
--- a/crates/gradedyke-gateway/src/entry/upstream.rs
+++ b/crates/gradedyke-gateway/src/entry/upstream.rs
@@ -11,13 +11,13 @@
 use crate::fleet::Query;
 
 /// The request for a stream, with the servers it was sent to.
-pub(super) struct Upstream {
+pub(super) struct StreamRequest {
     transcript: Option<Transcript>,
     body: Bytes,
     attempts: Attempts,
 }
 
-impl Upstream {
+impl StreamRequest {
     /// Creates the request with this complete `body`. `transcript` is the stored conversation that
     /// it continues.
     pub(super) fn new(transcript: Option<Transcript>, body: Bytes) -> Self {
--- a/crates/gradedyke-gateway/src/fleet/mod.rs
+++ b/crates/gradedyke-gateway/src/fleet/mod.rs
@@ -293,7 +293,7 @@
         let times = registry.times(service, is_engine);
         let keys = registry.by_service.get(service).into_iter().flatten();
         let states = keys.map(|key| &registry.servers[*key]);
-        let usable = states.filter(|s| !s.server.is_draining && !s.is_backing_off(now));
+        let usable = states.filter(|s| !s.server.is_draining && !s.is_avoided(now));
         let usable = usable.filter(|s| !registry.evacuated.contains(&s.server.data_centre));
         let waits = usable.map(|s| placement::wait_ms(s.total_in_flight(), s.server.slots, &times));
         let min_wait_ms = waits.min_by(f64::total_cmp).unwrap_or_default();
--- a/crates/gradedyke-gateway/src/fleet/registry.rs
+++ b/crates/gradedyke-gateway/src/fleet/registry.rs
@@ -323,7 +323,7 @@
             let is_unlisted = state.directory_state != DirectoryState::Listed;
             (
                 is_unlisted,
-                avoid_backing_off && state.is_backing_off(query.now),
+                avoid_backing_off && state.is_avoided(query.now),
             )
         };
         let servers = self.limit_warming(query, topology, self.preselect(query, topology));
@@ -390,7 +390,7 @@
             }
         });
         let candidates: Vec<_> = candidates.collect();
-        let chosen = slow_start::choose(&candidates, rate, &load, !allowed.is_empty());
+        let chosen = slow_start::eligible_indices(&candidates, rate, &load, !allowed.is_empty());
         allowed.extend(chosen.into_iter().map(|index| warming[index]));
         allowed
     }
--- a/crates/gradedyke-gateway/src/fleet/server_state.rs
+++ b/crates/gradedyke-gateway/src/fleet/server_state.rs
@@ -200,7 +200,7 @@
     }
 
     /// Whether the server is to be avoided while others are available.
-    pub(super) fn is_backing_off(&self, now: Instant) -> bool {
+    pub(super) fn is_avoided(&self, now: Instant) -> bool {
         self.health.is_backing_off(now) || self.peer_load.unreached >= MIN_UNREACHABLE_REPORTS
     }
 }
--- a/crates/gradedyke-gateway/src/fleet/slow_start.rs
+++ b/crates/gradedyke-gateway/src/fleet/slow_start.rs
@@ -3,7 +3,7 @@
 //! A server that has just started can handle only a few requests per second, over all
 //! entries together. Entries do not coordinate each request. Instead, each one
 //! considers a warming server for a random fraction of its requests, chosen so that the
-//! average total rate is [`TARGET_UTILIZATION`] of the limit.
+//! average total rate is `TARGET_UTILIZATION` of the limit.
 
 use crate::health::Counts;
 use crate::window;
@@ -68,7 +68,7 @@
 /// available.
 ///
 /// ```
-/// use gradedyke_gateway::fleet::slow_start::{WarmingServer, ServiceLoad, choose};
+/// use gradedyke_gateway::fleet::slow_start::{WarmingServer, ServiceLoad, eligible_indices};
 /// use gradedyke_gateway::health::Counts;
 ///
 /// let recent_requests = Counts::default();
@@ -78,10 +78,10 @@
 /// };
 /// let candidate = |hash| WarmingServer { in_flight: 0, hash };
 /// // The server gets 12 of 300 requests per second.
-/// assert_eq!(choose(&[candidate(u64::MAX / 30)], 20.0, &load, true), [0]);
-/// assert!(choose(&[candidate(u64::MAX / 20)], 20.0, &load, true).is_empty());
+/// assert_eq!(eligible_indices(&[candidate(u64::MAX / 30)], 20.0, &load, true), [0]);
+/// assert!(eligible_indices(&[candidate(u64::MAX / 20)], 20.0, &load, true).is_empty());
 /// ```
-pub fn choose(
+pub fn eligible_indices(
     candidates: &[WarmingServer],
     max_rate_per_s: f64,
     load: &ServiceLoad,
--- a/crates/gradedyke-gateway/src/follow.rs
+++ b/crates/gradedyke-gateway/src/follow.rs
@@ -113,7 +113,7 @@
     /// The keeper's copy of the platform's data.
     pub(crate) mirror: Arc<Mirror>,
     /// Client for the other keepers.
-    pub(crate) quorum: Arc<Coordinator>,
+    pub(crate) coordinator: Arc<Coordinator>,
     /// Decides when a keeper that is not a watcher reads the store.
     pub(crate) policy: Arc<feed::Policy>,
     /// Decides when the standby reads the store in place of the primary watcher.
@@ -125,7 +125,7 @@
     /// other watchers if the primary fails, and all other keepers if no process sends them recent
     /// data. Without a view, the seeds must; without seeds, every keeper.
     fn need(&self, now: Instant) -> Need {
-        let view = self.quorum.view();
+        let view = self.coordinator.view();
         let mut watchers = view.watchers();
         let first = watchers.next();
         let age = self.mirror.age(now);
@@ -133,7 +133,7 @@
             None if self.seeds.is_empty() || self.seeds.contains(&self.own_address) => Need::High,
             Some(first) if first.disk == self.disk => Need::High,
             Some(first) if watchers.any(|w| w.disk == self.disk) => {
-                let down = self.quorum.client(first.address).is_down();
+                let down = self.coordinator.client(first.address).is_down();
                 self.standby.need(age, down, now)
             }
             _ => self.policy.need(age, now),
@@ -143,10 +143,10 @@
     /// Keepers to ask for updates: for a member of the view its watchers, for any other keeper
     /// the members, the nearest first.
     fn sources(&self) -> Vec<SocketAddr> {
-        let view = self.quorum.view();
+        let view = self.coordinator.view();
         let mut sources = match view.find(self.disk) {
             Some(_) => view.watchers().map(|m| m.address).collect(),
-            None => self.quorum.addresses_by_distance(),
+            None => self.coordinator.addresses_by_distance(),
         };
         if sources.is_empty() {
             sources.clone_from(&self.seeds);
@@ -166,7 +166,7 @@
         let follower = keeper.clone();
         tasks.spawn(feed::run(
             keeper.mirror.clone(),
-            keeper.quorum.clone(),
+            keeper.coordinator.clone(),
             keeper.policy.clone(),
             move || follower.sources(),
             stop.clone(),
--- a/crates/gradedyke-gateway/src/process.rs
+++ b/crates/gradedyke-gateway/src/process.rs
@@ -135,7 +135,7 @@
             .as_ref()
             .map(TcpListener::local_addr)
             .transpose()?;
-        let quorum = Coordinator::new(mirror.clone(), &settings.data_centre, own_address);
+        let coordinator = Coordinator::new(mirror.clone(), &settings.data_centre, own_address);
         let decisions = settings.decisions.clone();
         let mechanisms = Mechanisms::all_except(&decisions.off);
         let propagation_limit = settings.propagation_limit();
@@ -153,7 +153,7 @@
             mirror: mirror.clone(),
             config: ArcSwapOption::empty(),
             fleet: Fleet::new(settings.topology(), own_address, policy, mechanisms),
-            quorum: quorum.clone(),
+            quorum: coordinator.clone(),
             limiter: Limiter::new(rand::random(), settings.allowance_window(), Instant::now()),
             demand: Demand::default(),
             throttle: Throttle::default(),
@@ -167,11 +167,11 @@
         });
         let stop = CancellationToken::new();
         let mut process = Self::new(settings, Some(entry.clone()), stop.clone());
-        let sources = follow_sources(process.settings.clone(), quorum.clone());
+        let sources = follow_sources(process.settings.clone(), coordinator.clone());
         let tasks = &mut process.tasks;
         let follower = follow::EntryFollower {
             mirror,
-            peers: quorum,
+            peers: coordinator,
             propagation_limit,
         };
         follower.start(tasks, &environment.kv, sources, Instant::now(), &stop);
@@ -259,7 +259,7 @@
             disk,
             seeds,
             mirror: mirror.clone(),
-            quorum: Coordinator::new(mirror.clone(), &config.data_centre, None),
+            coordinator: Coordinator::new(mirror.clone(), &config.data_centre, None),
             policy: Arc::new(policy),
             standby: feed::Standby::default(),
         };
@@ -362,10 +362,10 @@
 /// first, then the configured seeds.
 fn follow_sources(
     settings: Arc<ArcSwap<Settings>>,
-    quorum: Arc<Coordinator>,
+    coordinator: Arc<Coordinator>,
 ) -> impl Fn() -> Vec<SocketAddr> {
     move || {
-        let mut sources = quorum.addresses_by_distance();
+        let mut sources = coordinator.addresses_by_distance();
         let settings = settings.load();
         let seeds = settings.seeds.iter().copied();
         let others: Vec<_> = seeds.filter(|s| !sources.contains(s)).collect();
--- a/crates/gradedyke-gateway/src/settings.rs
+++ b/crates/gradedyke-gateway/src/settings.rs
@@ -180,10 +180,7 @@
             .revocation_ms
             .is_some_and(|ms| ms < MIN_REVOCATION_MS)
         {
-            return Err(source.error(
-                "revocation_ms",
-                "shorter than the time that a change takes to reach an entry; set 3000 or more",
-            ));
+            return Err(source.error("revocation_ms", "too short; set 3000 or more"));
         }
         if settings.allowance_window_s < MIN_ALLOWANCE_WINDOW_S {
             return Err(source.error(
