--- a/crates/gradedyke-gateway/src/allowance.rs
+++ b/crates/gradedyke-gateway/src/allowance.rs
@@ -1,11 +1,11 @@
 //! Rate limits of client accounts, enforced over all entries together.
 //!
 //! Each entry counts the requests that it admits and reports them to the keepers, which
-//! answer with the sum over all entries ([`gradedyke_turns::usage`]). An entry contacts
-//! the keepers before each turn anyway, so the sum used to admit a turn includes that turn. For a
-//! tool call it uses the last known sum if that is recent and well below the limit, and
-//! otherwise asks the keepers first. This bounds
-//! the excess over the limit that is caused by requests that the sum does not include yet.
+//! answer with the sum over all entries ([`gradedyke_turns::usage`]). An entry contacts the
+//! keepers before each turn anyway, so the sum used to admit a turn includes that turn. For a
+//! tool call it uses the last known sum if that is recent and well below the limit, and otherwise
+//! asks the keepers first. This bounds the excess over the limit that is caused by requests that
+//! the sum does not include yet.
 //!
 //! If one request of a program is refused, the whole program fails. A new program is therefore
 //! refused at its first turn if the programs started in the window are already expected to use
--- a/crates/gradedyke-gateway/src/entry/attempt.rs
+++ b/crates/gradedyke-gateway/src/entry/attempt.rs
@@ -143,8 +143,8 @@
     Err(Refusal::NoCapacity)
 }
 
-/// A request is refused at once if its expected wait for a slot is longer than the
-/// time left until its deadline multiplied by this factor.
+/// A request is refused at once if its expected wait for a slot is longer than the time left
+/// until its deadline multiplied by this factor.
 const MAX_WAIT_RATIO: f64 = 2.0;
 
 /// Whether the expected wait for a slot at the chosen server exceeds the time left multiplied by
@@ -361,8 +361,8 @@
         unread = choice.as_ref().map(|c| c.candidate.uncached_tokens),
         in_flight = choice.as_ref().map(|c| c.candidate.in_flight),
         expected_ms = choice.as_ref().map(|c| c.candidate.first_event_ms()),
-        answer_ms = choice.as_ref().map(|c| c.candidate.times.response_ms),
-        gap_ms = choice.as_ref().map(|c| c.candidate.times.event_gap_ms),
+        answer_ms = choice.as_ref().map(|c| c.candidate.times.unloaded_response_ms),
+        gap_ms = choice.as_ref().map(|c| c.candidate.times.unloaded_event_gap_ms),
         read_ms = choice.as_ref().map(|c| c.candidate.times.read_ms_per_token),
         slowness = choice.as_ref().map(|c| c.candidate.slowness),
         route = call.route.name, config = call.config.version,
--- a/crates/gradedyke-gateway/src/entry/door.rs
+++ b/crates/gradedyke-gateway/src/entry/door.rs
@@ -38,7 +38,7 @@
         &self,
         waited: Duration,
         config: Option<u64>,
-        age: Option<Duration>,
+        data_age: Option<Duration>,
     ) -> Response<Body> {
         let id_text = |id: Option<&Id>| id.map_or_else(String::new, |id| id.as_str().to_owned());
         let retry_after = self.refusal.retry_after(self.expected_wait, rand::random());
@@ -51,7 +51,7 @@
             drain_ms = self.expected_wait.as_millis(),
             retry_after_ms = retry_after.map(|a| a.as_millis()),
             config,
-            config_age_ms = age.map(|a| a.as_millis())
+            config_age_ms = data_age.map(|a| a.as_millis())
         );
         self.refusal.response(retry_after)
     }
--- a/crates/gradedyke-gateway/src/entry/mod.rs
+++ b/crates/gradedyke-gateway/src/entry/mod.rs
@@ -89,9 +89,9 @@
     pub drain: CancellationToken,
     /// Revision of the configuration that was last read from the mirror.
     pub config_revision: Mutex<u64>,
-    /// Time within which a configuration change must take effect. If the local data is
-    /// older than this, a request that the configuration forbids (unknown key or route, body too
-    /// large) gets a retryable error instead of a final one.
+    /// Time within which a configuration change must take effect. If the local data is older than
+    /// this, a request that the configuration forbids (unknown key or route, body too large) gets
+    /// a retryable error instead of a final one.
     pub propagation_limit: Duration,
     /// Greatest age of the local data at which a key in it is accepted; `None` if there is
     /// no limit.
--- a/crates/gradedyke-gateway/src/entry/upstream.rs
+++ b/crates/gradedyke-gateway/src/entry/upstream.rs
@@ -58,8 +58,7 @@
 }
 
 /// Estimates how many prompt tokens belong to the stored conversation, by its share of the
-/// bytes. The server that ran the conversation's last turn has these tokens in its
-/// cache.
+/// bytes. The server that ran the conversation's last turn has these tokens in its cache.
 fn cached_tokens(call: &Call, transcript: &Transcript) -> u64 {
     let prompt = call.meta.size.map_or(0, |s| s.prompt_tokens);
     let (stored_bytes, new_bytes) = (transcript.body.len() as u64, call.body.len() as u64);
--- a/crates/gradedyke-gateway/src/estimate.rs
+++ b/crates/gradedyke-gateway/src/estimate.rs
@@ -193,12 +193,12 @@
     /// For an engine, the time of a complete response without queueing, without reading the
     /// prompt and without concurrent requests; for a plain service, the time to the response
     /// head.
-    pub response_ms: f64,
+    pub unloaded_response_ms: f64,
     /// Time to the first event, without queueing and without reading the prompt; 0 for a
     /// plain service.
     pub first_event_ms: f64,
     /// Time between events if the server runs no other requests; 0 for a plain service.
-    pub event_gap_ms: f64,
+    pub unloaded_event_gap_ms: f64,
     /// Increase of the time between events with each concurrent request.
     pub gap_per_concurrent_ms: f64,
     /// Number of events of a response after the first.
@@ -210,12 +210,12 @@
 impl Times {
     /// Time between events with `concurrent` other requests running, in milliseconds.
     pub fn event_gap_ms(&self, concurrent: u32) -> f64 {
-        self.event_gap_ms + f64::from(concurrent) * self.gap_per_concurrent_ms
+        self.unloaded_event_gap_ms + f64::from(concurrent) * self.gap_per_concurrent_ms
     }
 
     /// Total time of a response with `concurrent` other requests running, in milliseconds.
     pub fn response_ms(&self, concurrent: u32) -> f64 {
-        self.response_ms + self.events * f64::from(concurrent) * self.gap_per_concurrent_ms
+        self.unloaded_response_ms + self.events * f64::from(concurrent) * self.gap_per_concurrent_ms
     }
 }
 
@@ -326,9 +326,9 @@
     pub fn times(&self, is_engine: bool) -> Times {
         if !is_engine {
             return Times {
-                response_ms: self.response.value(),
+                unloaded_response_ms: self.response.value(),
                 first_event_ms: 0.0,
-                event_gap_ms: 0.0,
+                unloaded_event_gap_ms: 0.0,
                 gap_per_concurrent_ms: 0.0,
                 events: 0.0,
                 read_ms_per_token: 0.0,
@@ -338,9 +338,9 @@
         let first_event_ms = self.first_event.predict(0.0).max(0.0);
         let event_gap_ms = self.gap.predict(0.0).max(0.0);
         Times {
-            response_ms: first_event_ms + events * event_gap_ms,
+            unloaded_response_ms: first_event_ms + events * event_gap_ms,
             first_event_ms,
-            event_gap_ms,
+            unloaded_event_gap_ms: event_gap_ms,
             gap_per_concurrent_ms: self.gap.slope(),
             events,
             read_ms_per_token: self.first_event.slope(),
--- a/crates/gradedyke-gateway/src/fleet/mod.rs
+++ b/crates/gradedyke-gateway/src/fleet/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! The directory in the platform's key-value store lists the servers. While it is
 //! unavailable, the last known servers stay in use. A server whose record was deleted
-//! remains a fallback for `UNLISTED_GRACE`, and after an outage of the directory at least
-//! for `DIRECTORY_RECOVERY_GRACE`.
+//! remains a fallback for `UNLISTED_GRACE`, and after an outage of the directory at least for
+//! `DIRECTORY_RECOVERY_GRACE`.
 //!
 //! `registry` indexes the servers, `server_state` holds the state of one, and `topology`
 //! maps data centres to regions. `sample` selects the servers to compare if there are
--- a/crates/gradedyke-gateway/src/fleet/registry.rs
+++ b/crates/gradedyke-gateway/src/fleet/registry.rs
@@ -421,7 +421,7 @@
             has_peer_load: self.peer_load_received.is_some(),
             in_flight: 0,
             recently_ended: 0,
-            response_ms: times.response_ms,
+            response_ms: times.unloaded_response_ms,
             warming_servers: 0,
         };
         let keys = self.by_service.get(query.service).into_iter().flatten();
--- a/crates/gradedyke-gateway/src/fleet/sample.rs
+++ b/crates/gradedyke-gateway/src/fleet/sample.rs
@@ -1,8 +1,7 @@
 //! Selects a sample of servers for services with more than `MAX_UNSAMPLED_SERVERS` servers.
 //!
-//! This bounds the time that a choice takes. The sample is drawn
-//! anew for each request; recently used servers and the one that caches the conversation are
-//! added by the caller.
+//! This bounds the time that a choice takes. The sample is drawn anew for each request; recently
+//! used servers and the one that caches the conversation are added by the caller.
 
 use std::collections::VecDeque;
 use std::hash::{DefaultHasher, Hash, Hasher};
--- a/crates/gradedyke-gateway/src/fleet/slow_start.rs
+++ b/crates/gradedyke-gateway/src/fleet/slow_start.rs
@@ -2,8 +2,8 @@
 //!
 //! A server that has just started can handle only a few requests per second, over all
 //! entries together. Entries do not coordinate each request. Instead, each one
-//! considers a warming server for a random fraction of its requests, chosen so that the
-//! average total rate is `TARGET_UTILIZATION` of the limit.
+//! considers a warming server for a random fraction of its requests, chosen so that the average
+//! total rate is `TARGET_UTILIZATION` of the limit.
 
 use crate::health::Counts;
 use crate::window;
--- a/crates/gradedyke-gateway/src/health.rs
+++ b/crates/gradedyke-gateway/src/health.rs
@@ -2,9 +2,9 @@
 //!
 //! Two signals are kept. After a connection failure, a malformed response or a timeout,
 //! the server is in *backoff*: it gets no requests while others are available.
-//! Independently, the *failure rate* is the share of its recent requests, from
-//! all entries, that were sent and then failed, were rejected or took far too long.
-//! Placement policies weigh it against the cost of a failure.
+//! Independently, the *failure rate* is the share of its recent requests, from all entries, that
+//! were sent and then failed, were rejected or took far too long. Placement policies weigh it
+//! against the cost of a failure.
 
 use std::ops::Add;
 use std::time::Duration;
--- a/crates/gradedyke-gateway/src/lib.rs
+++ b/crates/gradedyke-gateway/src/lib.rs
@@ -6,11 +6,11 @@
 //! token budgets ([`gradedyke_turns`]) and passes the data of the platform's key-value store on
 //! to entries.
 //!
-//! A *program* is a sequence of requests of one agent; a *turn* is one request of its
-//! conversation with a model. An *engine* is a backend server that runs a model; a service of
-//! such servers is a *model service*, any other a *plain service*. A *tool call* is a call of a
-//! plain service by a program. A *slot* is one of the requests that a server can run at the
-//! same time.
+//! A *program* is a group of requests of one agent whose turns share a token budget; a *turn* is
+//! one request of its conversation with a model. An *engine* is a backend server that runs a
+//! model; a service of such servers is a *model service*, any other a *plain service*. A *tool
+//! call* is a call of a plain service by a program. A *slot* is one of the requests that a server
+//! can run at the same time.
 //!
 //! The *view* lists the keepers that store data, its *members*. The *watchers* are the members
 //! that read the platform's key-value store on behalf of all other processes. A keeper outside
--- a/crates/gradedyke-gateway/src/placement/cost.rs
+++ b/crates/gradedyke-gateway/src/placement/cost.rs
@@ -2,9 +2,9 @@
 //! request and of the requests that share its server.
 //!
 //! An engine interleaves reading a prompt with generating tokens for its running
-//! requests, so each prompt token that is not cached delays all of them. The cost
-//! therefore includes the delay of the other requests. This keeps a conversation on the engine
-//! that caches it unless the queue there costs more than reading the prompt elsewhere.
+//! requests, so each prompt token that is not cached delays all of them. The cost therefore
+//! includes the delay of the other requests. This keeps a conversation on the engine that caches
+//! it unless the queue there costs more than reading the prompt elsewhere.
 
 use std::sync::Arc;
 
@@ -83,7 +83,7 @@
         // Zero for a plain service.
         let read_ms = candidate.uncached_tokens as f64 * times.read_ms_per_token;
         let others_ms = f64::from(candidate.concurrent()) * read_ms;
-        times.response_ms
+        times.unloaded_response_ms
             + wait_ms
             + term(Mechanism::Reading, read_ms)
             + term(Mechanism::ReadingForOthers, others_ms)
--- a/crates/gradedyke-gateway/src/placement/mod.rs
+++ b/crates/gradedyke-gateway/src/placement/mod.rs
@@ -71,7 +71,7 @@
 ///
 /// let times = ServiceEstimate::default().times(false);
 /// assert_eq!(wait_ms(3, 4, &times), 0.0);
-/// assert_eq!(wait_ms(7, 4, &times), times.response_ms);
+/// assert_eq!(wait_ms(7, 4, &times), times.unloaded_response_ms);
 /// ```
 pub fn wait_ms(in_flight: u32, slots: u32, times: &Times) -> f64 {
     let response_ms = times.response_ms(concurrent(in_flight, slots));
--- a/crates/gradedyke-gateway/tests/placement.rs
+++ b/crates/gradedyke-gateway/tests/placement.rs
@@ -14,9 +14,9 @@
         is_engine: true,
         has_idle_connection: false,
         times: Times {
-            response_ms: 280.0,
+            unloaded_response_ms: 280.0,
             first_event_ms: 20.0,
-            event_gap_ms: 30.0,
+            unloaded_event_gap_ms: 30.0,
             gap_per_concurrent_ms: 1.5,
             events: 8.0,
             read_ms_per_token: 1.0 / 60.0,
