--- a/crates/gradedyke-gateway/src/estimate.rs
+++ b/crates/gradedyke-gateway/src/estimate.rs
@@ -336,11 +336,11 @@
         }
         let events = self.events.value();
         let first_event_ms = self.first_event.predict(0.0).max(0.0);
-        let event_gap_ms = self.gap.predict(0.0).max(0.0);
+        let unloaded_event_gap_ms = self.gap.predict(0.0).max(0.0);
         Times {
-            unloaded_response_ms: first_event_ms + events * event_gap_ms,
+            unloaded_response_ms: first_event_ms + events * unloaded_event_gap_ms,
             first_event_ms,
-            unloaded_event_gap_ms: event_gap_ms,
+            unloaded_event_gap_ms,
             gap_per_concurrent_ms: self.gap.slope(),
             events,
             read_ms_per_token: self.first_event.slope(),
