--- a/crates/gradedyke-gateway/src/placement/cost.rs
+++ b/crates/gradedyke-gateway/src/placement/cost.rs
@@ -13,7 +13,7 @@
 
 /// Chooses the server with the lowest estimated cost: delay, expected failures and distance.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Cost {
+pub struct CostPolicy {
     /// The terms that are included.
     pub mechanisms: Mechanisms,
 }
@@ -41,7 +41,7 @@
 /// is sampled from all.
 const MAX_SAMPLED_LOCAL_ENGINES: usize = 4;
 
-impl Cost {
+impl CostPolicy {
     /// Indices of the candidates to compare: all engines that cache more of the prompt than the
     /// one that caches least, and a sample of the others that differs from request to request.
     fn considered(self, candidates: &[Candidate]) -> Vec<usize> {
@@ -117,7 +117,7 @@
     }
 }
 
-impl Policy for Cost {
+impl Policy for CostPolicy {
     fn choose(&self, candidates: &[Candidate]) -> Option<usize> {
         let key = |c: &Candidate| (self.total_ms(c), c.hash);
         let indices = self.considered(candidates).into_iter();
@@ -131,6 +131,6 @@
 inventory::submit! {
     PolicyRegistration {
         name: "cost",
-        build: |mechanisms| Arc::new(Cost { mechanisms }),
+        build: |mechanisms| Arc::new(CostPolicy { mechanisms }),
     }
 }
