--- a/crates/gradedyke-turns/src/backlog.rs
+++ b/crates/gradedyke-turns/src/backlog.rs
@@ -7,15 +7,15 @@
 
 use tokio::time::Instant;
 
-/// Age of the oldest request in flight above which new ones are rejected. Well below the
-/// caller's timeout, so that admitted requests are answered in time.
+/// Age of the oldest request in flight above which new ones are rejected.
 const MAX_OLDEST_REQUEST_AGE: Duration = Duration::from_millis(100);
-/// The same for a program's first turn. Lower, because rejecting a first turn wastes no work,
+/// Age of the oldest request in flight above which requests for a program's first turn are
+/// rejected. Lower, because rejecting a first turn wastes no work,
 /// whereas rejecting a later one wastes the program's earlier turns.
 const MAX_OLDEST_REQUEST_AGE_FIRST_TURN: Duration = Duration::from_millis(50);
 /// Requests that may be in flight whatever their age, so that one slow request does not block
 /// others.
-const MIN_CONCURRENT_REQUESTS: usize = 32;
+const AGE_LIMIT_EXEMPT_REQUESTS: usize = 32;
 
 /// Returns whether a new request must be rejected when `active` requests are in flight and
 /// the oldest of them is `age` old. `is_first_turn` tells whether the new one is for a program's
@@ -38,7 +38,7 @@
     } else {
         MAX_OLDEST_REQUEST_AGE
     };
-    age > max_age && active >= MIN_CONCURRENT_REQUESTS
+    age > max_age && active >= AGE_LIMIT_EXEMPT_REQUESTS
 }
 
 /// Start times of the requests in flight, by sequence number.
--- a/crates/gradedyke-turns/src/conversation.rs
+++ b/crates/gradedyke-turns/src/conversation.rs
@@ -15,7 +15,7 @@
 pub struct Transcript {
     /// Text of all inputs and outputs, oldest first.
     pub body: Bytes,
-    /// The backend server that ran the last turn.
+    /// ID of the incarnation of the backend server that ran the last turn.
     pub server: Id,
 }
 
@@ -34,7 +34,7 @@
 pub struct Conversation {
     /// Its turns, oldest first.
     pub turns: Vec<(Id, TurnBody)>,
-    /// The backend server that ran the last turn.
+    /// ID of the incarnation of the backend server that ran the last turn.
     pub server: Id,
 }
 
--- a/crates/gradedyke-turns/src/desk.rs
+++ b/crates/gradedyke-turns/src/desk.rs
@@ -21,14 +21,13 @@
 use crate::stats::{RequestKind, RequestStats};
 
 /// How long a request waits for a replica that is still opening before it is answered with
-/// [`Reply::Starting`]. Well below the timeout of the caller.
+/// [`Reply::Starting`].
 const STARTUP_WAIT: Duration = Duration::from_millis(100);
 /// Maximum number of concurrent [`Request::Begin`] requests; limits memory. [`Backlog`] limits
 /// latency.
 const MAX_CONCURRENT_BEGINS: usize = 192;
-/// Maximum number of concurrent requests of other kinds that need the replica. They have their
-/// own, higher limit, as most of them complete attempts that have already run.
-const MAX_CONCURRENT_NON_BEGINS: usize = 768;
+/// Maximum number of concurrent requests of other kinds that need the replica.
+const MAX_CONCURRENT_OTHER_REQUESTS: usize = 768;
 
 /// One of a limited number of concurrent requests; frees its slot when dropped.
 struct ConcurrencyPermit<'a>(&'a AtomicUsize);
@@ -54,9 +53,9 @@
     mirror: Arc<Mirror>,
     replica: watch::Receiver<Option<Arc<Replica>>>,
     begins_in_flight: AtomicUsize,
-    non_begins_in_flight: AtomicUsize,
+    other_requests_in_flight: AtomicUsize,
     backlog: Backlog,
-    meter: Mutex<Meter>,
+    rejection_meter: Mutex<Meter>,
     stats: Mutex<RequestStats>,
 }
 
@@ -68,9 +67,9 @@
             mirror,
             replica,
             begins_in_flight: AtomicUsize::new(0),
-            non_begins_in_flight: AtomicUsize::new(0),
+            other_requests_in_flight: AtomicUsize::new(0),
             backlog: Backlog::default(),
-            meter: Mutex::default(),
+            rejection_meter: Mutex::default(),
             stats: Mutex::new(RequestStats::new(Instant::now())),
         }
     }
@@ -113,8 +112,8 @@
                 ConcurrencyPermit::try_acquire(&self.begins_in_flight, MAX_CONCURRENT_BEGINS)
             }
             _ => ConcurrencyPermit::try_acquire(
-                &self.non_begins_in_flight,
-                MAX_CONCURRENT_NON_BEGINS,
+                &self.other_requests_in_flight,
+                MAX_CONCURRENT_OTHER_REQUESTS,
             ),
         }
     }
@@ -160,9 +159,12 @@
     /// Counts an attempt and whether it was rejected. Returns the pressure on the replica.
     fn record_attempt(&self, rejected: bool) -> Pressure {
         let now = Instant::now();
-        let mut meter = self.meter.lock().unwrap_or_else(PoisonError::into_inner);
-        meter.record_attempt(rejected, now);
-        meter.pressure(now)
+        let mut rejection_meter = self
+            .rejection_meter
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        rejection_meter.record_attempt(rejected, now);
+        rejection_meter.pressure(now)
     }
 
     fn reject(&self, is_begin: bool) -> Reply {
--- a/crates/gradedyke-turns/src/detour.rs
+++ b/crates/gradedyke-turns/src/detour.rs
@@ -20,16 +20,15 @@
 
 /// How long to wait for direct replies of a majority before calls go through neighbours. Not
 /// waited for if a majority is already known to be unreachable.
-const RELAY_DELAY: Duration = Duration::from_millis(150);
-/// Timeout of a call to a neighbour. Short, as the neighbour may be partitioned too and the
-/// next one may not be.
-const RELAY_CALL_TIMEOUT: Duration = Duration::from_millis(250);
-/// Timeout of the neighbour's call to the replica. Less than [`RELAY_CALL_TIMEOUT`], so that
+const FORWARDING_DELAY: Duration = Duration::from_millis(150);
+/// Timeout of a call to a neighbour.
+const NEIGHBOUR_CALL_TIMEOUT: Duration = Duration::from_millis(250);
+/// Timeout of the neighbour's call to the replica. Less than [`NEIGHBOUR_CALL_TIMEOUT`], so that
 /// the neighbour can still report that the replica is slow.
 const FORWARD_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Maximum number of neighbours tried for one request, one after the other.
-const MAX_RELAYS: usize = 3;
+const MAX_NEIGHBOURS: usize = 3;
 
 /// Forwards requests of other entries to replicas, and sends other entries changes of
 /// the platform's key-value store.
@@ -92,7 +91,7 @@
 }
 
 /// Result of a call through a neighbour.
-enum RelayOutcome {
+enum ForwardingOutcome {
     /// The replica's reply.
     Reply(Bytes),
     /// The replica is reachable but did not answer in time.
@@ -102,17 +101,17 @@
 }
 
 /// Calls the replica at `to` through `neighbour`.
-async fn call_through(neighbour: &Client, to: SocketAddr, body: Bytes) -> RelayOutcome {
+async fn call_through(neighbour: &Client, to: SocketAddr, body: Bytes) -> ForwardingOutcome {
     let request = message::encode(&Request::Via { to, body });
-    let reply = neighbour.call(request, RELAY_CALL_TIMEOUT).await;
+    let reply = neighbour.call(request, NEIGHBOUR_CALL_TIMEOUT).await;
     let reply = reply.inspect_err(|error| {
         tracing::debug!(event = "detour_failed", keeper = %to, %error);
     });
     let reply = reply.ok().and_then(|r| message::decode(&r));
     match reply {
-        Some(Reply::Via(reply)) => RelayOutcome::Reply(reply),
-        Some(Reply::Busy(_)) => RelayOutcome::ReplicaTimedOut,
-        _ => RelayOutcome::Unreachable,
+        Some(Reply::Via(reply)) => ForwardingOutcome::Reply(reply),
+        Some(Reply::Busy(_)) => ForwardingOutcome::ReplicaTimedOut,
+        _ => ForwardingOutcome::Unreachable,
     }
 }
 
@@ -121,49 +120,51 @@
 pub struct ReplicaClient {
     replica: SocketAddr,
     direct: Client,
-    relays: Vec<Client>,
+    neighbours: Vec<Client>,
     /// Direct clients of all active replicas.
     active_replicas: Vec<Client>,
     /// How many of them must answer to make forwarding unnecessary.
     required_replies: usize,
     /// The neighbour that last forwarded a request successfully; shared with other clients.
-    last_relay: Arc<Mutex<Option<SocketAddr>>>,
+    last_neighbour: Arc<Mutex<Option<SocketAddr>>>,
 }
 
 impl ReplicaClient {
     /// Creates a client of the replica at address `replica`, which is called by `direct` or
-    /// through `relays`. `last_relay` remembers the neighbour that last succeeded, which is
+    /// through `neighbours`. `last_neighbour` remembers the neighbour that last succeeded, which is
     /// tried first. `active_replicas` has the direct clients of all active replicas, of
     /// which `required_replies` must answer to make forwarding unnecessary.
     pub fn new(
         replica: SocketAddr,
         direct: Client,
-        mut relays: Vec<Client>,
+        mut neighbours: Vec<Client>,
         (active_replicas, required_replies): (Vec<Client>, usize),
-        last_relay: Arc<Mutex<Option<SocketAddr>>>,
+        last_neighbour: Arc<Mutex<Option<SocketAddr>>>,
     ) -> Self {
-        let previous = *last_relay.lock().unwrap_or_else(PoisonError::into_inner);
-        relays.sort_by_key(|r| Some(r.address()) != previous);
-        relays.truncate(MAX_RELAYS);
+        let previous = *last_neighbour
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        neighbours.sort_by_key(|r| Some(r.address()) != previous);
+        neighbours.truncate(MAX_NEIGHBOURS);
         Self {
             replica,
             direct,
-            relays,
+            neighbours,
             active_replicas,
             required_replies,
-            last_relay,
+            last_neighbour,
         }
     }
 
     /// Remembers the neighbour that forwarded a request successfully.
-    fn record_relay(&self, neighbour: SocketAddr) {
-        let mut last_relay = self
-            .last_relay
+    fn record_neighbour(&self, neighbour: SocketAddr) {
+        let mut last_neighbour = self
+            .last_neighbour
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        if *last_relay != Some(neighbour) {
+        if *last_neighbour != Some(neighbour) {
             tracing::info!(event = "detour_found", %neighbour, keeper = %self.replica);
-            *last_relay = Some(neighbour);
+            *last_neighbour = Some(neighbour);
         }
     }
 
@@ -171,14 +172,14 @@
     /// of replicas answers directly. Returns the first reply.
     pub async fn call(&self, body: Bytes, timeout: Duration) -> Option<Bytes> {
         let direct = self.call_direct(body.clone(), timeout);
-        let relayed = self.call_relayed(body);
-        tokio::pin!(direct, relayed);
+        let forwarded = self.call_through_neighbours(body);
+        tokio::pin!(direct, forwarded);
         tokio::select! {
             reply = &mut direct => match reply {
                 Some(reply) => Some(reply),
-                None => relayed.await,
+                None => forwarded.await,
             },
-            reply = &mut relayed => match reply {
+            reply = &mut forwarded => match reply {
                 Some(reply) => Some(reply),
                 None => direct.await,
             },
@@ -193,16 +194,16 @@
         reply.ok()
     }
 
-    /// Waits if necessary, then returns whether to call through neighbours: only if no majority
-    /// answers directly. A single slow or lost replica is not needed for a majority,
-    /// and forwarded calls would add to its load.
-    async fn wait_until_relay_decided(&self) -> bool {
+    /// Waits if necessary, then returns whether to call through neighbours: only if neither a
+    /// majority nor this replica answers directly. A single slow or lost replica is not needed for
+    /// a majority, and forwarded calls would add to its load.
+    async fn wait_until_forwarding_decided(&self) -> bool {
         let started = Instant::now();
         let up_count = self.active_replicas.iter().filter(|c| !c.is_down()).count();
         if up_count < self.required_replies {
             return self.direct.is_down();
         }
-        tokio::time::sleep(RELAY_DELAY).await;
+        tokio::time::sleep(FORWARDING_DELAY).await;
         let answered_count = self
             .active_replicas
             .iter()
@@ -212,19 +213,19 @@
     }
 
     /// Calls through neighbours, one after the other, if needed.
-    async fn call_relayed(&self, body: Bytes) -> Option<Bytes> {
-        if !self.wait_until_relay_decided().await {
+    async fn call_through_neighbours(&self, body: Bytes) -> Option<Bytes> {
+        if !self.wait_until_forwarding_decided().await {
             return None;
         }
-        for neighbour in &self.relays {
+        for neighbour in &self.neighbours {
             match call_through(neighbour, self.replica, body.clone()).await {
-                RelayOutcome::Reply(reply) => {
-                    self.record_relay(neighbour.address());
+                ForwardingOutcome::Reply(reply) => {
+                    self.record_neighbour(neighbour.address());
                     return Some(reply);
                 }
                 // Calling it through another neighbour would only add to its load.
-                RelayOutcome::ReplicaTimedOut => return None,
-                RelayOutcome::Unreachable => {}
+                ForwardingOutcome::ReplicaTimedOut => return None,
+                ForwardingOutcome::Unreachable => {}
             }
         }
         None
--- a/crates/gradedyke-turns/src/feed.rs
+++ b/crates/gradedyke-turns/src/feed.rs
@@ -1,7 +1,7 @@
 //! Follows another process's copy of the platform's key-value store, so that most
 //! processes never call the store themselves.
 //!
-//! `policy` decides which processes do, and when.
+//! `policy` decides when a process reads the store itself.
 
 mod policy;
 
@@ -26,17 +26,16 @@
 const LONG_POLL_WAIT: Duration = Duration::from_millis(300);
 /// Timeout of a call. It covers [`LONG_POLL_WAIT`] and the network round trip.
 const CALL_TIMEOUT: Duration = Duration::from_millis(700);
-/// Delay before the next source is selected, and first delay before a source that
-/// failed is asked for its age again.
-const RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Delay between selections of a source, and first delay before a failed age request is
+/// retried.
+const SOURCE_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// How long a source with a stale copy is followed before sources are compared again.
 const STALE_SOURCE_TIMEOUT: Duration = Duration::from_millis(800);
 /// How long to wait for a source with a fresh copy once one with a stale copy has
 /// answered. Gives replicas that have just started time to list the store.
 const FRESH_SOURCE_WAIT: Duration = Duration::from_millis(60);
 /// Minimum time for which a source other than the preferred one is followed before sources
-/// are compared again; the maximum is twice this. Without it, all processes would keep
-/// following those that were fresh first.
+/// are compared again; the maximum is twice this.
 const MIN_RESELECT_DELAY: Duration = Duration::from_secs(2);
 /// Delay between the first requests to successive sources.
 const STAGGER_DELAY: Duration = Duration::from_millis(3);
@@ -142,7 +141,7 @@
             let mut session = Session {
                 source,
                 progress,
-                is_join_logged: previous == Some(source),
+                is_source_logged: previous == Some(source),
                 is_neighbour: neighbours.contains(&source),
                 reselect_at: reselect_at(&candidates, source, Instant::now()),
             };
@@ -156,13 +155,13 @@
             }
         }
         tokio::select! {
-            () = tokio::time::sleep(RETRY_DELAY) => {}
+            () = tokio::time::sleep(SOURCE_RETRY_DELAY) => {}
             () = stop.cancelled() => return,
         }
     }
 }
 
-/// Returns the neighbours to follow if no replica can be reached directly, and otherwise none.
+/// Neighbours are other running entries. Returns those to follow if no replica can be reached directly, and otherwise none.
 /// Turns continue through forwarded requests in that case, but API keys are accepted only if
 /// recently confirmed, so the copy has to stay fresh.
 fn neighbours(mirror: &Mirror, peers: &dyn Peers) -> Vec<SocketAddr> {
@@ -192,7 +191,7 @@
     /// Whether the source is another entry, which follows other processes itself.
     is_neighbour: bool,
     /// Whether `feed_joined` has been logged for the source.
-    is_join_logged: bool,
+    is_source_logged: bool,
     /// When to compare sources again; `None` for the preferred one.
     reselect_at: Option<Instant>,
 }
@@ -265,7 +264,7 @@
 /// Asks a source for the age of its copy, with exponential backoff, until it answers;
 /// `None` for a copy that the store never confirmed.
 async fn fetch_age(peers: &dyn Peers, source: SocketAddr) -> Option<Duration> {
-    let mut wait = RETRY_DELAY;
+    let mut wait = SOURCE_RETRY_DELAY;
     loop {
         let reply = peers.call(source, &Request::Age, CALL_TIMEOUT).await;
         if let Ok(Reply::Age(age)) = reply {
@@ -322,7 +321,7 @@
             continue;
         };
         mirror.apply_update(update, items, sent, now);
-        if !std::mem::replace(&mut session.is_join_logged, true) {
+        if !std::mem::replace(&mut session.is_source_logged, true) {
             tracing::info!(
                 event = "feed_joined",
                 %source,
--- a/crates/gradedyke-turns/src/feed/policy.rs
+++ b/crates/gradedyke-turns/src/feed/policy.rs
@@ -23,13 +23,13 @@
 /// propagation limit.
 const STALE_AGE_RATIO: f64 = 0.65;
 /// Age of a copy above which the store itself is read even while replicas answer, as a
-/// fraction of the propagation limit. The remainder is for one poll interval and one call.
+/// fraction of the propagation limit.
 const MAX_AGE_RATIO: f64 = 0.9;
 
 /// Grace period of an entry after its start, in which replicas, which may be starting
 /// too, read the store.
 pub const ENTRY_START_GRACE: Duration = Duration::from_secs(2);
-/// Grace period of a replica after its start, in which the seed replicas read the store.
+/// Time after its start during which a replica waits for updates before it reads the store.
 pub const KEEPER_START_GRACE: Duration = Duration::from_millis(400);
 
 /// Age of the copy above which a standby reads the store itself.
--- a/crates/gradedyke-turns/src/index.rs
+++ b/crates/gradedyke-turns/src/index.rs
@@ -1,8 +1,7 @@
 //! In-memory index of the records that a replica stores.
 //!
-//! Records may be applied in any order and more than once. A turn is retained at
-//! least as long as any turn that continues it: applying a turn renews the expiry of
-//! all its ancestors. Turn bodies are cached in memory up to a limit and are read
+//! Records may be applied in any order and more than once. Applying a turn
+//! restarts the retention time of all its ancestors. Turn bodies are cached in memory up to a limit and are read
 //! from disk otherwise.
 //!
 //! Requests and programs are stored in slot maps and refer to each other by key, so
@@ -52,11 +51,11 @@
     struct ProgramKey;
 }
 
-/// Position in the sequence of records in the order in which they were applied.
+/// Number of records applied before this point.
 pub type Position = u64;
 
-/// Limit for the turn bodies that a replica caches in memory, in bytes. Older bodies
-/// are read from disk.
+/// Limit for the turn bodies that a replica caches in memory, in bytes. Evicted
+/// bodies are read from disk.
 pub const MAX_CACHED_BODY_BYTES: usize = 12 << 20;
 
 /// Index of a replica's records by request and program.
@@ -386,7 +385,7 @@
     }
 
     /// Returns the number of turns and the number of programs in the index.
-    pub fn counts(&self) -> (usize, usize) {
+    pub fn turn_and_program_counts(&self) -> (usize, usize) {
         (self.turn_count, self.programs.len())
     }
 }
--- a/crates/gradedyke-turns/src/index/request.rs
+++ b/crates/gradedyke-turns/src/index/request.rs
@@ -66,7 +66,7 @@
     }
 }
 
-/// A program and the requests that are attempts of it.
+/// A program and the requests that count against its budget.
 pub(super) struct IndexedProgram {
     pub(super) id: Id,
     pub(super) attempts: Vec<RequestKey>,
--- a/crates/gradedyke-turns/src/load.rs
+++ b/crates/gradedyke-turns/src/load.rs
@@ -16,10 +16,10 @@
 
 use crate::record::Id;
 
-/// A 32-bit hash of a backend server's name, to keep messages small.
+/// A 32-bit hash of the ID of a backend server's incarnation, to keep messages small.
 pub type ServerHash = u32;
 
-/// Returns the hash of a backend server's name.
+/// Returns the hash of the ID of a backend server's incarnation.
 pub fn server_hash(id: &Id) -> ServerHash {
     let mut hasher = DefaultHasher::new();
     id.as_str().hash(&mut hasher);
@@ -30,7 +30,7 @@
 /// Load and recent results of one backend server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerLoad {
-    /// Hash of the server's name.
+    /// Hash of the ID of the server's incarnation.
     pub server: ServerHash,
     /// Requests in flight.
     pub requests: u32,
@@ -63,8 +63,7 @@
 
 /// How long an entry is considered running after it was last heard from.
 const NEIGHBOUR_TTL: Duration = Duration::from_secs(20);
-/// Maximum number of neighbours sent to an entry. Several, because some may be unreachable too
-/// during a partition.
+/// Maximum number of neighbours sent to an entry.
 const MAX_NEIGHBOURS: usize = 6;
 
 /// The latest reports of all entries.
@@ -119,15 +118,15 @@
             .reports
             .iter()
             .filter(|(id, (at, _))| **id != entry && is_fresh(*at));
-        for busy in others.flat_map(|(_, (_, busy))| busy) {
-            let sum = sums.entry(busy.server).or_default();
-            sum.server = busy.server;
-            sum.requests += busy.requests;
-            sum.failures += busy.failures;
-            sum.ended += busy.ended;
-            sum.unreached += busy.unreached;
-            sum.paced += busy.paced;
-            sum.pace += busy.pace;
+        for server_load in others.flat_map(|(_, (_, servers))| servers) {
+            let sum = sums.entry(server_load.server).or_default();
+            sum.server = server_load.server;
+            sum.requests += server_load.requests;
+            sum.failures += server_load.failures;
+            sum.ended += server_load.ended;
+            sum.unreached += server_load.unreached;
+            sum.paced += server_load.paced;
+            sum.pace += server_load.pace;
         }
         sums.into_values().collect()
     }
--- a/crates/gradedyke-turns/src/log/mod.rs
+++ b/crates/gradedyke-turns/src/log/mod.rs
@@ -23,7 +23,7 @@
 
 use tokio::sync::{mpsc, oneshot, watch};
 
-pub use self::outline::Outline;
+pub use self::outline::RecordIds;
 pub use self::table::Table;
 use self::writer::{PendingWrite, TableSaver, Writer};
 use crate::record::Record;
@@ -303,7 +303,7 @@
     }
     let mut table = Table::default();
     let valid_bytes = scan_segment(folder, segment, |body, location| {
-        table.insert(&Outline::decode(body)?, location);
+        table.insert(&RecordIds::decode(body)?, location);
         Some(())
     })?;
     if valid_bytes == 0 {
--- a/crates/gradedyke-turns/src/log/outline.rs
+++ b/crates/gradedyke-turns/src/log/outline.rs
@@ -6,7 +6,7 @@
 
 /// Kind and IDs of a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Outline<'a> {
+pub struct RecordIds<'a> {
     /// Kind of the record.
     pub kind: Kind,
     /// ID of the request.
@@ -40,7 +40,7 @@
     program: Option<&'a str>,
 }
 
-impl<'a> Outline<'a> {
+impl<'a> RecordIds<'a> {
     /// Decodes the outline of a record from the record's encoded bytes. Returns `None` if
     /// they are not a valid record.
     pub fn decode(bytes: &'a [u8]) -> Option<Self> {
@@ -66,7 +66,7 @@
     }
 }
 
-impl<'a> From<&'a Record> for Outline<'a> {
+impl<'a> From<&'a Record> for RecordIds<'a> {
     fn from(record: &'a Record) -> Self {
         let (kind, request, program) = match record {
             Record::Reserved(r) => (Kind::Reserved, &r.request, Some(&r.program)),
--- a/crates/gradedyke-turns/src/log/table.rs
+++ b/crates/gradedyke-turns/src/log/table.rs
@@ -7,7 +7,7 @@
 use std::path::{Path, PathBuf};
 use std::{fs, io};
 
-use super::{Location, Outline, Segment};
+use super::{Location, RecordIds, Segment};
 use crate::record::{Id, Kind};
 
 /// First bytes of a table file. They change with the file format; a table in another
@@ -50,7 +50,7 @@
 
 impl Table {
     /// Inserts the location of a record. Call [`Table::sort`] before the first lookup.
-    pub fn insert(&mut self, outline: &Outline<'_>, location: Location) {
+    pub fn insert(&mut self, outline: &RecordIds<'_>, location: Location) {
         let row = |id: &str| TableRow {
             id_hash: hash_id(id),
             offset: location.offset,
@@ -65,11 +65,11 @@
     /// Sorts the rows for lookup.
     ///
     /// ```
-    /// use gradedyke_turns::log::{Location, Outline, Table};
+    /// use gradedyke_turns::log::{Location, RecordIds, Table};
     /// use gradedyke_turns::record::{Id, Kind};
     ///
     /// let mut table = Table::default();
-    /// let outline = Outline { kind: Kind::Turn, request: "r", program: Some("p") };
+    /// let outline = RecordIds { kind: Kind::Turn, request: "r", program: Some("p") };
     /// let location = Location { segment: 3, offset: 100, len: 20 };
     /// table.insert(&outline, location);
     /// table.sort();
--- a/crates/gradedyke-turns/src/log/writer.rs
+++ b/crates/gradedyke-turns/src/log/writer.rs
@@ -9,8 +9,8 @@
 use tokio::sync::{mpsc, oneshot, watch};
 
 use super::{
-    Location, Outline, RECORD_HEADER_BYTES, SEGMENT_ROTATION_BYTES, Segment, Table, create_segment,
-    saturating_u32,
+    Location, RECORD_HEADER_BYTES, RecordIds, SEGMENT_ROTATION_BYTES, Segment, Table,
+    create_segment, saturating_u32,
 };
 
 /// A record to be written.
@@ -82,7 +82,7 @@
                 len: saturating_u32(write.bytes.len()),
             };
             next_offset += write.bytes.len();
-            if let Some(outline) = Outline::decode(&write.bytes[RECORD_HEADER_BYTES..]) {
+            if let Some(outline) = RecordIds::decode(&write.bytes[RECORD_HEADER_BYTES..]) {
                 self.table.insert(&outline, location);
             }
             // Sending fails if the caller is no longer waiting for the reply.
--- a/crates/gradedyke-turns/src/membership/decide.rs
+++ b/crates/gradedyke-turns/src/membership/decide.rs
@@ -28,11 +28,10 @@
 /// data centres with the fewest members. Covers the time that these need to start and
 /// to learn of the vacancy.
 const PRIORITY_MARGIN: Duration = Duration::from_millis(600);
-/// Maximum jitter before joining at a first start. Spreads the joins out, because
-/// concurrent ones conflict and each conflict costs a call to the platform.
+/// Maximum jitter before joining at a first start. Makes conflicting
+/// concurrent joins rare.
 const FIRST_START_MAX_JITTER: Duration = Duration::from_secs(1);
-/// Maximum jitter before a spare joins. Shorter than at a first start, as a
-/// vacancy should be filled soon.
+/// Maximum jitter before a spare joins.
 const SPARE_MAX_JITTER: Duration = Duration::from_millis(300);
 /// How long the state of the view must be unchanged before a member is moved to another
 /// data centre. A move copies all records, so a short outage must not cause one.
@@ -100,8 +99,8 @@
         unreachable_since.is_some_and(|at| now - at >= duration)
     }
 
-    /// Whether a member stays: its instance is not to be retired, and it has not been
-    /// unreachable for [`REPLACE_TIMEOUT`].
+    /// Whether a member is expected to remain in the view: its instance is not to be retired, and
+    /// it has not been unreachable for [`REPLACE_TIMEOUT`].
     fn is_stable(&self, member: &Member, now: Instant) -> bool {
         !self.is_unreachable_for(member, REPLACE_TIMEOUT, now)
             && !self.retiring.contains(&member.name)
--- a/crates/gradedyke-turns/src/membership/mod.rs
+++ b/crates/gradedyke-turns/src/membership/mod.rs
@@ -34,8 +34,7 @@
 use crate::sync::{Follower, Progress};
 use crate::view::{self, DiskId, Member, View};
 
-/// How far another replica may lag behind and still be considered caught up. Covers a
-/// follower's delay before it fetches missing records, and one call.
+/// How far another replica may lag behind and still be considered caught up.
 const MAX_LAG: Duration = Duration::from_millis(500);
 /// How often the membership is checked if the mirror doesn't change.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
@@ -62,15 +61,15 @@
     /// When the request to retire this replica's instance was first seen, if there is one.
     retiring_since: Option<Instant>,
     /// End positions of the index at recent checks, oldest first.
-    recent_ends: VecDeque<(Instant, Position)>,
+    recent_end_positions: VecDeque<(Instant, Position)>,
     /// The current state, and since when it has been the same.
-    view_state: (ViewState, Instant),
+    stability_state: (StabilityState, Instant),
 }
 
-/// What must stay the same for some time before a vacancy is filled from other data centres
+/// State that must be unchanged for a time before a vacancy is filled from other data centres
 /// or a member is moved.
 #[derive(Default, PartialEq, Eq)]
-struct ViewState {
+struct StabilityState {
     /// The version of the view.
     version: u64,
     /// Unreachable members.
@@ -102,8 +101,8 @@
             tasks: JoinSet::new(),
             reported_retired: None,
             retiring_since: None,
-            recent_ends: VecDeque::new(),
-            view_state: (ViewState::default(), Instant::now()),
+            recent_end_positions: VecDeque::new(),
+            stability_state: (StabilityState::default(), Instant::now()),
         }
     }
 
@@ -139,7 +138,7 @@
         // The others' progress matters only if this replica may have to leave.
         let has_surplus = view.active().count() > decide::target_member_count(&view);
         if !must_leave && !has_surplus {
-            self.recent_ends.clear();
+            self.recent_end_positions.clear();
         }
         let others_caught_up =
             (must_leave || has_surplus) && self.have_others_caught_up(&view, now);
@@ -184,15 +183,15 @@
         let unreachable = progress
             .iter()
             .filter(|(_, p)| p.unreachable_since.is_some());
-        let view_state = ViewState {
+        let stability_state = StabilityState {
             version: view.version,
             unreachable: unreachable.map(|(disk, _)| *disk).collect(),
             retiring: retiring.iter().cloned().collect(),
         };
-        if self.view_state.0 != view_state {
-            self.view_state = (view_state, now);
+        if self.stability_state.0 != stability_state {
+            self.stability_state = (stability_state, now);
         }
-        self.view_state.1
+        self.stability_state.1
     }
 
     /// Whether all other active members have the records that this replica applied
@@ -200,11 +199,12 @@
     /// them to all members.
     fn have_others_caught_up(&mut self, view: &View, now: Instant) -> bool {
         let end = self.replica.index().end_position();
-        self.recent_ends.push_back((now, end));
-        while self.recent_ends.len() > 1 && now - self.recent_ends[1].0 >= MAX_LAG {
-            self.recent_ends.pop_front();
+        self.recent_end_positions.push_back((now, end));
+        while self.recent_end_positions.len() > 1 && now - self.recent_end_positions[1].0 >= MAX_LAG
+        {
+            self.recent_end_positions.pop_front();
         }
-        let (since, end) = self.recent_ends[0];
+        let (since, end) = self.recent_end_positions[0];
         if now - since < MAX_LAG {
             return false;
         }
--- a/crates/gradedyke-turns/src/mirror.rs
+++ b/crates/gradedyke-turns/src/mirror.rs
@@ -25,7 +25,7 @@
 use tokio::time::Instant;
 
 pub use follow::{Need, Timing, follow};
-pub use packed::Packed;
+pub use packed::PackedItems;
 use state::State;
 
 /// A key with its value and revision.
@@ -72,7 +72,7 @@
     /// Sequence number of the last change covered; the next request starts after it.
     pub next: u64,
     /// The changed items.
-    pub items: Packed,
+    pub items: PackedItems,
     /// Whether the items are a page of a listing, which can be applied only as a whole.
     pub listing: bool,
     /// Whether there are changes after `next`.
@@ -86,9 +86,9 @@
     pub whole: Option<Revision>,
     /// Milliseconds since the store last confirmed the copy; `None` if it never did.
     pub age_ms: Option<u64>,
-    /// Milliseconds, at most one too many, from sending the last request that the store answered
-    /// to receiving the follower's request; negative if the follower's request came first,
-    /// `None` if the store never answered.
+    /// Time in milliseconds, rounded up, between two events: the sending of the last request that
+    /// the store answered, and the receipt of the follower's request. Negative if the second
+    /// came first; `None` if the store never answered.
     pub asked_ms: Option<i64>,
     /// Milliseconds for which the store has answered without a failure.
     pub steady_ms: u64,
--- a/crates/gradedyke-turns/src/mirror/follow.rs
+++ b/crates/gradedyke-turns/src/mirror/follow.rs
@@ -24,7 +24,7 @@
     /// It gets no fresh updates, but its copy is still recent or the processes it follows
     /// are trying to read the store.
     Low,
-    /// Others follow it, or its copy is too old and the processes it follows do not answer.
+    /// Other processes depend on its copy, or its copy is too old and the processes it follows do not answer.
     High,
 }
 
@@ -49,8 +49,8 @@
 struct Retry {
     timing: Timing,
     backoff: Backoff,
-    next_if_high: Option<Instant>,
-    next_if_low: Option<Instant>,
+    next_call_if_need_high: Option<Instant>,
+    next_call_if_need_low: Option<Instant>,
 }
 
 impl Retry {
@@ -58,8 +58,8 @@
         Self {
             timing,
             backoff: Backoff::unlimited(timing.initial_max_delay, timing.max_delay),
-            next_if_high: None,
-            next_if_low: None,
+            next_call_if_need_high: None,
+            next_call_if_need_low: None,
         }
     }
 
@@ -75,15 +75,15 @@
             .timing
             .low_need_max_delay
             .mul_f64(rand::random_range(0.5..1.0));
-        self.next_if_high = Some(started + delay);
-        self.next_if_low = Some(started + delay.max(low_need_delay));
+        self.next_call_if_need_high = Some(started + delay);
+        self.next_call_if_need_low = Some(started + delay.max(low_need_delay));
     }
 
     fn is_due(&self, need: Need, now: Instant) -> bool {
         let next = match need {
             Need::None => return false,
-            Need::Low => self.next_if_low,
-            Need::High => self.next_if_high,
+            Need::Low => self.next_call_if_need_low,
+            Need::High => self.next_call_if_need_high,
         };
         next.is_none_or(|next| now >= next)
     }
--- a/crates/gradedyke-turns/src/mirror/items.rs
+++ b/crates/gradedyke-turns/src/mirror/items.rs
@@ -5,11 +5,11 @@
 use gradedyke_platform::kv::Revision;
 use tokio::time::Instant;
 
-use super::{Item, Packed};
+use super::{Item, PackedItems};
 
-/// A page takes no more items once its keys and values have this size. It limits the memory of a
+/// Size of keys and values from which a page is full, in bytes. It limits the memory of a
 /// process that sends pages to many followers at once.
-const PAGE_FULL_BYTES: usize = 128 << 10;
+const FULL_PAGE_BYTES: usize = 128 << 10;
 
 /// An item with the change that stored it.
 pub(super) struct StoredItem {
@@ -31,7 +31,7 @@
 /// Some items in the order in which they changed.
 #[derive(Clone)]
 pub(super) struct Page {
-    pub(super) items: Packed,
+    pub(super) items: PackedItems,
     /// Sequence number of the last change that the page covers.
     pub(super) next: u64,
     /// Whether there are changes after it.
@@ -96,7 +96,7 @@
         let mut items = Vec::new();
         let mut bytes = 0;
         for stored in self.changed_after(change) {
-            if bytes >= PAGE_FULL_BYTES {
+            if bytes >= FULL_PAGE_BYTES {
                 return Page {
                     items: items.into(),
                     next: stored.change - 1,
--- a/crates/gradedyke-turns/src/mirror/packed.rs
+++ b/crates/gradedyke-turns/src/mirror/packed.rs
@@ -8,8 +8,7 @@
 /// Size from which an encoding is compressed, in bytes.
 const COMPRESSION_THRESHOLD_BYTES: usize = 1 << 10;
 
-/// Largest size of decompressed items, in bytes: more than a page with the largest value at
-/// its end. Anything larger is rejected before it is decompressed.
+/// Largest size of decompressed items, in bytes. Anything larger is rejected before it is decompressed.
 const MAX_DECOMPRESSED_BYTES: usize = 4 << 20;
 
 /// Failure to decompress or decode packed items.
@@ -20,15 +19,15 @@
 /// Encoded items, compressed if they are large.
 ///
 /// ```
-/// use gradedyke_turns::mirror::{Item, Packed};
+/// use gradedyke_turns::mirror::{Item, PackedItems};
 ///
 /// let item = Item { key: "key".to_owned(), value: None, revision: 3 };
-/// let packed = Packed::from(vec![item.clone()]);
+/// let packed = PackedItems::from(vec![item.clone()]);
 /// assert_eq!(packed.decode().unwrap(), [item]);
-/// assert!(Packed::default().decode().unwrap().is_empty());
+/// assert!(PackedItems::default().decode().unwrap().is_empty());
 /// ```
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Packed {
+pub struct PackedItems {
     /// Empty if there are no items.
     bytes: Bytes,
     compressed: bool,
@@ -40,7 +39,7 @@
     }
 }
 
-impl From<Vec<Item>> for Packed {
+impl From<Vec<Item>> for PackedItems {
     fn from(items: Vec<Item>) -> Self {
         if items.is_empty() {
             return Self::default();
@@ -64,7 +63,7 @@
     }
 }
 
-impl Packed {
+impl PackedItems {
     /// Whether there are no items.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
--- a/crates/gradedyke-turns/src/mirror/state.rs
+++ b/crates/gradedyke-turns/src/mirror/state.rs
@@ -18,7 +18,7 @@
     /// The revision up to which the copy is complete.
     pub(super) revision: Revision,
     /// The revision of the first listing. All later deletions are known.
-    pub(super) first_listed: Revision,
+    pub(super) first_listing_revision: Revision,
     /// When the store last confirmed the copy.
     pub(super) confirmed_at: Option<Instant>,
     /// When the request that the store answered at `confirmed_at` was sent. The copy has all
@@ -29,8 +29,8 @@
 #[derive(Default)]
 pub(super) struct State {
     pub(super) items: Items,
-    /// The last change when the cached pages were made, and the pages by the change and the
-    /// revision after which they start. Any later change makes them invalid.
+    /// Cached pages, keyed by the change and revision after which they start, with the last
+    /// change at the time of caching. Any later change makes them invalid.
     pub(super) pages: (u64, HashMap<(u64, Revision), Page>),
     /// The state of each prefix that has been listed.
     pub(super) prefixes: HashMap<String, PrefixState>,
@@ -53,7 +53,7 @@
 
     /// Whether all deletions after a revision are known.
     pub(super) fn knows_deletions_since(&self, prefixes: &[String], revision: Revision) -> bool {
-        let covers = |s: &PrefixState| revision > 0 && revision >= s.first_listed;
+        let covers = |s: &PrefixState| revision > 0 && revision >= s.first_listing_revision;
         prefixes
             .iter()
             .all(|p| self.prefixes.get(p).is_some_and(covers))
@@ -151,7 +151,7 @@
             .prefixes
             .entry(prefix.to_owned())
             .or_insert(PrefixState {
-                first_listed: revision,
+                first_listing_revision: revision,
                 ..PrefixState::default()
             });
         state.revision = revision.max(state.revision);
--- a/crates/gradedyke-turns/src/pending.rs
+++ b/crates/gradedyke-turns/src/pending.rs
@@ -11,21 +11,21 @@
 
 /// Tables of the segments that are not in the index yet.
 #[derive(Debug, Default)]
-pub struct Segments {
+pub struct PendingSegments {
     /// Sorted by segment, oldest first.
     tables: Vec<(Segment, Table)>,
     /// Programs whose records are all in the index.
     indexed_programs: HashSet<Id>,
 }
 
-impl Segments {
+impl PendingSegments {
     /// Creates the set from the tables of all segments, oldest first.
     ///
     /// ```
-    /// use gradedyke_turns::pending::Segments;
+    /// use gradedyke_turns::pending::PendingSegments;
     /// use gradedyke_turns::log::Table;
     ///
-    /// let mut pending = Segments::new(vec![(1, Table::default()), (2, Table::default())]);
+    /// let mut pending = PendingSegments::new(vec![(1, Table::default()), (2, Table::default())]);
     /// assert_eq!(pending.newest_segment(), Some(2));
     /// pending.remove_segment(2);
     /// assert_eq!(pending.newest_segment(), Some(1));
--- a/crates/gradedyke-turns/src/pressure.rs
+++ b/crates/gradedyke-turns/src/pressure.rs
@@ -12,11 +12,10 @@
 
 /// Half-life of the counts.
 const COUNT_HALF_LIFE: Duration = Duration::from_millis(500);
-/// Decayed number of attempts below which no pressure is reported, as a share of fewer would
-/// be too inaccurate.
+/// Decayed number of attempts below which no pressure is reported.
 const MIN_ATTEMPTS: f64 = 8.0;
 /// Encoding of the share 1; a share is encoded in thousandths.
-const ENCODED_ONE: f64 = 1_000.0;
+const THOUSANDTHS_PER_ONE: f64 = 1_000.0;
 
 /// Share of attempts that a replica rejected recently, in thousandths.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -32,13 +31,13 @@
     /// assert_eq!(Pressure::from_share(0.25).share(), 0.25);
     /// ```
     pub fn share(self) -> f64 {
-        f64::from(self.0) / ENCODED_ONE
+        f64::from(self.0) / THOUSANDTHS_PER_ONE
     }
 
     /// Creates a pressure from a share, clamped to the range from 0 to 1.
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     pub fn from_share(share: f64) -> Self {
-        Self((share.clamp(0.0, 1.0) * ENCODED_ONE).round() as u16)
+        Self((share.clamp(0.0, 1.0) * THOUSANDTHS_PER_ONE).round() as u16)
     }
 }
 
--- a/crates/gradedyke-turns/src/quorum.rs
+++ b/crates/gradedyke-turns/src/quorum.rs
@@ -123,15 +123,16 @@
     /// Random per process, so that processes order equally distant members differently.
     tie_break_salt: u64,
     /// Load that arrived too late for the attempt that requested it.
-    late_load: Arc<LateLoad>,
+    unclaimed_load: Arc<UnclaimedLoad>,
     /// The neighbour that last forwarded a request successfully.
-    last_relay: Arc<Mutex<Option<SocketAddr>>>,
-    /// Whether the last probe reached a majority, directly or through neighbours.
+    last_neighbour: Arc<Mutex<Option<SocketAddr>>>,
+    /// Whether the last probe of unreachable members found a majority, directly or through
+    /// neighbours; false if no member was unreachable.
     last_probe_succeeded: AtomicBool,
     /// The last known pressure on the replicas and when it was reported.
     pressure: Mutex<Option<(Pressure, Instant)>>,
     /// Settlements that no majority has acknowledged yet.
-    settlement_queue: Mutex<settle::Queue>,
+    settlement_queue: Mutex<settle::SettlementQueue>,
     /// A reference to itself for background tasks.
     weak_self: Weak<Self>,
 }
@@ -139,11 +140,11 @@
 impl Replies {
     /// Closes the channel and saves load from replies that are already queued. The tasks of
     /// later replies find the channel closed and save their load themselves.
-    fn close(&mut self, late_load: &LateLoad) {
+    fn close(&mut self, unclaimed_load: &UnclaimedLoad) {
         self.receiver.close();
         while let Ok((_, reply)) = self.receiver.try_recv() {
             if let Some(Reply::Began { load, .. }) = reply {
-                late_load.store(load);
+                unclaimed_load.store(load);
             }
         }
     }
@@ -152,9 +153,9 @@
 /// Load that arrived too late for the attempt that requested it; the next attempt uses it.
 /// Only the nearest replica reports load, and a majority may answer before it does.
 #[derive(Default)]
-struct LateLoad(Mutex<Option<Vec<ServerLoad>>>);
+struct UnclaimedLoad(Mutex<Option<Vec<ServerLoad>>>);
 
-impl LateLoad {
+impl UnclaimedLoad {
     fn store(&self, load: Option<Vec<ServerLoad>>) {
         if load.is_some() {
             *self.0.lock().unwrap_or_else(PoisonError::into_inner) = load;
@@ -189,8 +190,8 @@
             quorum_lost_since: Mutex::default(),
             forwarding_address,
             tie_break_salt: rand::random(),
-            late_load: Arc::default(),
-            last_relay: Arc::default(),
+            unclaimed_load: Arc::default(),
+            last_neighbour: Arc::default(),
             last_probe_succeeded: AtomicBool::new(false),
             pressure: Mutex::default(),
             settlement_queue: Mutex::default(),
@@ -263,14 +264,14 @@
         let relays = neighbours.into_iter().map(|n| self.client(n));
         let active_replicas = view.active().map(|m| self.client(m.address)).collect();
         let active_replicas = (active_replicas, view.quorum_size());
-        let last_relay = self.last_relay.clone();
+        let last_neighbour = self.last_neighbour.clone();
         let direct = self.client(address);
         ReplicaClient::new(
             address,
             direct,
             relays.collect(),
             active_replicas,
-            last_relay,
+            last_neighbour,
         )
     }
 
@@ -322,14 +323,14 @@
             let body = request(member);
             let sender = sender.clone();
             let member = member.clone();
-            let late_load = self.late_load.clone();
+            let unclaimed_load = self.unclaimed_load.clone();
             tokio::spawn(async move {
                 let reply = client.call(body, CALL_TIMEOUT).await;
                 let reply = reply.and_then(|r| message::decode::<Reply>(&r));
                 // Fails when the request already has its majority and was closed.
                 let sent = sender.send((member, reply)).await;
                 if let Err(mpsc::error::SendError((_, Some(Reply::Began { load, .. })))) = sent {
-                    late_load.store(load);
+                    unclaimed_load.store(load);
                 }
             });
         }
@@ -348,7 +349,8 @@
         (is_remote, tie_break)
     }
 
-    /// Returns the member to read the conversation from: reachable, active and near.
+    /// Returns the member to read the conversation from: preferably reachable, then active, then
+    /// near.
     fn nearest_member<'a>(&self, view: &'a View) -> Option<&'a Member> {
         let rank = |m: &&Member| {
             let is_down = self.client(m.address).is_down();
--- a/crates/gradedyke-turns/src/quorum/begin.rs
+++ b/crates/gradedyke-turns/src/quorum/begin.rs
@@ -21,16 +21,15 @@
 /// Delay before the only retry after a rejection by overloaded replicas. Longer than
 /// [`MIN_RETRY_DELAY`], so that retries do not add to the overload.
 const BUSY_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Longest delay between retries, so that attempts continue soon after replicas have
-/// restarted.
+/// Longest delay between retries.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(160);
-/// Time after the loss of the majority during which failed attempts are retried. Covers a
-/// restart of all replicas. After that, attempts fail at once.
+/// Time after the loss of the majority during which failed attempts are retried. After that,
+/// attempts fail at once.
 const QUORUM_LOSS_GRACE: Duration = Duration::from_millis(1_500);
 
 impl Coordinator {
     /// Reserves the tokens that an attempt may use and reads the conversation it continues.
-    /// Retries for a short time while no majority answers, to bridge restarts of replicas.
+    /// Retries for a short time while no majority answers, because replicas may be restarting.
     ///
     /// # Errors
     ///
@@ -165,7 +164,7 @@
                 conversation_deadline = Some(deadline.min(Instant::now() + CONVERSATION_WAIT));
             }
         }
-        replies.close(&self.late_load);
+        replies.close(&self.unclaimed_load);
         *maybe_reserved |= collected.may_have_executed();
         self.record_pressure(collected.pressure(), Instant::now());
         Some(
@@ -181,7 +180,7 @@
         params: &BeginParams,
         member_count: usize,
     ) -> Result<BeginResponse, Error> {
-        let (acknowledged, needed) = (collected.active_acks, collected.needed);
+        let (acknowledged, needed) = (collected.active_acks, collected.required_acks);
         if !collected.has_quorum() && collected.is_any_starting {
             return Err(Error::Starting);
         }
@@ -197,8 +196,8 @@
         if let Some((reserved, budget)) = &params.reservation {
             collected.check_budget(reserved, *budget)?;
         }
-        let late_load = self.late_load.take();
-        let load = collected.load.or(late_load);
+        let unclaimed_load = self.unclaimed_load.take();
+        let load = collected.load.or(unclaimed_load);
         let usage = collected.usage;
         if params.parent.is_none() {
             return Ok(BeginResponse {
--- a/crates/gradedyke-turns/src/quorum/gathered.rs
+++ b/crates/gradedyke-turns/src/quorum/gathered.rs
@@ -15,7 +15,7 @@
 /// Replies to one request that were received so far.
 pub(super) struct CollectedReplies {
     /// Number of active members that must acknowledge.
-    pub(super) needed: usize,
+    pub(super) required_acks: usize,
     /// Number of members that must have the record on disk.
     required_copies: usize,
     /// Number of members that the request was sent to.
@@ -52,7 +52,7 @@
 impl CollectedReplies {
     pub(super) fn new(view: &View) -> Self {
         Self {
-            needed: view.quorum_size(),
+            required_acks: view.quorum_size(),
             required_copies: view.required_copies(),
             all_acks: 0,
             member_count: view.members.len(),
@@ -73,7 +73,7 @@
 
     /// Returns whether enough active members acknowledged and enough members have the record.
     pub(super) fn has_quorum(&self) -> bool {
-        self.active_acks >= self.needed && self.all_acks >= self.required_copies
+        self.active_acks >= self.required_acks && self.all_acks >= self.required_copies
     }
 
     /// Returns the highest pressure within the least loaded majority; `None` if fewer members
@@ -81,7 +81,7 @@
     pub(super) fn pressure(&self) -> Option<Pressure> {
         let mut sorted = self.pressures.clone();
         sorted.sort_unstable();
-        sorted.get(self.needed.saturating_sub(1)).copied()
+        sorted.get(self.required_acks.saturating_sub(1)).copied()
     }
 
     /// Returns whether any member may have executed the request.
--- a/crates/gradedyke-turns/src/quorum/settle.rs
+++ b/crates/gradedyke-turns/src/quorum/settle.rs
@@ -16,7 +16,7 @@
 use crate::message::{self, Request};
 use crate::record::{Record, Settled};
 
-/// How long a settlement is retried; long enough for all replicas to restart.
+/// How long a settlement is retried.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(30);
 /// Maximum number of pending settlements. Beyond that the oldest are dropped.
 const MAX_QUEUE_LEN: usize = 4_096;
@@ -35,13 +35,13 @@
 
 /// Pending settlements, oldest first.
 #[derive(Default)]
-pub(super) struct Queue {
+pub(super) struct SettlementQueue {
     pending: VecDeque<PendingSettlement>,
     /// Whether a task is sending them.
     is_sending: bool,
 }
 
-impl Queue {
+impl SettlementQueue {
     /// Adds a settlement. Returns whether the caller must start the sending task.
     fn push(&mut self, settled: Settled, deadline: Instant) -> bool {
         self.pending
@@ -97,7 +97,7 @@
 }
 
 impl Coordinator {
-    fn lock_queue(&self) -> MutexGuard<'_, Queue> {
+    fn lock_queue(&self) -> MutexGuard<'_, SettlementQueue> {
         self.settlement_queue
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
--- a/crates/gradedyke-turns/src/quorum/store.rs
+++ b/crates/gradedyke-turns/src/quorum/store.rs
@@ -52,7 +52,7 @@
     }
 
     /// Reports usage admitted for client accounts to all members and returns the largest total
-    /// that a majority knows.
+    /// among the replies of a majority.
     ///
     /// # Errors
     ///
@@ -93,7 +93,7 @@
         if collected.has_quorum() {
             return Some(Ok(collected.usage));
         }
-        let (acknowledged, needed) = (collected.active_acks, collected.needed);
+        let (acknowledged, needed) = (collected.active_acks, collected.required_acks);
         Some(Err(Error::NoQuorum {
             acknowledged,
             needed,
--- a/crates/gradedyke-turns/src/record.rs
+++ b/crates/gradedyke-turns/src/record.rs
@@ -7,7 +7,8 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-/// Identifier of a request, program or backend server, chosen by its creator.
+/// Identifier, for example of a request, program, client account or backend server, chosen by
+/// its creator.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Id(Arc<str>);
@@ -96,7 +97,7 @@
     pub input: Bytes,
     /// The part of the response that belongs to the conversation.
     pub output: Bytes,
-    /// The backend server that ran the turn and has it in its cache.
+    /// ID of the incarnation of the backend server that ran the turn and has it in its cache.
     pub server: Id,
     /// The program whose budget the turn used, if it has one.
     pub program: Option<Id>,
--- a/crates/gradedyke-turns/src/recovery.rs
+++ b/crates/gradedyke-turns/src/recovery.rs
@@ -126,7 +126,7 @@
             self.pending_segments().remove_segment(segment);
         }
         self.recovered.send_replace(true);
-        let (turns, programs) = self.index().counts();
+        let (turns, programs) = self.index().turn_and_program_counts();
         tracing::info!(event = "records_read", records, turns, programs);
     }
 }
--- a/crates/gradedyke-turns/src/replica.rs
+++ b/crates/gradedyke-turns/src/replica.rs
@@ -17,7 +17,7 @@
 use crate::log::{self, Location, Log};
 use crate::message::{Begin, Found, Keys, Reply, Request};
 use crate::mirror::Mirror;
-use crate::pending::Segments;
+use crate::pending::PendingSegments;
 use crate::pressure::Pressure;
 use crate::record::{Id, Key, Record};
 use crate::usage::{self, Total};
@@ -29,7 +29,7 @@
 /// empty page, which shows the follower that this replica is reachable.
 const KEYS_WAIT_TIMEOUT: Duration = Duration::from_millis(800);
 /// Delay after a new record in which further ones are collected for the same page.
-/// Shorter than a follower's delay before it fetches missing records.
+/// Must be less than `FETCH_DELAY` in `sync`.
 const PAGE_DELAY: Duration = Duration::from_millis(50);
 /// Interval between removals of expired records.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(5);
@@ -43,7 +43,7 @@
     incarnation: u64,
     pub(crate) log: Log,
     index: Mutex<Index>,
-    pending_segments: Mutex<Segments>,
+    pending_segments: Mutex<PendingSegments>,
     /// Whether all records on disk are in the index.
     pub(crate) recovered: watch::Sender<bool>,
     /// The position after the record that was last written to disk.
@@ -112,7 +112,7 @@
         let index = Index::new(index::MAX_CACHED_BODY_BYTES);
         let (log, tables) = Log::open(folder)?;
         tracing::info!(event = "disk_opened", segments = tables.len());
-        let pending_segments = Segments::new(tables);
+        let pending_segments = PendingSegments::new(tables);
         Ok(Arc::new(Self {
             disk,
             incarnation: rand::random(),
@@ -145,7 +145,7 @@
         self.index.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn pending_segments(&self) -> MutexGuard<'_, Segments> {
+    pub(crate) fn pending_segments(&self) -> MutexGuard<'_, PendingSegments> {
         self.pending_segments
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -299,7 +299,7 @@
         }
     }
 
-    /// Returns the conversation up to and including a turn, if all of it is here.
+    /// Returns the conversation up to and including a turn, if this replica has all of it.
     async fn transcript(&self, id: &Id) -> Option<Transcript> {
         let conversation = self.index().conversation(id)?;
         let stored = conversation.disk_locations();
@@ -339,7 +339,7 @@
         result.ok()
     }
 
-    /// Returns the records of those `keys` that are here; `None` if the disk fails.
+    /// Returns the records of those `keys` that this replica has; `None` if the disk fails.
     async fn records(&self, keys: &[Key]) -> Option<Vec<Record>> {
         let mut records = Vec::new();
         let mut stored = Vec::new();
@@ -434,7 +434,7 @@
                     self.index().forget_segment(segment);
                 }
             }
-            let (turns, programs) = self.index().counts();
+            let (turns, programs) = self.index().turn_and_program_counts();
             metrics::gauge!("gradedyke_turns_kept").set(turns as f64);
             metrics::gauge!("gradedyke_programs_kept").set(programs as f64);
             let bytes = self.index().cached_body_bytes();
--- a/crates/gradedyke-turns/src/sync.rs
+++ b/crates/gradedyke-turns/src/sync.rs
@@ -19,8 +19,7 @@
 use crate::replica::Replica;
 use crate::view::DiskId;
 
-/// Timeout of a call. Longer than a replica may wait before it answers a request for
-/// keys.
+/// Timeout of a call. Must exceed `KEYS_WAIT_TIMEOUT` in `replica`.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// Delay before a failed call is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
--- a/crates/gradedyke-turns/src/usage.rs
+++ b/crates/gradedyke-turns/src/usage.rs
@@ -1,9 +1,9 @@
 //! Recent usage of each client account, summed over all entries.
 //!
 //! An account's allowance applies to all entries together, while each entry sees only its
-//! own requests. With the requests that begin and end a turn, an entry therefore reports to
-//! the replicas what it admitted in the last window, for the accounts of these turns and for
-//! those whose usage has risen. Each replica replies with the sum over all entries, and the
+//! own requests. With requests that begin or store a turn, and with
+//! `Request::Usage`, an entry therefore reports to the replicas what it admitted in the last
+//! window, for the account concerned and for accounts whose usage has changed or is due. Each replica replies with the sum over all entries, and the
 //! entry uses the greatest sum.
 //!
 //! A report covers the entry's whole window, so a restarted replica is soon up to date.
@@ -200,7 +200,12 @@
     /// ```
     pub fn total(&self, account: AccountHash, now: Instant) -> Total {
         let mut total = Total::default();
-        for row in self.rows.get(&account).into_iter().flat_map(|g| g.values()) {
+        for row in self
+            .rows
+            .get(&account)
+            .into_iter()
+            .flat_map(|by_entry| by_entry.values())
+        {
             for bucket in self.buckets_in_window(row, now) {
                 total.add(*bucket);
             }
@@ -218,7 +223,9 @@
     fn elapsed_buckets(&self, since: Instant, now: Instant) -> usize {
         let elapsed = now.saturating_duration_since(since).as_millis();
         let buckets = elapsed.checked_div(self.bucket_len.as_millis());
-        buckets.map_or(0, |p| usize::try_from(p).unwrap_or(REPORTED_BUCKETS))
+        buckets.map_or(0, |count| {
+            usize::try_from(count).unwrap_or(REPORTED_BUCKETS)
+        })
     }
 
     /// Returns the length of a bucket in milliseconds and all usage that is still in the
@@ -235,7 +242,7 @@
                     account: *account,
                     buckets,
                 };
-                if row.buckets.iter().any(|p| *p != Total::default()) {
+                if row.buckets.iter().any(|bucket| *bucket != Total::default()) {
                     all.push((*entry, row));
                 }
             }
--- a/crates/gradedyke-turns/tests/index.rs
+++ b/crates/gradedyke-turns/tests/index.rs
@@ -229,13 +229,13 @@
     let end = index.end_position();
     let later = now + Duration::from_millis(2 * u64::from(RETENTION_MS));
     assert_eq!(index.expire(later), [1]);
-    assert_eq!(index.counts(), (0, 0));
+    assert_eq!(index.turn_and_program_counts(), (0, 0));
     assert!(attempts(&index).is_empty());
     assert_eq!(index.keys_since(0, 100), (Vec::new(), end));
     for record in records() {
         assert!(index.apply(&record, 2, later));
     }
-    assert_eq!(index.counts(), (3, 1));
+    assert_eq!(index.turn_and_program_counts(), (3, 1));
     assert!(transcript(&mut index, "e").is_some());
     assert_eq!(index.keys_since(end, 100).0.len(), 7);
 }
