--- a/crates/gradedyke-turns/src/backlog.rs
+++ b/crates/gradedyke-turns/src/backlog.rs
@@ -10,8 +10,8 @@
 /// Age of the oldest request in flight above which new ones are rejected.
 const MAX_OLDEST_REQUEST_AGE: Duration = Duration::from_millis(100);
 /// Age of the oldest request in flight above which requests for a program's first turn are
-/// rejected. Lower, because rejecting a first turn wastes no work,
-/// whereas rejecting a later one wastes the program's earlier turns.
+/// rejected. Lower, because rejecting a first turn wastes no work, whereas rejecting a later one
+/// wastes the program's earlier turns.
 const MAX_OLDEST_REQUEST_AGE_FIRST_TURN: Duration = Duration::from_millis(50);
 /// Requests that may be in flight whatever their age, so that one slow request does not block
 /// others.
--- a/crates/gradedyke-turns/src/detour.rs
+++ b/crates/gradedyke-turns/src/detour.rs
@@ -130,10 +130,10 @@
 }
 
 impl ReplicaClient {
-    /// Creates a client of the replica at address `replica`, which is called by `direct` or
-    /// through `neighbours`. `last_neighbour` remembers the neighbour that last succeeded, which is
-    /// tried first. `active_replicas` has the direct clients of all active replicas, of
-    /// which `required_replies` must answer to make forwarding unnecessary.
+    /// Creates a client of the replica at address `replica`, which is called by `direct` or through
+    /// `neighbours`. `last_neighbour` remembers the neighbour that last succeeded, which is tried
+    /// first. `active_replicas` has the direct clients of all active replicas, of which
+    /// `required_replies` must answer to make forwarding unnecessary.
     pub fn new(
         replica: SocketAddr,
         direct: Client,
--- a/crates/gradedyke-turns/src/feed.rs
+++ b/crates/gradedyke-turns/src/feed.rs
@@ -26,16 +26,15 @@
 const LONG_POLL_WAIT: Duration = Duration::from_millis(300);
 /// Timeout of a call. It covers [`LONG_POLL_WAIT`] and the network round trip.
 const CALL_TIMEOUT: Duration = Duration::from_millis(700);
-/// Delay between selections of a source, and first delay before a failed age request is
-/// retried.
+/// Delay between selections of a source, and first delay before a failed age request is retried.
 const SOURCE_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// How long a source with a stale copy is followed before sources are compared again.
 const STALE_SOURCE_TIMEOUT: Duration = Duration::from_millis(800);
 /// How long to wait for a source with a fresh copy once one with a stale copy has
 /// answered. Gives replicas that have just started time to list the store.
 const FRESH_SOURCE_WAIT: Duration = Duration::from_millis(60);
-/// Minimum time for which a source other than the preferred one is followed before sources
-/// are compared again; the maximum is twice this.
+/// Minimum time for which a source other than the preferred one is followed before sources are
+/// compared again; the maximum is twice this.
 const MIN_RESELECT_DELAY: Duration = Duration::from_secs(2);
 /// Delay between the first requests to successive sources.
 const STAGGER_DELAY: Duration = Duration::from_millis(3);
@@ -161,9 +160,9 @@
     }
 }
 
-/// Neighbours are other running entries. Returns those to follow if no replica can be reached directly, and otherwise none.
-/// Turns continue through forwarded requests in that case, but API keys are accepted only if
-/// recently confirmed, so the copy has to stay fresh.
+/// Neighbours are other running entries. Returns those to follow if no replica can be reached
+/// directly, and otherwise none. Turns continue through forwarded requests in that case, but API
+/// keys are accepted only if recently confirmed, so the copy has to stay fresh.
 fn neighbours(mirror: &Mirror, peers: &dyn Peers) -> Vec<SocketAddr> {
     let Some(own) = peers.forwarding_address().filter(|_| peers.is_isolated()) else {
         return Vec::new();
--- a/crates/gradedyke-turns/src/feed/policy.rs
+++ b/crates/gradedyke-turns/src/feed/policy.rs
@@ -22,8 +22,8 @@
 /// Age above which a copy is stale and another source is selected, as a fraction of the
 /// propagation limit.
 const STALE_AGE_RATIO: f64 = 0.65;
-/// Age of a copy above which the store itself is read even while replicas answer, as a
-/// fraction of the propagation limit.
+/// Age of a copy above which the store itself is read even while replicas answer, as a fraction of
+/// the propagation limit.
 const MAX_AGE_RATIO: f64 = 0.9;
 
 /// Grace period of an entry after its start, in which replicas, which may be starting
--- a/crates/gradedyke-turns/src/index.rs
+++ b/crates/gradedyke-turns/src/index.rs
@@ -1,8 +1,8 @@
 //! In-memory index of the records that a replica stores.
 //!
-//! Records may be applied in any order and more than once. Applying a turn
-//! restarts the retention time of all its ancestors. Turn bodies are cached in memory up to a limit and are read
-//! from disk otherwise.
+//! Records may be applied in any order and more than once. Applying a turn restarts the retention
+//! time of all its ancestors. Turn bodies are cached in memory up to a limit and are read from disk
+//! otherwise.
 //!
 //! Requests and programs are stored in slot maps and refer to each other by key, so
 //! an ID is hashed once for each record and ancestors are followed without hashing.
@@ -54,8 +54,8 @@
 /// Number of records applied before this point.
 pub type Position = u64;
 
-/// Limit for the turn bodies that a replica caches in memory, in bytes. Evicted
-/// bodies are read from disk.
+/// Limit for the turn bodies that a replica caches in memory, in bytes. Evicted bodies are read
+/// from disk.
 pub const MAX_CACHED_BODY_BYTES: usize = 12 << 20;
 
 /// Index of a replica's records by request and program.
--- a/crates/gradedyke-turns/src/membership/decide.rs
+++ b/crates/gradedyke-turns/src/membership/decide.rs
@@ -28,8 +28,7 @@
 /// data centres with the fewest members. Covers the time that these need to start and
 /// to learn of the vacancy.
 const PRIORITY_MARGIN: Duration = Duration::from_millis(600);
-/// Maximum jitter before joining at a first start. Makes conflicting
-/// concurrent joins rare.
+/// Maximum jitter before joining at a first start. Makes conflicting concurrent joins rare.
 const FIRST_START_MAX_JITTER: Duration = Duration::from_secs(1);
 /// Maximum jitter before a spare joins.
 const SPARE_MAX_JITTER: Duration = Duration::from_millis(300);
--- a/crates/gradedyke-turns/src/membership/mod.rs
+++ b/crates/gradedyke-turns/src/membership/mod.rs
@@ -66,8 +66,8 @@
     stability_state: (StabilityState, Instant),
 }
 
-/// State that must be unchanged for a time before a vacancy is filled from other data centres
-/// or a member is moved.
+/// State that must be unchanged for a time before a vacancy is filled from other data centres or a
+/// member is moved.
 #[derive(Default, PartialEq, Eq)]
 struct StabilityState {
     /// The version of the view.
--- a/crates/gradedyke-turns/src/message.rs
+++ b/crates/gradedyke-turns/src/message.rs
@@ -24,8 +24,8 @@
     pub reserve: Option<Reserved>,
     /// The turn that is continued.
     pub parent: Option<Id>,
-    /// Whether this replica is the nearest one. It then also returns the whole conversation
-    /// and the load of the backend servers from other entries.
+    /// Whether this replica is the nearest one. It then also returns the whole conversation and the
+    /// load of the backend servers from other entries.
     pub nearest: bool,
     /// The sender's load report.
     pub load: Report,
--- a/crates/gradedyke-turns/src/mirror/follow.rs
+++ b/crates/gradedyke-turns/src/mirror/follow.rs
@@ -24,7 +24,8 @@
     /// It gets no fresh updates, but its copy is still recent or the processes it follows
     /// are trying to read the store.
     Low,
-    /// Other processes depend on its copy, or its copy is too old and the processes it follows do not answer.
+    /// Other processes depend on its copy, or its copy is too old and the processes it follows do
+    /// not answer.
     High,
 }
 
--- a/crates/gradedyke-turns/src/mirror/items.rs
+++ b/crates/gradedyke-turns/src/mirror/items.rs
@@ -7,8 +7,8 @@
 
 use super::{Item, PackedItems};
 
-/// Size of keys and values from which a page is full, in bytes. It limits the memory of a
-/// process that sends pages to many followers at once.
+/// Size of keys and values from which a page is full, in bytes. It limits the memory of a process
+/// that sends pages to many followers at once.
 const FULL_PAGE_BYTES: usize = 128 << 10;
 
 /// An item with the change that stored it.
--- a/crates/gradedyke-turns/src/mirror/packed.rs
+++ b/crates/gradedyke-turns/src/mirror/packed.rs
@@ -8,7 +8,8 @@
 /// Size from which an encoding is compressed, in bytes.
 const COMPRESSION_THRESHOLD_BYTES: usize = 1 << 10;
 
-/// Largest size of decompressed items, in bytes. Anything larger is rejected before it is decompressed.
+/// Largest size of decompressed items, in bytes. Anything larger is rejected before it is
+/// decompressed.
 const MAX_DECOMPRESSED_BYTES: usize = 4 << 20;
 
 /// Failure to decompress or decode packed items.
--- a/crates/gradedyke-turns/src/mirror/state.rs
+++ b/crates/gradedyke-turns/src/mirror/state.rs
@@ -29,8 +29,8 @@
 #[derive(Default)]
 pub(super) struct State {
     pub(super) items: Items,
-    /// Cached pages, keyed by the change and revision after which they start, with the last
-    /// change at the time of caching. Any later change makes them invalid.
+    /// Cached pages, keyed by the change and revision after which they start, with the last change
+    /// at the time of caching. Any later change makes them invalid.
     pub(super) pages: (u64, HashMap<(u64, Revision), Page>),
     /// The state of each prefix that has been listed.
     pub(super) prefixes: HashMap<String, PrefixState>,
--- a/crates/gradedyke-turns/src/quorum/begin.rs
+++ b/crates/gradedyke-turns/src/quorum/begin.rs
@@ -28,8 +28,8 @@
 const QUORUM_LOSS_GRACE: Duration = Duration::from_millis(1_500);
 
 impl Coordinator {
-    /// Reserves the tokens that an attempt may use and reads the conversation it continues.
-    /// Retries for a short time while no majority answers, because replicas may be restarting.
+    /// Reserves the tokens that an attempt may use and reads the conversation it continues. Retries
+    /// for a short time while no majority answers, because replicas may be restarting.
     ///
     /// # Errors
     ///
--- a/crates/gradedyke-turns/src/record.rs
+++ b/crates/gradedyke-turns/src/record.rs
@@ -7,8 +7,8 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-/// Identifier, for example of a request, program, client account or backend server, chosen by
-/// its creator.
+/// Identifier, for example of a request, program, client account or backend server, chosen by its
+/// creator.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Id(Arc<str>);
--- a/crates/gradedyke-turns/src/replica.rs
+++ b/crates/gradedyke-turns/src/replica.rs
@@ -28,8 +28,8 @@
 /// How long a request for keys waits for a new record before it is answered with an
 /// empty page, which shows the follower that this replica is reachable.
 const KEYS_WAIT_TIMEOUT: Duration = Duration::from_millis(800);
-/// Delay after a new record in which further ones are collected for the same page.
-/// Must be less than `FETCH_DELAY` in `sync`.
+/// Delay after a new record in which further ones are collected for the same page. Must be less
+/// than `FETCH_DELAY` in `sync`.
 const PAGE_DELAY: Duration = Duration::from_millis(50);
 /// Interval between removals of expired records.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(5);
--- a/crates/gradedyke-turns/src/usage.rs
+++ b/crates/gradedyke-turns/src/usage.rs
@@ -1,10 +1,10 @@
 //! Recent usage of each client account, summed over all entries.
 //!
-//! An account's allowance applies to all entries together, while each entry sees only its
-//! own requests. With requests that begin or store a turn, and with
-//! `Request::Usage`, an entry therefore reports to the replicas what it admitted in the last
-//! window, for the account concerned and for accounts whose usage has changed or is due. Each replica replies with the sum over all entries, and the
-//! entry uses the greatest sum.
+//! An account's allowance applies to all entries together, while each entry sees only its own
+//! requests. With requests that begin or store a turn, and with `Request::Usage`, an entry
+//! therefore reports to the replicas what it admitted in the last window, for the account concerned
+//! and for accounts whose usage has changed or is due. Each replica replies with the sum over all
+//! entries, and the entry uses the greatest sum.
 //!
 //! A report covers the entry's whole window, so a restarted replica is soon up to date.
 //! Replicas also save the reports on disk. A replica that lost its disk returns a sum that is too
