--- a/crates/gradedyke-turns/src/feed/policy.rs
+++ b/crates/gradedyke-turns/src/feed/policy.rs
@@ -30,6 +30,7 @@
 /// too, read the store.
 pub const ENTRY_START_GRACE: Duration = Duration::from_secs(2);
 /// Time after its start during which a replica waits for updates before it reads the store.
+/// The primary watcher, and without a view the seeds, do not wait.
 pub const KEEPER_START_GRACE: Duration = Duration::from_millis(400);
 
 /// Age of the copy above which a standby reads the store itself.
--- a/crates/gradedyke-turns/src/mirror.rs
+++ b/crates/gradedyke-turns/src/mirror.rs
@@ -86,9 +86,9 @@
     pub whole: Option<Revision>,
     /// Milliseconds since the store last confirmed the copy; `None` if it never did.
     pub age_ms: Option<u64>,
-    /// Time in milliseconds, rounded up, between two events: the sending of the last request that
-    /// the store answered, and the receipt of the follower's request. Negative if the second came
-    /// first; `None` if the store never answered.
+    /// Time in milliseconds, at most 1 ms too long, between two events: the sending of the last
+    /// request that the store answered, and the receipt of the follower's request. Negative if the
+    /// second came first; `None` if the store never answered.
     pub asked_ms: Option<i64>,
     /// Milliseconds for which the store has answered without a failure.
     pub steady_ms: u64,
